--- a/propolis/tests/common/mod.rs
+++ b/config/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! The example of the protocol page, and ways to change it.
 #![allow(dead_code)]
 
-use lupinledge_propolis::Document;
+use lupinledge_config::Document;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
--- a/propolis/tests/homes.rs
+++ b/config/tests/homes.rs
@@ -1,6 +1,6 @@
 //! The homes of hosts.
 
-use lupinledge_propolis::{Document, Homes};
+use lupinledge_config::{Document, Homes};
 use serde_json::json;
 use std::collections::BTreeSet;
 
--- a/propolis/tests/invalid.rs
+++ b/config/tests/invalid.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{bytes, example, numbered};
-use lupinledge_propolis::{check, Config, Document, Kind, Verdict};
+use lupinledge_config::{check, Config, Document, Kind, Verdict};
 use serde_json::{json, Value};
 use test_case::test_case;
 
--- a/propolis/tests/model.rs
+++ b/config/tests/model.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{bytes, document, example, zones};
-use lupinledge_propolis::config::RouteKind;
-use lupinledge_propolis::plain::{way, Probe};
-use lupinledge_propolis::{check, Config, Document, Settings, Tables, Verdict};
+use lupinledge_config::config::RouteKind;
+use lupinledge_config::plain::{way, Probe};
+use lupinledge_config::{check, Config, Document, Settings, Tables, Verdict};
 use serde_json::{json, Value};
 
 const PIECES: [&str; 6] = ["a", "b", "ab", "A", "a%2F", "c"];
--- a/propolis/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file of the deploy page.
 
-use lupinledge_propolis::settings::{Bounds, Tolerate};
-use lupinledge_propolis::Settings;
+use lupinledge_config::settings::{Bounds, Tolerate};
+use lupinledge_config::Settings;
 use serde_json::{json, Value};
 use test_case::test_case;
 
--- a/propolis/tests/taken.rs
+++ b/config/tests/taken.rs
@@ -1,7 +1,7 @@
 //! Orders sent again, beside a slow plain model: a list, without bound, of all that was ever taken.
 
-use lupinledge_propolis::taken::{body_hash, TAKEN_MOST};
-use lupinledge_propolis::{Document, Judged, Kind, Order, Verdict};
+use lupinledge_config::taken::{body_hash, TAKEN_MOST};
+use lupinledge_config::{Document, Judged, Kind, Order, Verdict};
 use std::collections::BTreeSet;
 
 /// A configuration of this number on top of another; no two with different `nth` are alike.
@@ -163,7 +163,7 @@
 #[test]
 fn a_zone_that_left_the_settings_is_no_refusal_of_what_was_done() {
     let Judged::Take(doc) = Document::default().judge(Order::Evacuate("a"), |_| true) else { panic!() };
-    let done = Judged::Said(lupinledge_propolis::Answer::Done);
+    let done = Judged::Said(lupinledge_config::Answer::Done);
     assert_eq!(doc.judge(Order::Evacuate("a"), |_| false), done);
     let Judged::Take(back) = doc.judge(Order::Restore("a"), |_| false) else { panic!() };
     assert!(back.evacuated.is_empty());
--- a/propolis/tests/turns.rs
+++ b/config/tests/turns.rs
@@ -1,7 +1,7 @@
 //! Turns of changes beside a plain model: who is told what, in which order, and that places are given back.
 
-use lupinledge_propolis::turns::{Caller, WAITING_BYTES, WAITING_MOST};
-use lupinledge_propolis::Turns;
+use lupinledge_config::turns::{Caller, WAITING_BYTES, WAITING_MOST};
+use lupinledge_config::Turns;
 use std::collections::BTreeMap;
 
 /// A change as the model has it: a configuration's body, or a zone's order.
--- a/propolis/tests/words.rs
+++ b/config/tests/words.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{bytes, example};
-use lupinledge_propolis::config::RouteKind;
-use lupinledge_propolis::{check, Settings};
+use lupinledge_config::config::RouteKind;
+use lupinledge_config::{check, Settings};
 use serde_json::json;
 
 /// The kind that a route is read with.
--- a/queen/tests/common/mod.rs
+++ b/consensus/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What the tests of single members share.
 
-use lupinledge_queen::{Ballot, Msg, Out, Queen};
+use lupinledge_consensus::{Ballot, Msg, Out, Queen};
 
 /// Lets a member that started with a state hear from all others that they hold nothing newer.
 pub fn resume(queen: &mut Queen, now: f64) {
--- a/queen/tests/faults/cases.rs
+++ b/consensus/tests/faults/cases.rs
@@ -1,7 +1,7 @@
 //! Named cases.
 
 use crate::world::World;
-use lupinledge_queen::Node;
+use lupinledge_consensus::Node;
 
 const THREE: [Node; 3] = [10, 20, 30];
 const FIVE: [Node; 5] = [10, 20, 30, 40, 50];
--- a/queen/tests/faults/changes.rs
+++ b/consensus/tests/faults/changes.rs
@@ -2,7 +2,7 @@
 //! proposed that loses its disk, at any moment of the change.
 
 use crate::world::World;
-use lupinledge_queen::Node;
+use lupinledge_consensus::Node;
 
 const SCHEDULES: u64 = 10_000;
 const NEW: Node = 40;
--- a/queen/tests/faults/check.rs
+++ b/consensus/tests/faults/check.rs
@@ -1,6 +1,6 @@
 //! The slow plain model: what was committed, acknowledged and confirmed, by whom.
 
-use lupinledge_queen::{Ballot, Node, Value};
+use lupinledge_consensus::{Ballot, Node, Value};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
--- a/queen/tests/faults/copies.rs
+++ b/consensus/tests/faults/copies.rs
@@ -1,7 +1,7 @@
 //! Members that come back with an older copy of their folder: a restored backup, or a disk that lost its last writes.
 
 use crate::world::World;
-use lupinledge_queen::{Kept, Node};
+use lupinledge_consensus::{Kept, Node};
 
 const SEEDS: u64 = 300;
 /// All processes are back this soon after a loss of power everywhere.
--- a/queen/tests/faults/days.rs
+++ b/consensus/tests/faults/days.rs
@@ -1,7 +1,7 @@
 //! Agreement under all faults at once, by seed: nothing acknowledged is lost, and calm brings service back.
 
 use crate::world::{Member, World};
-use lupinledge_queen::Node;
+use lupinledge_consensus::Node;
 use std::collections::BTreeSet;
 
 const SEEDS: u64 = 400;
@@ -251,7 +251,7 @@
     assert!(acks > SEEDS * 10 && confirms > SEEDS * 10, "too little was done to say anything");
 }
 
-/// As many other days as wanted: `FROM=1000 TO=100000 cargo test --release -p lupinledge-queen -- --ignored`.
+/// As many other days as wanted: `FROM=1000 TO=100000 cargo test --release -p lupinledge-consensus -- --ignored`.
 #[test]
 #[ignore = "takes as long as it is told to"]
 fn many_more_days() {
--- a/queen/tests/faults/founding.rs
+++ b/consensus/tests/faults/founding.rs
@@ -1,7 +1,7 @@
 //! The cluster is founded anew by an operator, after losses beyond what is borne.
 
 use crate::world::World;
-use lupinledge_queen::{Ballot, Node, NotFounded};
+use lupinledge_consensus::{Ballot, Node, NotFounded};
 
 const THREE: [Node; 3] = [10, 20, 30];
 
--- a/queen/tests/faults/leaving.rs
+++ b/consensus/tests/faults/leaving.rs
@@ -1,7 +1,7 @@
 //! Leaving in order, by name.
 
 use crate::world::World;
-use lupinledge_queen::Node;
+use lupinledge_consensus::Node;
 
 const FIVE: [Node; 5] = [10, 20, 30, 40, 50];
 
--- a/queen/tests/faults/losses.rs
+++ b/consensus/tests/faults/losses.rs
@@ -2,7 +2,7 @@
 //! that holds state must be left, in which service is back soon.
 
 use crate::world::World;
-use lupinledge_queen::Node;
+use lupinledge_consensus::Node;
 use std::collections::BTreeMap;
 
 /// So soon after the last event a proposal has to be acknowledged.
@@ -457,7 +457,7 @@
     assert!(events > 300 * 10, "too little was done to say anything");
 }
 
-/// As many more as wanted: `FROM=1000 TO=100000 cargo test --release -p lupinledge-queen losses -- --ignored`.
+/// As many more as wanted: `FROM=1000 TO=100000 cargo test --release -p lupinledge-consensus losses -- --ignored`.
 #[test]
 #[ignore = "takes as long as it is told to"]
 fn many_more_losses() {
--- a/queen/tests/faults/steps.rs
+++ b/consensus/tests/faults/steps.rs
@@ -1,7 +1,7 @@
 //! Single steps of one member, the others played by hand.
 
 use crate::common::resume;
-use lupinledge_queen::{Ballot, Kept, Msg, Node, Out, Outcome, Queen, Settings, Value};
+use lupinledge_consensus::{Ballot, Kept, Msg, Node, Out, Outcome, Queen, Settings, Value};
 use std::rc::Rc;
 
 const THREE: [Node; 3] = [10, 20, 30];
--- a/queen/tests/faults/world.rs
+++ b/consensus/tests/faults/world.rs
@@ -1,8 +1,8 @@
-//! Members of the core with clients, in the emulated world of `lupinledge-apiary`.
+//! Members of the core with clients, in the emulated world of `lupinledge-simulation`.
 
 use crate::check::Check;
-use lupinledge_apiary::{Begin, Life, Net, Order, Watch, World as Machines};
-use lupinledge_queen::{Ballot, Kept, Msg, Node, NotFounded, Out, Outcome, Queen, Settings, Value};
+use lupinledge_consensus::{Ballot, Kept, Msg, Node, NotFounded, Out, Outcome, Queen, Settings, Value};
+use lupinledge_simulation::{Begin, Life, Net, Order, Watch, World as Machines};
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
--- a/queen/tests/large.rs
+++ b/consensus/tests/large.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::resume;
-use lupinledge_queen::{Ballot, Kept, Msg, Node, Out, Queen, Settings, Value};
+use lupinledge_consensus::{Ballot, Kept, Msg, Node, Out, Queen, Settings, Value};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/queen/tests/stalled.rs
+++ b/consensus/tests/stalled.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::resume;
-use lupinledge_queen::{Ballot, Kept, Msg, Node, Out, Queen, Settings, Value};
+use lupinledge_consensus::{Ballot, Kept, Msg, Node, Out, Queen, Settings, Value};
 use std::rc::{Rc, Weak};
 
 const ME: Node = 1;
--- a/hive/src/agree.rs
+++ b/control-plane/src/agree.rs
@@ -1,11 +1,11 @@
 //! Drives the agreement of the core: carries its words, its saves and its outcomes.
 
 use crate::clock::Clock;
+use lupinledge_config::Document;
+use lupinledge_consensus::{Ballot, Kept, Msg, Node, NotFounded, Out, Outcome, Queen, Settings, Value};
 use lupinledge_invariants::{check, Invariant};
 use lupinledge_messaging::{Post, Word};
-use lupinledge_propolis::Document;
-use lupinledge_queen::{Ballot, Kept, Msg, Node, NotFounded, Out, Outcome, Queen, Settings, Value};
-use lupinledge_skep::{Found, Saved, Store};
+use lupinledge_storage::{Found, Saved, Store};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -276,7 +276,7 @@
     }
 
     /// What this member holds.
-    pub fn standing(&self) -> lupinledge_queen::Standing {
+    pub fn standing(&self) -> lupinledge_consensus::Standing {
         self.queen.borrow().standing(self.clock.now())
     }
 
--- a/hive/src/clock.rs
+++ b/control-plane/src/clock.rs
@@ -1,7 +1,7 @@
 //! Time: this process's steady clock, and the hive's, which all processes can tell.
 
+use lupinledge_consensus::Node;
 use lupinledge_messaging::clock::Asked;
-use lupinledge_queen::Node;
 use std::cell::{Cell, RefCell};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/hive/src/command.rs
+++ b/control-plane/src/command.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use lupinledge_propolis::{Answer, Kind, Order};
+use lupinledge_config::{Answer, Kind, Order};
 use std::net::SocketAddr;
 
 /// What the operator asks for.
--- a/hive/src/control.rs
+++ b/control-plane/src/control.rs
@@ -11,8 +11,8 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use lupinledge_propolis::settings::Listen;
-use lupinledge_propolis::Kind;
+use lupinledge_config::settings::Listen;
+use lupinledge_config::Kind;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
--- a/hive/src/counts.rs
+++ b/control-plane/src/counts.rs
@@ -3,15 +3,15 @@
 
 use crate::agree::Agree;
 use crate::clock::Clock;
+use lupinledge_config::{Tables, Tenant};
+use lupinledge_consensus::Node;
 use lupinledge_counters::duty::{Answer, Duty, Look, Seen};
 use lupinledge_counters::store::{Quota, Reading};
 use lupinledge_counters::told::{Part, Told};
 use lupinledge_counters::{Incarnation, Total};
 use lupinledge_gossip::Gossip;
+use lupinledge_membership::{Member, Standing};
 use lupinledge_messaging::{parts, round, units, CountedName, Post, ToldName, Word};
-use lupinledge_propolis::{Tables, Tenant};
-use lupinledge_queen::Node;
-use lupinledge_waggle::{Member, Standing};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
     duty: RefCell<Duty>,
     zones: BTreeMap<String, String>,
     /// Up to which document the rates were taken over.
-    rates: Cell<Option<lupinledge_queen::Ballot>>,
+    rates: Cell<Option<lupinledge_consensus::Ballot>>,
 }
 
 impl Counts {
--- a/hive/src/directory.rs
+++ b/control-plane/src/directory.rs
@@ -1,6 +1,6 @@
 //! Tells clients where they may go.
 
-use lupinledge_waggle::{Member, Standing};
+use lupinledge_membership::{Member, Standing};
 use std::cell::Cell;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/hive/src/directory/tests.rs
+++ b/control-plane/src/directory/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use lupinledge_waggle::Card;
+use lupinledge_membership::Card;
 
 fn edge(n: u8, region: &str) -> Member {
     let front = Some(SocketAddr::from(([10, 0, 0, n], 80)));
--- a/hive/src/founding.rs
+++ b/control-plane/src/founding.rs
@@ -4,7 +4,7 @@
 use crate::hive::Hive;
 use crate::operator::{ask, call, cell, table};
 use eyre::{bail, ensure, eyre, WrapErr};
-use lupinledge_queen::{Ballot, Node};
+use lupinledge_consensus::{Ballot, Node};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/hive/src/hive.rs
+++ b/control-plane/src/hive.rs
@@ -10,15 +10,15 @@
 use crate::operations::{Beginning, Operations};
 use crate::refusals::Refusals;
 use eyre::{eyre, WrapErr};
+use lupinledge_config::settings::CloudApi;
+use lupinledge_config::turns::{Caller, Turns};
+use lupinledge_config::{Document, Homes, Print, Settings, Tables};
+use lupinledge_consensus::{Ballot, Node};
 use lupinledge_gossip::{metrics, seeds_of, Gossip, Host, News, Source};
+use lupinledge_membership::{Card, Member, Standing};
 use lupinledge_messaging::list::List;
 use lupinledge_messaging::{decode, Word};
-use lupinledge_propolis::settings::CloudApi;
-use lupinledge_propolis::turns::{Caller, Turns};
-use lupinledge_propolis::{Document, Homes, Print, Settings, Tables};
-use lupinledge_queen::{Ballot, Node};
-use lupinledge_skep::{DataDir, FolderLock, Found, Opened, Store};
-use lupinledge_waggle::{Card, Member, Standing};
+use lupinledge_storage::{DataDir, FolderLock, Found, Opened, Store};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -77,8 +77,13 @@
         let seeds = seeds_of(&settings);
         let seed = clock.incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(clock.me);
         let tolerate = settings.tolerate.machines as usize;
-        let founding =
-            lupinledge_queen::Settings { me: clock.me, seeds, bootstrap: settings.bootstrap, seed, tolerate };
+        let founding = lupinledge_consensus::Settings {
+            me: clock.me,
+            seeds,
+            bootstrap: settings.bootstrap,
+            seed,
+            tolerate,
+        };
         let agree = Agree::start(clock.clone(), founding, found, store).wrap_err("`data_dir`")?;
         let empty = empty || agree.amnesiac();
         let beginning = Beginning { folder, limits: settings.limits.clone(), seed, learns: agree.amnesiac() };
--- a/hive/src/nodes.rs
+++ b/control-plane/src/nodes.rs
@@ -2,9 +2,9 @@
 
 use crate::operator::{self, cell};
 use eyre::bail;
-use lupinledge_propolis::{comparable, Part, Print};
-use lupinledge_sentry::verdict::Judge;
-use lupinledge_waggle::{Digest, Member, Standing};
+use lupinledge_config::{comparable, Part, Print};
+use lupinledge_drift_detection::verdict::Judge;
+use lupinledge_membership::{Digest, Member, Standing};
 use serde_json::{json, Map, Value};
 use std::fmt::Write as _;
 use std::net::Ipv4Addr;
--- a/hive/src/nodes/tests.rs
+++ b/control-plane/src/nodes/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use lupinledge_waggle::{Card, Rules};
+use lupinledge_membership::{Card, Rules};
 
 /// A node that does what the document says, one that does not, one that is behind, and one that is out with the
 /// part that differs.
--- a/hive/src/operations/bounds.rs
+++ b/control-plane/src/operations/bounds.rs
@@ -1,7 +1,7 @@
 //! How much the voter may take of this machine.
 
-use lupinledge_propolis::settings::Limits;
-use lupinledge_skep::JournalBounds;
+use lupinledge_config::settings::Limits;
+use lupinledge_storage::JournalBounds;
 
 /// Share of the memory for records.
 const RECORDS_SHARE: f64 = 0.10;
--- a/hive/src/operations/recorder.rs
+++ b/control-plane/src/operations/recorder.rs
@@ -1,7 +1,7 @@
 //! Hands the voter's entries to the journal, in order, also when it takes none for a while.
 
 use lupinledge_operations::Entry;
-use lupinledge_skep::Journal;
+use lupinledge_storage::Journal;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
--- a/hive/src/refusals.rs
+++ b/control-plane/src/refusals.rs
@@ -1,7 +1,7 @@
 //! Orders of the operator that were refused: for each a line in the log with the reason, and their number. Who asked may
 //! keep no record of the answer, and without a first configuration no gateway serves.
 
-use lupinledge_propolis::Kind;
+use lupinledge_config::Kind;
 use std::cell::Cell;
 
 /// Characters of a reason that are written at most: it quotes what was sent.
--- a/hive/src/run.rs
+++ b/control-plane/src/run.rs
@@ -3,10 +3,10 @@
 use crate::agree::Agreed;
 use crate::command::{Command, Reply};
 use crate::hive::Hive;
+use lupinledge_config::turns::Caller;
+use lupinledge_config::{Answer, Document, Judged, Kind};
+use lupinledge_consensus::Outcome;
 use lupinledge_invariants::{check, Invariant};
-use lupinledge_propolis::turns::Caller;
-use lupinledge_propolis::{Answer, Document, Judged, Kind};
-use lupinledge_queen::Outcome;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
--- a/hive/tests/catch_up.rs
+++ b/control-plane/tests/catch_up.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{config, until, Members, CONFIG};
-use lupinledge_skep::{DataDir, Disk, Found, LOG_MOST};
+use lupinledge_storage::{DataDir, Disk, Found, LOG_MOST};
 use serde_json::json;
 use std::fs;
 use std::path::Path;
@@ -152,8 +152,9 @@
     core.read_back();
 }
 
-/// `SIZES=0,700,7000 CHANGES=100,300 cargo test --release -p lupinledge-hive --test catch_up -- --ignored --nocapture`:
-/// what catching up takes, by the size of the document (tenants beside the example's) and the number of changes.
+/// `SIZES=0,700,7000 CHANGES=100,300 cargo test --release -p lupinledge-control-plane --test catch_up -- --ignored
+/// --nocapture`: what catching up takes, by the size of the document (tenants beside the example's) and the number of
+/// changes.
 #[test]
 #[ignore = "figures; takes as long as it is told to"]
 fn figures() {
--- a/hive/tests/common/mod.rs
+++ b/control-plane/tests/common/mod.rs
@@ -2,7 +2,7 @@
 // each test file has its own copy, and uses another part of it
 #![allow(dead_code)]
 
-#[path = "../../../propolis/tests/common/mod.rs"]
+#[path = "../../../config/tests/common/mod.rs"]
 pub mod config;
 
 use lupinledge_example::http::{Client, Message};
--- a/hive/tests/operations.rs
+++ b/control-plane/tests/operations.rs
@@ -365,8 +365,9 @@
     ALL.map(|i| processor_time(core.id(i)) - before[i])
 }
 
-/// `RATES=100,500,1000 cargo test --profile field -p lupinledge-hive --test operations -- --ignored --nocapture`: what
-/// claims cost a member, each one sent to all three, and how many have the votes of a majority at the end.
+/// `RATES=100,500,1000 cargo test --profile field -p lupinledge-control-plane --test operations -- --ignored
+/// --nocapture`: what claims cost a member, each one sent to all three, and how many have the votes of a majority at
+/// the end.
 #[test]
 #[ignore = "figures; takes 20 s, and 10 s for each rate"]
 fn figures() {
--- a/forager/src/failures.rs
+++ b/data-plane/src/failures.rs
@@ -3,7 +3,7 @@
 
 use hyper::StatusCode;
 use lupinledge::time::{Point, Span};
-use lupinledge_comb::exchange::Attempt;
+use lupinledge_proxy::exchange::Attempt;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
--- a/forager/src/guard.rs
+++ b/data-plane/src/guard.rs
@@ -1,14 +1,14 @@
 //! Watches whether this process routes by the rules that were set last: what is seen goes to the decisions of
-//! `lupinledge-sentry`, and what these want is done here.
+//! `lupinledge-drift-detection`, and what these want is done here.
 
 use crate::door::Door;
 use crate::nest::Nest;
 use crate::pools::Pools;
-use lupinledge_comb::clients::Clients;
+use lupinledge_config::{Part, Tables, DRIFTS};
+use lupinledge_drift_detection::{verdict::compare, Act, Audit, Finding, Own, Settings, Watch};
 use lupinledge_gossip::Gossip;
-use lupinledge_propolis::{Part, Tables, DRIFTS};
-use lupinledge_sentry::{verdict::compare, Act, Audit, Finding, Own, Settings, Watch};
-use lupinledge_waggle::Rules;
+use lupinledge_membership::Rules;
+use lupinledge_proxy::clients::Clients;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/forager/src/ledger.rs
+++ b/data-plane/src/ledger.rs
@@ -5,12 +5,12 @@
 use crate::wire::Trail;
 use lupinledge::link::Outcome;
 use lupinledge::time::Span;
-use lupinledge_comb::exchange::{CounterSide, Exchange};
 use lupinledge_counters::calls::Calls;
 use lupinledge_counters::own::Own;
 use lupinledge_counters::told::{Part, Told};
 use lupinledge_counters::Total;
 use lupinledge_messaging::{epoch, parts, units, CountedName, Node, Post, ToldName, Word};
+use lupinledge_proxy::exchange::{CounterSide, Exchange};
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
--- a/forager/src/nest.rs
+++ b/data-plane/src/nest.rs
@@ -3,14 +3,14 @@
 use crate::ledger::Ledger;
 use crate::operations::Operations;
 use crate::pools::Pools;
+use lupinledge_config::{Config, Document, Settings, Tables};
 use lupinledge_gossip::metrics::Line;
 use lupinledge_gossip::{seeds_of, Gossip, Host, News};
 use lupinledge_invariants::{check, Invariant};
+use lupinledge_membership::{Member, Standing};
 use lupinledge_messaging::clock::{Asked, Estimate};
 use lupinledge_messaging::list::List;
 use lupinledge_messaging::{decode, Node, Word};
-use lupinledge_propolis::{Config, Document, Settings, Tables};
-use lupinledge_waggle::{Member, Standing};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -91,16 +91,16 @@
 
     /// Asks for the hive's clock until it is known; after `most`, the own one has to do. The holder alone answers,
     /// and who that is may be settled at any moment: all that may be it are asked.
-    pub async fn clock(&self, most: Duration) -> lupinledge_comb::clock::Clock {
+    pub async fn clock(&self, most: Duration) -> lupinledge_proxy::clock::Clock {
         let began = Instant::now();
         let (mut asked, mut again) = (0, began);
         loop {
             if let Some(now) = self.estimate.borrow().theirs(self.gossip.now()) {
-                return lupinledge_comb::clock::Clock::showing(now);
+                return lupinledge_proxy::clock::Clock::showing(now);
             }
             if began.elapsed() > most {
                 tracing::warn!(event = "clock", from = "own");
-                return lupinledge_comb::clock::Clock::start();
+                return lupinledge_proxy::clock::Clock::start();
             }
             let holder = self.gossip.held(|h| h.epoch().1);
             if Instant::now() >= again || holder != asked {
--- a/forager/src/operations/voters.rs
+++ b/data-plane/src/operations/voters.rs
@@ -1,8 +1,8 @@
 //! Whom a claim is sent to: the machines of the core by nearness.
 
 use super::Operations;
+use lupinledge_membership::{Member, Standing};
 use lupinledge_messaging::Node;
-use lupinledge_waggle::{Member, Standing};
 
 /// Spreads what goes to another region over the machines there (a multiplier of Fibonacci hashing).
 const SPREAD: u32 = 0x9e37_79b1;
--- a/forager/src/operations/voters/tests.rs
+++ b/data-plane/src/operations/voters/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use lupinledge_waggle::Card;
+use lupinledge_membership::Card;
 use std::collections::BTreeSet;
 
 fn member(node: Node, core: bool, zone: &str, standing: Standing) -> Member {
--- a/forager/src/ready.rs
+++ b/data-plane/src/ready.rs
@@ -3,8 +3,8 @@
 use crate::metrics::Metrics;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use lupinledge_comb::clients::{bare, say, Answering, Reply};
-use lupinledge_comb::transport::heads::Heads;
+use lupinledge_proxy::clients::{bare, say, Answering, Reply};
+use lupinledge_proxy::transport::heads::Heads;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::time::Instant;
--- a/forager/src/start.rs
+++ b/data-plane/src/start.rs
@@ -9,12 +9,12 @@
 use crate::pools::Pools;
 use crate::ready::Ready;
 use eyre::{eyre, WrapErr};
-use lupinledge_comb::clients::{Answering, ClientBounds, Clients};
-use lupinledge_comb::transport::descriptors::Share;
-use lupinledge_comb::transport::listen::Gate;
+use lupinledge_config::Settings;
 use lupinledge_gossip::{log, settings, Gossip};
-use lupinledge_propolis::Settings;
-use lupinledge_waggle::Card;
+use lupinledge_membership::Card;
+use lupinledge_proxy::clients::{Answering, ClientBounds, Clients};
+use lupinledge_proxy::transport::descriptors::Share;
+use lupinledge_proxy::transport::listen::Gate;
 use std::cell::Cell;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
     // the port is there at once: who asks before the state is here hears that it is not ready
     let ready_places = Share::of(16);
     let ready_gate = open("ready", told.listen.ready, &ready_places)?;
-    let counters: Rc<lupinledge_comb::counters::Counters> = Rc::default();
+    let counters: Rc<lupinledge_proxy::counters::Counters> = Rc::default();
 
     let card = Card {
         core: false,
--- a/forager/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -3,8 +3,8 @@
 
 use lupinledge::link::{Effect, Frontend, Group, Plan, Terms};
 use lupinledge::time::Span;
-use lupinledge_propolis::config::RouteKind;
-use lupinledge_propolis::{Part, Route, Service, Settings, Tables, Tenant};
+use lupinledge_config::config::RouteKind;
+use lupinledge_config::{Part, Route, Service, Settings, Tables, Tenant};
 use std::collections::HashMap;
 
 /// The system's own counters keep a name for as long as is wanted: at each roll the use since the last total is
--- a/forager/src/wire.rs
+++ b/data-plane/src/wire.rs
@@ -8,8 +8,8 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use lupinledge::link::Outcome;
 use lupinledge::time::Span;
-use lupinledge_comb::exchange::{Back, Dispatch, Wire};
-use lupinledge_comb::srvs::ServerWire;
+use lupinledge_proxy::exchange::{Back, Dispatch, Wire};
+use lupinledge_proxy::srvs::ServerWire;
 
 pub const ATTEMPT: HeaderName = HeaderName::from_static("lupinledge-attempt-id");
 pub const OPERATION_KEY: HeaderName = HeaderName::from_static("lupinledge-operation-key");
--- a/forager/tests/rules/callers.rs
+++ b/data-plane/tests/rules/callers.rs
@@ -1,5 +1,5 @@
 //! Whose answer a client gets, and how often what may run once is sent, with servers and clients of every bad manner:
-//! the forager on loopback between them, hundreds of requests a seed, judged by what clients and servers saw.
+//! the data plane on loopback between them, hundreds of requests a seed, judged by what clients and servers saw.
 
 use crate::fleet::{req, row, until, Fleet};
 use crate::hive::Answers;
--- a/forager/tests/rules/fleet.rs
+++ b/data-plane/tests/rules/fleet.rs
@@ -2,9 +2,9 @@
 
 use crate::hive::Hive;
 use crate::srv::{Srv, GOOD};
+use lupinledge_config::{Document, Settings};
 use lupinledge_example::http::{Client, Message};
 use lupinledge_messaging::list::Row;
-use lupinledge_propolis::{Document, Settings};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
--- a/forager/tests/rules/hive.rs
+++ b/data-plane/tests/rules/hive.rs
@@ -1,14 +1,14 @@
 //! A stand-in for the hive: one process that holds the duty, tells documents and lists of servers, counts, and shows
 //! its clock. It votes on operation keys, without a disk. It gossips with the system's own parts.
 
+use lupinledge_config::{Document, Settings, Tables};
+use lupinledge_consensus::Ballot;
 use lupinledge_gossip::{Gossip, Host, News};
+use lupinledge_membership::{Card, Source};
 use lupinledge_messaging::list::{List, Row};
 use lupinledge_messaging::{encode, epoch, parts, round, units, CountedName, Node, Word};
 use lupinledge_operations::voter::{self, Out, Voter};
 use lupinledge_operations::{Key, Message};
-use lupinledge_propolis::{Document, Settings, Tables};
-use lupinledge_queen::Ballot;
-use lupinledge_waggle::{Card, Source};
 use serde_bytes::ByteBuf;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
--- a/sentry/src/audit.rs
+++ b/drift-detection/src/audit.rs
@@ -2,8 +2,8 @@
 //! intent are routed, and the way is compared with that of the plain reading.
 
 use fastrand::Rng;
-use lupinledge_propolis::plain::{draw, way, way_in};
-use lupinledge_propolis::{Config, Part, Print, Tables};
+use lupinledge_config::plain::{draw, way, way_in};
+use lupinledge_config::{Config, Part, Print, Tables};
 
 /// Something in memory is not what the intent says.
 #[derive(Clone, Debug, PartialEq)]
@@ -83,7 +83,7 @@
         let probe = draw(config, &mut self.chance)?;
         let (is, due) = (way_in(tables, &probe), way(config, &probe));
         let names = || is.iter().chain(&due).map(|w| w.route.clone()).take(1).collect();
-        let bare = |w: &Option<lupinledge_propolis::plain::Way>| w.as_ref().map(|w| w.tenant.clone());
+        let bare = |w: &Option<lupinledge_config::plain::Way>| w.as_ref().map(|w| w.tenant.clone());
         let part = if bare(&is) != bare(&due) { Part::Tenants } else { Part::Routes };
         (is != due).then(|| Finding { part, names: names() })
     }
--- a/sentry/src/audit/tests.rs
+++ b/drift-detection/src/audit/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use lupinledge_propolis::Document;
+use lupinledge_config::Document;
 use serde_json::json;
 
 /// Each kind of change in memory is found within a round, and nothing of it is said of the tables built next:
--- a/sentry/src/verdict.rs
+++ b/drift-detection/src/verdict.rs
@@ -1,8 +1,8 @@
 //! What follows at this moment from the own tables and from what others tell. Prints are compared only where they
 //! stand for the same document: who is behind judges nobody, and nobody is judged for being behind here.
 
-use lupinledge_propolis::{comparable, Part};
-use lupinledge_waggle::{Member, Node, Standing};
+use lupinledge_config::{comparable, Part};
+use lupinledge_membership::{Member, Node, Standing};
 
 /// What this process knows of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/sentry/src/watch.rs
+++ b/drift-detection/src/watch.rs
@@ -2,7 +2,7 @@
 //! wrong stays; a node goes out only where another one is left that serves what was set.
 
 use crate::verdict::{Judge, Others, Own, Verdict};
-use lupinledge_propolis::Part;
+use lupinledge_config::Part;
 
 /// Set times, in seconds.
 #[derive(Clone, Copy, Debug)]
--- a/sentry/tests/cost.rs
+++ b/drift-detection/tests/cost.rs
@@ -1,8 +1,8 @@
-//! What the watch costs: `cargo test --release -p lupinledge-sentry --test cost -- --ignored --nocapture`.
+//! What the watch costs: `cargo test --release -p lupinledge-drift-detection --test cost -- --ignored --nocapture`.
 
-use lupinledge_propolis::{Config, Document, Tables};
-use lupinledge_sentry::{verdict::compare, Audit, Own, Settings, Watch};
-use lupinledge_waggle::{Card, Digest, Member, Standing};
+use lupinledge_config::{Config, Document, Tables};
+use lupinledge_drift_detection::{verdict::compare, Audit, Own, Settings, Watch};
+use lupinledge_membership::{Card, Digest, Member, Standing};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/sentry/tests/drifts.rs
+++ b/drift-detection/tests/drifts.rs
@@ -66,8 +66,8 @@
     unjust: u32,
 }
 
-/// Played by hand: `cargo test --release -p lupinledge-sentry --test drifts -- --ignored --nocapture`. It writes the
-/// table and the plot of `docs/reports/intent/`.
+/// Played by hand: `cargo test --release -p lupinledge-drift-detection --test drifts -- --ignored --nocapture`. It writes
+/// the table and the plot of `docs/reports/intent/`.
 #[test]
 #[ignore = "some minutes"]
 fn drift_report() {
--- a/sentry/tests/world/mod.rs
+++ b/drift-detection/tests/world/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code)]
 
 use fastrand::Rng;
-use lupinledge_propolis::{Config, Document, Part, Tables};
-use lupinledge_sentry::{verdict::compare, Act, Audit, Judge, Own, Settings, Watch};
-use lupinledge_waggle::{Card, News, Node, Said, Sends, Source, Spread};
+use lupinledge_config::{Config, Document, Part, Tables};
+use lupinledge_drift_detection::{verdict::compare, Act, Audit, Judge, Own, Settings, Watch};
+use lupinledge_membership::{Card, News, Node, Said, Sends, Source, Spread};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -159,7 +159,8 @@
         let card = Card { core, region, zone, front, control, ready: true, leaving: false, rules, load };
         let seeds = (0..CORES).map(node).collect();
         let incarnation = 1 + (self.now * 1000.0) as u64;
-        let set = lupinledge_waggle::Settings::new(node(i), incarnation, card, seeds, self.chance.u64(..));
+        let set =
+            lupinledge_membership::Settings::new(node(i), incarnation, card, seeds, self.chance.u64(..));
         let edge = (!core).then(|| Edge {
             tables: Tables::default(),
             config: None,
@@ -269,7 +270,7 @@
         self.forge(edge, (self.epoch, n), &old);
     }
 
-    fn call(&mut self, i: usize, f: impl FnOnce(&mut Spread, f64) -> lupinledge_waggle::Turn) {
+    fn call(&mut self, i: usize, f: impl FnOnce(&mut Spread, f64) -> lupinledge_membership::Turn) {
         let now = self.now - self.procs[i].began;
         let (fresh, out) = f(&mut self.procs[i].spread, now);
         self.post(i, out);
--- a/gateway/src/program/signals.rs
+++ b/gateway/src/program/signals.rs
@@ -1,7 +1,7 @@
 //! SIGUSR1 prints the counters; SIGHUP asks for the configuration to be read anew; SIGTERM and SIGINT end the
 //! program.
 
-use lupinledge_comb::counters::Counters;
+use lupinledge_proxy::counters::Counters;
 use std::io;
 use std::rc::Rc;
 use tokio::signal::unix::{signal, Signal, SignalKind};
--- a/gateway/src/program/told.rs
+++ b/gateway/src/program/told.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::discovery::{Members, WireMembers};
 use lupinledge::link::Terms;
-use lupinledge_terms::Outside;
+use lupinledge_gateway_settings::Outside;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -43,10 +43,10 @@
         return Err(format!("`limits.sockets`: {sockets}, needs {LEAST_SOCKETS}"));
     }
     let settings = v.get("settings").ok_or("`settings`: missing")?;
-    let terms = lupinledge_terms::terms(seed, settings).map_err(|e| format!("`settings`: {e}"))?;
+    let terms = lupinledge_gateway_settings::terms(seed, settings).map_err(|e| format!("`settings`: {e}"))?;
     let watch = v.get("watch").filter(|w| !w.is_null()).map(|w| to_come(seed, settings, w, &terms));
     let watch = watch.transpose().map_err(|e| format!("`watch`: {e}"))?;
-    let outside = lupinledge_terms::outside(settings).map_err(|e| format!("`settings`: {e}"))?;
+    let outside = lupinledge_gateway_settings::outside(settings).map_err(|e| format!("`settings`: {e}"))?;
     let known = match v.get("known").filter(|k| !k.is_null()) {
         None => None,
         Some(k) => {
@@ -78,7 +78,7 @@
     }
     let mut all = settings.clone();
     lay_over(&mut all, changes, "")?;
-    let terms = lupinledge_terms::terms(seed, &all)?;
+    let terms = lupinledge_gateway_settings::terms(seed, &all)?;
     if (terms.frontends.len(), terms.plans.len()) != (now.frontends.len(), now.plans.len()) {
         return Err("`classes` and `packages` must be as many as in `settings`".to_string());
     }
--- a/gateway/src/program/watched.rs
+++ b/gateway/src/program/watched.rs
@@ -2,9 +2,9 @@
 
 use lupinledge::link::{Action, Event, Terms};
 use lupinledge::time::Point;
-use lupinledge_comb::counters::Counters;
-use lupinledge_comb::exchange::Observer;
-use lupinledge_watch::{Kind, Watch};
+use lupinledge_proxy::counters::Counters;
+use lupinledge_proxy::exchange::Observer;
+use lupinledge_shadow::{Kind, Watch};
 use std::rc::Rc;
 
 /// Puts the counts among the program's, where they stay 0 with nothing to watch for.
--- a/gateway/src/protocol/client.rs
+++ b/gateway/src/protocol/client.rs
@@ -8,10 +8,10 @@
 use hyper::{Method, Request, Response, StatusCode};
 use lupinledge::link::{Effect, NewReq};
 use lupinledge::time::Span;
-use lupinledge_comb::clients::{bare, say, text, whole, Answering, ClientBounds, Reply, Unread};
-use lupinledge_comb::exchange::Answer;
-use lupinledge_comb::transport::heads::Heads;
-use lupinledge_terms::Outside;
+use lupinledge_gateway_settings::Outside;
+use lupinledge_proxy::clients::{bare, say, text, whole, Answering, ClientBounds, Reply, Unread};
+use lupinledge_proxy::exchange::Answer;
+use lupinledge_proxy::transport::heads::Heads;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/gateway/src/protocol/mod.rs
+++ b/gateway/src/protocol/mod.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
-use lupinledge_comb::exchange;
+use lupinledge_proxy::exchange;
 use srv::Edge;
 
 pub type Exchange = exchange::Exchange<Edge>;
--- a/gateway/src/protocol/srv.rs
+++ b/gateway/src/protocol/srv.rs
@@ -7,10 +7,10 @@
 use hyper::{Request, Response, StatusCode};
 use lupinledge::link::Outcome;
 use lupinledge::time::Span;
-use lupinledge_comb::clock::duration;
-use lupinledge_comb::exchange::{Back, Dispatch, Wire};
-use lupinledge_comb::srvs::{ServerWire, SrvBounds};
-use lupinledge_terms::Outside;
+use lupinledge_gateway_settings::Outside;
+use lupinledge_proxy::clock::duration;
+use lupinledge_proxy::exchange::{Back, Dispatch, Wire};
+use lupinledge_proxy::srvs::{ServerWire, SrvBounds};
 use std::time::Duration;
 
 const REQ_ID: HeaderName = HeaderName::from_static("x-request-id");
--- a/gossip/src/cli.rs
+++ b/gossip/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::log;
 use eyre::WrapErr;
-use lupinledge_propolis::{Config, Settings};
+use lupinledge_config::{Config, Settings};
 use std::io::Write;
 use std::path::Path;
 use std::process::ExitCode;
--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -2,17 +2,17 @@
 //! few, and mends gaps by comparing digests. Both programs gossip the same way; what they do with what they hear is
 //! theirs ([`Host`]).
 //!
-//! The decisions are in `lupinledge-waggle`; here are the clock and the links.
+//! The decisions are in `lupinledge-membership`; here are the clock and the links.
 
 pub mod cli;
 pub mod log;
 pub mod metrics;
 pub mod settings;
 
+use lupinledge_config::Settings;
+use lupinledge_membership::{self as membership, Card, Patches, Said, Sends, Spread, Swarm, Turn};
+pub use lupinledge_membership::{Held, News, Source};
 use lupinledge_messaging::{Node, Post, Word};
-use lupinledge_propolis::Settings;
-use lupinledge_waggle::{self as waggle, Card, Patches, Said, Sends, Spread, Swarm, Turn};
-pub use lupinledge_waggle::{Held, News, Source};
 use serde_bytes::ByteBuf;
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -68,7 +68,7 @@
     pub fn open(settings: &Settings, card: Card, takes_state: bool) -> eyre::Result<Rc<Gossip>> {
         let me = node_of(settings.ip);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let mut swarm = waggle::Settings::new(
+        let mut swarm = membership::Settings::new(
             me,
             unix.as_millis() as u64,
             card,
--- a/gossip/src/settings.rs
+++ b/gossip/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file: read at the start, at SIGHUP, and when it changed.
 
 use eyre::{eyre, WrapErr};
-use lupinledge_propolis::Settings;
+use lupinledge_config::Settings;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
--- a/waggle/tests/held.rs
+++ b/membership/tests/held.rs
@@ -1,6 +1,6 @@
 //! What is held: never back, and a later stamp for what is held.
 
-use lupinledge_waggle::{Digest, Held, News};
+use lupinledge_membership::{Digest, Held, News};
 use std::rc::Rc;
 
 fn state(epoch: u64, index: u64) -> News {
--- a/waggle/tests/net/mod.rs
+++ b/membership/tests/net/mod.rs
@@ -1,7 +1,7 @@
 //! An emulated network of processes in virtual time, with a plain model of who is up.
 #![allow(dead_code)]
 
-use lupinledge_waggle::{Card, Digest, Node, Packet, Settings, Standing, Swarm};
+use lupinledge_membership::{Card, Digest, Node, Packet, Settings, Standing, Swarm};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/waggle/tests/news.rs
+++ b/membership/tests/news.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use lupinledge_waggle::{Digest, Member, Settings, Standing, Swarm};
+use lupinledge_membership::{Digest, Member, Settings, Standing, Swarm};
 use net::{card, index, node, Net};
 
 /// A calm network whose hosts pull what is newer; returns in how many seconds something new at one reached
@@ -55,7 +55,7 @@
     let mut net = Net::new(24, 3, 0.0, 5);
     net.run(106.0);
     for ready in [false, true] {
-        net.set_card(9, lupinledge_waggle::Card { ready, ..card(9, 3) });
+        net.set_card(9, lupinledge_membership::Card { ready, ..card(9, 3) });
         net.run(net.now + 0.065);
         for proc in &net.procs[..3] {
             let seen = proc.swarm.as_ref().and_then(|s| s.member(node(9))).map(|m| m.card.ready);
@@ -68,7 +68,7 @@
 fn cards_reach_all() {
     let mut net = Net::new(24, 3, 0.05, 3);
     net.run(106.0);
-    let new = lupinledge_waggle::Card { ready: false, leaving: true, ..card(9, 3) };
+    let new = lupinledge_membership::Card { ready: false, leaving: true, ..card(9, 3) };
     net.set_card(9, new.clone());
     net.run(108.5);
     for (i, proc) in net.procs.iter().enumerate().filter(|p| p.0 != 9) {
@@ -76,7 +76,7 @@
         assert_eq!(seen.as_ref(), Some(&new), "{i}");
     }
     // its load is told directly, without being passed on
-    net.set_card(9, lupinledge_waggle::Card { load: 20, ..new.clone() });
+    net.set_card(9, lupinledge_membership::Card { load: 20, ..new.clone() });
     net.run(net.now + 15.0);
     let seen = net.procs[0].swarm.as_ref().and_then(|s| s.member(node(9))).map(|m| m.card.load);
     assert_eq!(seen, Some(20));
--- a/waggle/tests/patches.rs
+++ b/membership/tests/patches.rs
@@ -3,8 +3,10 @@
 
 mod net;
 
-use lupinledge_waggle::shelf::{Built, Shelf, BYTES, PIECES};
-use lupinledge_waggle::{Digest, Held, News, Patch, Patches, Said, Sends, Settings, Source, Spread, ASKED};
+use lupinledge_membership::shelf::{Built, Shelf, BYTES, PIECES};
+use lupinledge_membership::{
+    Digest, Held, News, Patch, Patches, Said, Sends, Settings, Source, Spread, ASKED,
+};
 use net::{card, node};
 use std::rc::Rc;
 
--- a/waggle/tests/seen.rs
+++ b/membership/tests/seen.rs
@@ -2,7 +2,7 @@
 
 mod net;
 
-use lupinledge_waggle::Standing;
+use lupinledge_membership::Standing;
 use net::Net;
 
 /// Some faults, one after the other, each with time to settle. Every view is compared with who is up all
--- a/messaging/src/lib.rs
+++ b/messaging/src/lib.rs
@@ -14,4 +14,4 @@
 pub use word::{decode, encode, epoch, parts, round, units, CountedName, Patched, ToldName, Word};
 
 /// The id of a process: the IPv4 address of its machine as a number.
-pub type Node = lupinledge_waggle::Node;
+pub type Node = lupinledge_membership::Node;
--- a/messaging/src/word.rs
+++ b/messaging/src/word.rs
@@ -1,12 +1,12 @@
 //! All that the own processes say to each other.
 
-use lupinledge_queen::Msg;
-use lupinledge_waggle::{Digest, Number, Packet, Patch};
+use lupinledge_consensus::Msg;
+use lupinledge_membership::{Digest, Number, Packet, Patch};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-/// A patch on its way: see [`lupinledge_waggle::Patch`].
+/// A patch on its way: see [`lupinledge_membership::Patch`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Patched {
     /// Sum of the piece that it builds on, in two halves; none: on nothing.
--- a/messaging/tests/words.rs
+++ b/messaging/tests/words.rs
@@ -1,8 +1,8 @@
 //! Words as bytes: back and forth, and from any bytes.
 
+use lupinledge_membership::{Body, Card, Digest, Packet, Patch, Rumour, Standing};
 use lupinledge_messaging::list::{List, Row};
 use lupinledge_messaging::{clock::Estimate, decode, encode, parts, CountedName, Patched, ToldName, Word};
-use lupinledge_waggle::{Body, Card, Digest, Packet, Patch, Rumour, Standing};
 
 fn bytes(word: &Word) -> Vec<u8> {
     let mut bytes = Vec::new();
@@ -54,7 +54,7 @@
     let bare = bytes(&Word::Probe(packet(0))).len();
     assert!(bare <= 75, "{bare}");
     let with = bytes(&Word::Probe(packet(10))).len();
-    // what waggle reckons: 28 a rumour, 53 a card besides its names
+    // what `lupinledge-membership` reckons: 28 a rumour, 53 a card besides its names
     assert!(with - bare <= 10 * (28 + 53 + 21), "{with}");
 }
 
@@ -156,8 +156,8 @@
             bytes[at] = chance.below(256) as u8;
         }
         if let Ok(Word::Probe(packet)) = decode::<Word>(&bytes) {
-            let set = lupinledge_waggle::Settings::new(1, 1, card(), vec![2], 1);
-            let mut swarm = lupinledge_waggle::Swarm::new(0.0, set);
+            let set = lupinledge_membership::Settings::new(1, 1, card(), vec![2], 1);
+            let mut swarm = lupinledge_membership::Swarm::new(0.0, set);
             swarm.heard(0.1, packet);
             swarm.tick(0.5);
         }
--- a/comb/src/exchange/tests.rs
+++ b/proxy/src/exchange/tests.rs
@@ -26,7 +26,7 @@
 fn exchange() -> Rc<Exchange<Words>> {
     let v: serde_json::Value =
         serde_json::from_str(include_str!("../../../example/config.json")).expect("JSON");
-    let terms = lupinledge_terms::terms(1, &v["settings"]).expect("terms");
+    let terms = lupinledge_gateway_settings::terms(1, &v["settings"]).expect("terms");
     let x = Exchange::new(terms, Clock::start(), Rc::default());
     x.attach(Rc::new(Srvs), None);
     x
--- a/comb/tests/connections.rs
+++ b/proxy/tests/connections.rs
@@ -2,9 +2,9 @@
 
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use lupinledge_comb::clients::{bare, say, Answering, ClientBounds, Clients, Reply};
-use lupinledge_comb::transport::descriptors::Share;
-use lupinledge_comb::transport::heads::Heads;
+use lupinledge_proxy::clients::{bare, say, Answering, ClientBounds, Clients, Reply};
+use lupinledge_proxy::transport::descriptors::Share;
+use lupinledge_proxy::transport::heads::Heads;
 use socket2::{Domain, Socket, Type};
 use std::cell::Cell;
 use std::io::{Read, Write};
--- a/comb/tests/ids.rs
+++ b/proxy/tests/ids.rs
@@ -1,6 +1,6 @@
 //! Which ids of requests count as new.
 
-use lupinledge_comb::ids::{Ids, MOST};
+use lupinledge_proxy::ids::{Ids, MOST};
 
 #[test]
 fn forgotten_after_two_spans_at_most() {
--- a/watch/tests/kinds.rs
+++ b/shadow/tests/kinds.rs
@@ -2,7 +2,7 @@
 
 use lupinledge::link::*;
 use lupinledge::time::{Point, Span};
-use lupinledge_watch::{Kind, Watch};
+use lupinledge_shadow::{Kind, Watch};
 use Outcome::{Error, NoConnection, Passed};
 
 fn at(secs: f64) -> Point {
--- a/benchlink/src/main.rs
+++ b/sim-adapter/src/main.rs
@@ -57,7 +57,7 @@
             }
             Record::Init { seed, conf } => {
                 let w = who.ok_or_else(|| bad("init", at, "no instance named before it"))?;
-                let t = lupinledge_terms::decode(seed, &conf)
+                let t = lupinledge_gateway_settings::decode(seed, &conf)
                     .map_err(|e| bad("init", at, format!("broken settings: {e}")))?;
                 host.insert(w, Control::new(t));
             }
--- a/apiary/src/core.rs
+++ b/simulation/src/core.rs
@@ -3,11 +3,11 @@
 use crate::process::{card, send, Command, Out, Reply, Say, Told};
 use crate::world::{Begin, Order};
 use crate::{Flaw, Node};
+use lupinledge_config::turns::Caller;
+use lupinledge_config::{Answer, Document, Judged, Turns};
+use lupinledge_consensus::{Ballot, Kept, Msg, Out as Ordered, Outcome, Queen, Settings};
 use lupinledge_counters::duty::Duty;
-use lupinledge_propolis::turns::Caller;
-use lupinledge_propolis::{Answer, Document, Judged, Turns};
-use lupinledge_queen::{Ballot, Kept, Msg, Out as Ordered, Outcome, Queen, Settings};
-use lupinledge_waggle::{Member, News, Source, Spread, Standing};
+use lupinledge_membership::{Member, News, Source, Spread, Standing};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -61,7 +61,7 @@
         disk.lies = if flaw == Flaw::DiskLies { 0.6 } else { 0.0 };
         let bootstrap = !used || flaw == Flaw::WipedFounds;
         let queen = Queen::new(now, Settings { me, seeds: seeds.to_vec(), bootstrap, seed, tolerate }, kept);
-        let swarm = lupinledge_waggle::Settings::new(me, run, card(me, true), seeds.to_vec(), seed);
+        let swarm = lupinledge_membership::Settings::new(me, run, card(me, true), seeds.to_vec(), seed);
         Core {
             queen,
             spread: Spread::new(now, swarm, false),
@@ -353,8 +353,8 @@
 
 impl Command {
     /// As the documents judge it.
-    pub fn order(&self) -> lupinledge_propolis::Order<'_> {
-        use lupinledge_propolis::Order;
+    pub fn order(&self) -> lupinledge_config::Order<'_> {
+        use lupinledge_config::Order;
         match self {
             Command::Put(body) => Order::Put(body),
             Command::Get => Order::Get,
--- a/apiary/src/counts.rs
+++ b/simulation/src/counts.rs
@@ -8,7 +8,7 @@
 use lupinledge_counters::duty::{Answer, Look, Seen};
 use lupinledge_counters::told::{Part, Told as Sum};
 use lupinledge_counters::Incarnation;
-use lupinledge_waggle::{Member, Standing};
+use lupinledge_membership::{Member, Standing};
 
 /// The counters are looked at so often, and while they are not whole, seconds.
 const LOOK: f64 = 0.25;
--- a/apiary/src/cuts.rs
+++ b/simulation/src/cuts.rs
@@ -11,7 +11,7 @@
 use crate::process::{Command, Process, Reply};
 use crate::{Flaw, Node, Plan, Site};
 use fastrand::Rng;
-use lupinledge_waggle::Standing;
+use lupinledge_membership::Standing;
 use std::collections::BTreeMap;
 
 /// A cut stands for so long, seconds.
--- a/apiary/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -4,11 +4,11 @@
 use crate::process::{card, send, Out, Say, Told};
 use crate::world::{Begin, Order};
 use crate::{Flaw, Node};
+use lupinledge_config::Document;
+use lupinledge_consensus::{Ballot, Kept};
 use lupinledge_counters::own::Own;
 use lupinledge_counters::Total;
-use lupinledge_propolis::Document;
-use lupinledge_queen::{Ballot, Kept};
-use lupinledge_waggle::{News, Said, Spread};
+use lupinledge_membership::{News, Said, Spread};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -58,7 +58,7 @@
     /// Begins with nothing.
     pub fn new(me: Node, begin: Begin<Kept>, seeds: &[Node], flaw: Flaw) -> Edge {
         let Begin { now, run, seed, .. } = begin;
-        let swarm = lupinledge_waggle::Settings::new(me, run, card(me, false), seeds.to_vec(), seed);
+        let swarm = lupinledge_membership::Settings::new(me, run, card(me, false), seeds.to_vec(), seed);
         Edge {
             spread: Spread::new(now, swarm, true),
             document: None,
@@ -102,7 +102,7 @@
         self.show(now, out);
     }
 
-    fn send(&self, mut sends: lupinledge_waggle::Sends, out: &mut Out) {
+    fn send(&self, mut sends: lupinledge_membership::Sends, out: &mut Out) {
         if self.flaw == Flaw::DeafEdge && self.ready {
             sends.retain(|(_, said)| !matches!(said, Said::Want(_)));
         }
@@ -126,7 +126,7 @@
             // ahead of the digests
             Say::Hold { epoch } => {
                 let news = News { epoch: Some((epoch, from)), ..News::default() };
-                let (fresh, sends) = self.spread.tell(news, lupinledge_waggle::Source::Settled);
+                let (fresh, sends) = self.spread.tell(news, lupinledge_membership::Source::Settled);
                 self.send(sends, out);
                 fresh.into_iter().for_each(|news| self.news(now, news, out));
                 if self.holder == (epoch, from) {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// As in the forager's start: with the holder and its clock known (or not in time), and a document.
+    /// As in the data plane's start: with the holder and its clock known (or not in time), and a document.
     fn show(&mut self, now: f64, out: &mut Out) {
         let clock = self.clock || now >= self.began + CLOCK_WAIT;
         let known = clock && self.document.is_some() || self.flaw == Flaw::ReadyBare;
--- a/apiary/src/flaw.rs
+++ b/simulation/src/flaw.rs
@@ -3,8 +3,8 @@
 
 use crate::core::ZONES;
 use crate::process::Command;
-use lupinledge_propolis::taken::body_hash;
-use lupinledge_propolis::{Config, Document, Judged, Taken};
+use lupinledge_config::taken::body_hash;
+use lupinledge_config::{Config, Document, Judged, Taken};
 
 /// What is broken on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/apiary/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -36,4 +36,4 @@
 pub use world::{Begin, Life, Machine, Order, Watch, World};
 
 /// The id of a process: the IPv4 address of its machine as a number.
-pub type Node = lupinledge_queen::Node;
+pub type Node = lupinledge_consensus::Node;
--- a/apiary/src/patched.rs
+++ b/simulation/src/patched.rs
@@ -1,9 +1,9 @@
 //! Planted faults of news that come as patches: what an edge node takes that works by them.
 
 use crate::Flaw;
-use lupinledge_propolis::Document;
-use lupinledge_waggle::patch::{sum_of, Sum};
-use lupinledge_waggle::{Held, News, Number, Patch, Said};
+use lupinledge_config::Document;
+use lupinledge_membership::patch::{sum_of, Sum};
+use lupinledge_membership::{Held, News, Number, Patch, Said};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/apiary/src/play.rs
+++ b/simulation/src/play.rs
@@ -3,7 +3,7 @@
 use crate::process::Process;
 use crate::truth::Seen;
 use crate::{Flaw, Node, Plan, Site};
-use lupinledge_waggle::Standing;
+use lupinledge_membership::Standing;
 
 /// So soon after calm a change has to be acknowledged, and all have to be of one mind, seconds.
 const BACK: f64 = 4.0;
@@ -166,7 +166,7 @@
     text += &format!("  cores {cores:?}, {edges} edge nodes, ways of up to {delay} ms\n");
     steps.iter().for_each(|(wait, step)| text += &format!("  {wait:4} ms later: {step:?}\n"));
     text + &format!(
-        "again: MODEL_SEED={seed} MODEL_KEEP={} cargo test -p lupinledge-apiary replay -- --nocapture",
+        "again: MODEL_SEED={seed} MODEL_KEEP={} cargo test -p lupinledge-simulation replay -- --nocapture",
         places.join(",")
     )
 }
--- a/apiary/src/process.rs
+++ b/simulation/src/process.rs
@@ -4,10 +4,10 @@
 use crate::edge::Edge;
 use crate::world::{Life as Lives, Order};
 use crate::Node;
+use lupinledge_config::{Answer, Document};
+use lupinledge_consensus::{Ballot, Kept, Msg, Value};
 use lupinledge_counters::{told::Told as Sum, Incarnation};
-use lupinledge_propolis::{Answer, Document};
-use lupinledge_queen::{Ballot, Kept, Msg, Value};
-use lupinledge_waggle::{Card, Said, Sends};
+use lupinledge_membership::{Card, Said, Sends};
 use std::rc::Rc;
 
 /// Orders to a process.
@@ -16,7 +16,7 @@
 /// An operator's order, owned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// See [`lupinledge_propolis::Order`].
+    /// See [`lupinledge_config::Order`].
     Put(Rc<[u8]>),
     /// The same.
     Get,
--- a/apiary/src/resends.rs
+++ b/simulation/src/resends.rs
@@ -13,7 +13,7 @@
 use crate::site::OPERATOR;
 use crate::{Flaw, Node, Plan, Site, Step};
 use fastrand::Rng;
-use lupinledge_propolis::Answer;
+use lupinledge_config::Answer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/apiary/src/truth.rs
+++ b/simulation/src/truth.rs
@@ -5,8 +5,8 @@
 use crate::sums::Sums;
 use crate::world::Watch;
 use crate::Node;
-use lupinledge_propolis::{Answer, Config, Document, Kind};
-use lupinledge_queen::{Ballot, Value};
+use lupinledge_config::{Answer, Config, Document, Kind};
+use lupinledge_consensus::{Ballot, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/apiary/tests/away.rs
+++ b/simulation/tests/away.rs
@@ -1,7 +1,7 @@
 //! Days of many changes with a member of the core away, and planted faults.
 
-use lupinledge_apiary::away::{day, CATCH_UP};
-use lupinledge_apiary::Flaw;
+use lupinledge_simulation::away::{day, CATCH_UP};
+use lupinledge_simulation::Flaw;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
 
@@ -55,7 +55,7 @@
     assert!(missed.is_empty(), "not caught: {missed:?}");
 }
 
-/// As many more as wanted: `FROM=2000 TO=9000 cargo test -p lupinledge-apiary --test away -- --ignored`.
+/// As many more as wanted: `FROM=2000 TO=9000 cargo test -p lupinledge-simulation --test away -- --ignored`.
 #[test]
 #[ignore = "takes as long as it is told to"]
 fn many_more() {
--- a/apiary/tests/cuts.rs
+++ b/simulation/tests/cuts.rs
@@ -1,6 +1,6 @@
 //! Members of the core cut off for twenty seconds, by seed, with operators at every member, and planted faults.
 
-use lupinledge_apiary::{play_cut, CutPlan, CutSeen, Flaw};
+use lupinledge_simulation::{play_cut, CutPlan, CutSeen, Flaw};
 use std::sync::Mutex;
 
 /// Days of one test; four tests share the cores of a machine.
@@ -49,7 +49,7 @@
     assert!(missed.is_empty(), "not caught: {missed:?}");
 }
 
-/// `FROM=0 TO=2000 [MODEL_FLAW=LeadsAlone] cargo test -p lupinledge-apiary --test cuts -- --ignored --nocapture`
+/// `FROM=0 TO=2000 [MODEL_FLAW=LeadsAlone] cargo test -p lupinledge-simulation --test cuts -- --ignored --nocapture`
 #[test]
 #[ignore = "takes as long as it is told to"]
 fn many_more() {
--- a/apiary/tests/resends.rs
+++ b/simulation/tests/resends.rs
@@ -1,7 +1,7 @@
 //! Orders sent again until they have a clear answer, by seed, and planted faults.
 
-use lupinledge_apiary::resends::{resends, Tally};
-use lupinledge_apiary::Flaw;
+use lupinledge_simulation::resends::{resends, Tally};
+use lupinledge_simulation::Flaw;
 use std::sync::Mutex;
 
 /// Schedules of one test.
@@ -55,7 +55,7 @@
     assert!(missed.is_empty(), "not caught: {missed:?}");
 }
 
-/// As many more as wanted: `FROM=1000 TO=20000 cargo test --release -p lupinledge-apiary --test resends -- --ignored`.
+/// As many more as wanted: `FROM=1000 TO=20000 cargo test --release -p lupinledge-simulation --test resends -- --ignored`.
 #[test]
 #[ignore = "takes as long as it is told to"]
 fn many_more() {
--- a/apiary/tests/schedules.rs
+++ b/simulation/tests/schedules.rs
@@ -1,6 +1,6 @@
 //! Schedules of faults and orders by seed against the whole system's pure parts, and planted faults.
 
-use lupinledge_apiary::{play, report, Course, Flaw, Plan, Seen};
+use lupinledge_simulation::{play, report, Course, Flaw, Plan, Seen};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
 
@@ -61,7 +61,7 @@
     assert!(missed.is_empty(), "not caught: {missed:?}");
 }
 
-/// `MODEL_SEED=17 [MODEL_KEEP=0,4,9] [MODEL_FLAW=DiskLies] cargo test -p lupinledge-apiary replay -- --nocapture`
+/// `MODEL_SEED=17 [MODEL_KEEP=0,4,9] [MODEL_FLAW=DiskLies] cargo test -p lupinledge-simulation replay -- --nocapture`
 #[test]
 fn replay() {
     let Ok(seed) = std::env::var("MODEL_SEED") else { return };
@@ -79,7 +79,7 @@
     }
 }
 
-/// As many more as wanted: `FROM=2000 TO=100000 cargo test --release -p lupinledge-apiary -- --ignored`.
+/// As many more as wanted: `FROM=2000 TO=100000 cargo test --release -p lupinledge-simulation -- --ignored`.
 #[test]
 #[ignore = "takes as long as it is told to"]
 fn many_more() {
--- a/skep/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -1,6 +1,6 @@
 //! What a disk holds after each way to write, after bytes went wrong, and after saves that failed.
 
-use lupinledge_skep::{DataDir, Disk, Found, Opened, Store, LOG_MOST, STATE_MOST};
+use lupinledge_storage::{DataDir, Disk, Found, Opened, Store, LOG_MOST, STATE_MOST};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -9,7 +9,7 @@
 
 impl Place {
     fn new(name: &str) -> Place {
-        let place = std::env::temp_dir().join(format!("lupinledge-skep-{}-{name}", std::process::id()));
+        let place = std::env::temp_dir().join(format!("lupinledge-storage-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&place);
         fs::create_dir_all(&place).unwrap();
         Place(place)
--- a/skep/tests/journal.rs
+++ b/storage/tests/journal.rs
@@ -1,7 +1,7 @@
 //! The journal as its users see it: order, numbers, bounds, disks that stall and refuse, and damage.
 
-use lupinledge_skep::journal::{Batch, Head, Segments};
-use lupinledge_skep::{DataDir, Folder, Journal, JournalBounds, LogStep, OpenedJournal, Replayed};
+use lupinledge_storage::journal::{Batch, Head, Segments};
+use lupinledge_storage::{DataDir, Folder, Journal, JournalBounds, LogStep, OpenedJournal, Replayed};
 use std::fs::{self, File};
 use std::io;
 use std::path::{Path, PathBuf};
--- a/skep/tests/memory.rs
+++ b/storage/tests/memory.rs
@@ -1,6 +1,6 @@
 //! A disk that stalls while changes go on: what waits for it does not grow.
 
-use lupinledge_skep::{DataDir, Folder, LogStep, Opened, Store};
+use lupinledge_storage::{DataDir, Folder, LogStep, Opened, Store};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::fs::File;
 use std::io;
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_thousand_changes_wait_for_a_stalled_disk_in_the_room_of_a_few() {
-    let place = std::env::temp_dir().join(format!("lupinledge-skep-{}-memory", std::process::id()));
+    let place = std::env::temp_dir().join(format!("lupinledge-storage-{}-memory", std::process::id()));
     let _ = std::fs::remove_dir_all(&place);
     std::fs::create_dir_all(&place).unwrap();
     let gate = Arc::new(Gate::default());
--- a/skep/tests/power/journal.rs
+++ b/storage/tests/power/journal.rs
@@ -4,8 +4,8 @@
 use crate::shadow::{image, lay, Flaw, Image, Shadow, Unsynced};
 use crate::Folder;
 use fastrand::Rng;
-use lupinledge_skep::journal::{Batch, Head, Segments};
-use lupinledge_skep::{DataDir, JournalBounds, Replayed};
+use lupinledge_storage::journal::{Batch, Head, Segments};
+use lupinledge_storage::{DataDir, JournalBounds, Replayed};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/skep/tests/power/main.rs
+++ b/storage/tests/power/main.rs
@@ -5,7 +5,7 @@
 mod shadow;
 
 use fastrand::Rng;
-use lupinledge_skep::{DataDir, Disk, Found};
+use lupinledge_storage::{DataDir, Disk, Found};
 use shadow::{image, lay, Flaw, Image, Shadow};
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -23,7 +23,7 @@
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        Folder(std::env::temp_dir().join(format!("lupinledge-skep-{}-{name}", std::process::id())))
+        Folder(std::env::temp_dir().join(format!("lupinledge-storage-{}-{name}", std::process::id())))
     }
 }
 
--- a/skep/tests/power/shadow.rs
+++ b/storage/tests/power/shadow.rs
@@ -6,7 +6,7 @@
 //! the first one of a segment; between those two syncs the power is cut as well.
 
 use fastrand::Rng;
-use lupinledge_skep::{DataDir, Folder, LogStep};
+use lupinledge_storage::{DataDir, Folder, LogStep};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fs::{self, File};
--- a/lab/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,17 +1,18 @@
 //! `lupinledge-lab`: plays scenarios against real gateways behind emulated srvs, counter and discovery.
 
 use clap::{Parser, Subcommand};
-use lupinledge_lab::fleet::Build;
-use lupinledge_lab::report;
-use lupinledge_lab::run::{self, Bench};
-use lupinledge_lab::scenario::Scenario;
-use lupinledge_lab::terms::LabTerms;
+use lupinledge_testbed::fleet::Build;
+use lupinledge_testbed::report;
+use lupinledge_testbed::run::{self, Bench};
+use lupinledge_testbed::scenario::Scenario;
+use lupinledge_testbed::terms::LabTerms;
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 #[derive(Parser)]
 #[command(
+    name = "lupinledge-lab",
     version,
     about = "The lab of lupinledge: emulated srvs, counter and discovery, load, rule checks, reports"
 )]
@@ -177,14 +178,15 @@
             let table = report::sweep(&rows, axis);
             std::fs::write(dir.join("sweep.md"), format!("{table}\n![sweep](sweep.svg)\n"))
                 .map_err(|e| e.to_string())?;
-            lupinledge_lab::plot::sweep(&rows, axis, &dir.join("sweep.svg")).map_err(|e| e.to_string())?;
+            lupinledge_testbed::plot::sweep(&rows, axis, &dir.join("sweep.svg"))
+                .map_err(|e| e.to_string())?;
             println!("{table}");
             Ok(rows.iter().all(|r| r.1.kept()))
         }
         Command::Check { scenario: path } => {
             let s = scenario(&path)?;
             let terms = LabTerms::parse(include_str!("../../example/config.json"))?;
-            let due = lupinledge_lab::arrivals::arrivals(&s, &terms)?;
+            let due = lupinledge_testbed::arrivals::arrivals(&s, &terms)?;
             println!(
                 "{}: {} gateways, {} srvs, {} reqs, {} faults",
                 s.name,
@@ -195,6 +197,6 @@
             );
             Ok(true)
         }
-        Command::BrokenGateway => lupinledge_lab::broken::serve().map(|_| true),
+        Command::BrokenGateway => lupinledge_testbed::broken::serve().map(|_| true),
     }
 }
--- a/lab/tests/planted.rs
+++ b/testbed/tests/planted.rs
@@ -1,11 +1,11 @@
 //! The lab finds broken rules by itself: a deliberately broken gateway is caught, the real one is not, and the
 //! same seed gives the same verdict.
 
-use lupinledge_lab::fleet::Build;
-use lupinledge_lab::rules::Rule;
-use lupinledge_lab::run::{run, Bench};
-use lupinledge_lab::scenario::Scenario;
-use lupinledge_lab::terms::LabTerms;
+use lupinledge_testbed::fleet::Build;
+use lupinledge_testbed::rules::Rule;
+use lupinledge_testbed::run::{run, Bench};
+use lupinledge_testbed::scenario::Scenario;
+use lupinledge_testbed::terms::LabTerms;
 
 fn bench(build: Build) -> Bench {
     Bench {
@@ -41,5 +41,5 @@
     assert!(build.program.exists(), "{} is built by `cargo test --workspace`", build.program.display());
     let sum = run(&small(), &bench(build)).expect("a run");
     assert!(sum.kept(), "{}", sum.markdown());
-    assert!(sum.counts[&lupinledge_lab::record::End::Passed] > sum.reqs / 2, "{}", sum.markdown());
+    assert!(sum.counts[&lupinledge_testbed::record::End::Passed] > sum.reqs / 2, "{}", sum.markdown());
 }
