--- a/consensus/src/disk.rs
+++ b/consensus/src/disk.rs
@@ -94,7 +94,7 @@
             _ => true,
         };
         let detail = || format!("on disk {:?} {:?}", self.safe.promised, self.safe.ballot);
-        check(Invariant::DurableBeforeTold, safe, detail);
+        check(Invariant::DurableBeforeSent, safe, detail);
     }
 
     /// How long the save under way takes by now; 0 if none is due.
--- a/control-plane/src/agree.rs
+++ b/control-plane/src/agree.rs
@@ -213,7 +213,7 @@
                 let old = self.agreed.borrow().as_ref().map_or((0, 0), |a| order(&a.document));
                 let new = order(&agreed.document);
                 let forward = new.0 >= old.0 && new.1 >= old.1;
-                check(Invariant::CommitForward, forward, || format!("{new:?} after {old:?}"));
+                check(Invariant::CommitMonotonic, forward, || format!("{new:?} after {old:?}"));
                 *self.agreed.borrow_mut() = Some(Rc::new(agreed));
                 true
             }
--- a/control-plane/src/counts.rs
+++ b/control-plane/src/counts.rs
@@ -5,9 +5,9 @@
 use crate::clock::Clock;
 use lupinledge_config::{Tables, Tenant};
 use lupinledge_consensus::Node;
-use lupinledge_counters::duty::{Answer, Duty, Look, Seen};
+use lupinledge_counters::handover::{HandoverEntry, HandoverPart};
+use lupinledge_counters::holder::{Answer, CounterHolder, GatewayStatus, HandoverStatus};
 use lupinledge_counters::store::{Quota, Reading};
-use lupinledge_counters::told::{Part, Told};
 use lupinledge_counters::{Incarnation, Total};
 use lupinledge_gossip::Gossip;
 use lupinledge_membership::{Member, Standing};
@@ -32,7 +32,7 @@
     clock: Rc<Clock>,
     agree: Rc<Agree>,
     /// Those of the epoch that was won last.
-    duty: RefCell<Duty>,
+    duty: RefCell<CounterHolder>,
     zones: BTreeMap<String, String>,
     /// Up to which document the rates were taken over.
     rates: Cell<Option<lupinledge_consensus::Ballot>>,
@@ -60,19 +60,19 @@
         self.hold(epoch);
         let seen = |m: &Member| {
             let (alive, gone) = (m.standing == Standing::Alive, m.standing == Standing::Gone);
-            Seen { node: m.node, alive, leaving: m.card.leaving, gone }
+            GatewayStatus { node: m.node, alive, leaving: m.card.leaving, gone }
         };
-        let gateways: Vec<Seen> =
+        let gateways: Vec<GatewayStatus> =
             gossip.with(|swarm| swarm.members().filter(|m| !m.card.core).map(seen).collect());
         let ask =
             |nodes: Vec<Node>| nodes.into_iter().for_each(|n| gossip.post().cast(n, &Word::Hold { epoch }));
-        match self.duty.borrow_mut().look(self.clock.now(), &gateways) {
-            Look::Whole(nodes) => ask(nodes),
-            Look::Ask(nodes) => {
+        match self.duty.borrow_mut().poll(self.clock.now(), &gateways) {
+            HandoverStatus::Serving(nodes) => ask(nodes),
+            HandoverStatus::Collecting(nodes) => {
                 ask(nodes);
                 return false;
             }
-            Look::Closed(answers, missing) => {
+            HandoverStatus::Completed(answers, missing) => {
                 tracing::info!(event = "counters_whole", epoch, missing, waiting = answers.len());
                 for Answer { from, tag, totals } in answers {
                     let totals = totals.into_iter().map(told_total).collect();
@@ -86,21 +86,21 @@
     /// Any word of another process.
     pub fn lives(&self, from: Node) {
         if let Some(counters) = self.duty.borrow_mut().counters() {
-            counters.heard(self.clock.now(), from);
+            counters.record_contact(self.clock.now(), from);
         }
     }
 
     /// What a gateway told the holder before this one.
-    pub fn told(&self, from: Incarnation, to: u64, told: &[ToldName], (nth, of): (u8, u8)) {
+    pub fn told(&self, from: Incarnation, to: u64, told: &[ToldName], (index, count): (u8, u8)) {
         let Some(epoch) = self.agree.leads().filter(|e| *e == to) else { return };
         let told = told.iter().take(CALLS_MOST).map(|t| {
             let store = t.store.map(|(level, age)| Reading { level, age: f64::from(age) });
             let life = f64::from(t.life);
-            Told { name: t.name, sum: t.sum, within: t.within, total: t.total, life, store }
+            HandoverEntry { name: t.name, sum: t.sum, within: t.within, total: t.total, life, store }
         });
-        let part = Part { nth, of, told: told.collect() };
+        let part = HandoverPart { index, count, entries: told.collect() };
         self.hold(epoch);
-        self.duty.borrow_mut().tell(self.clock.now(), epoch, from, &part);
+        self.duty.borrow_mut().receive_handover(self.clock.now(), epoch, from, &part);
     }
 
     /// Takes sums, and answers with the totals as soon as they are whole; without the duty, with none.
@@ -111,7 +111,7 @@
         self.hold(epoch);
         let calls = calls.iter().take(CALLS_MOST);
         let calls = calls.map(|(name, sum, life)| (*name, units(*sum), f64::from(*life)));
-        if let Some(totals) = self.duty.borrow_mut().count(self.clock.now(), from, tag, calls) {
+        if let Some(totals) = self.duty.borrow_mut().apply_call(self.clock.now(), from, tag, calls) {
             let totals = totals.into_iter().map(told_total).collect();
             post.send(from.0, &Word::Counted { tag, round: round(epoch), totals });
         }
@@ -120,7 +120,7 @@
     /// Turns to an epoch, with the quotas of the newest document.
     fn hold(&self, epoch: u64) {
         let mut duty = self.duty.borrow_mut();
-        if duty.hold(self.clock.now(), epoch) {
+        if duty.start_epoch(self.clock.now(), epoch) {
             self.rates.set(None);
         }
         let Some(counters) = duty.counters() else { return };
@@ -128,7 +128,7 @@
             self.rates.set(Some(agreed.ballot));
             if let Ok(tables) = Tables::new(&agreed.document, &self.zones) {
                 let quota = |t: &Tenant| Quota { rate: t.rate, size: t.store_size() };
-                tables.tenants().iter().for_each(|t| counters.quota(t.customer, quota(t)));
+                tables.tenants().iter().for_each(|t| counters.set_quota(t.customer, quota(t)));
             }
         }
     }
--- a/control-plane/src/nodes.rs
+++ b/control-plane/src/nodes.rs
@@ -3,7 +3,7 @@
 use crate::operator::{self, cell};
 use eyre::bail;
 use lupinledge_config::{comparable, Part, Print};
-use lupinledge_drift_detection::verdict::Judge;
+use lupinledge_drift_detection::verdict::Detector;
 use lupinledge_membership::{Digest, Member, Standing};
 use serde_json::{json, Map, Value};
 use std::fmt::Write as _;
@@ -39,7 +39,7 @@
         "print": format!("{print:08x}"), "rules": rules,
     });
     if let Some(r) = &m.card.rules {
-        let judges = [Judge::Own, Judge::Peers, Judge::Control].map(Judge::name);
+        let judges = [Detector::Own, Detector::Peers, Detector::Control].map(Detector::name);
         let named = |i: u8| Part::ALL.get(usize::from(i)).map_or("whole", |p| p.name());
         let differing =
             Part::ALL.iter().filter(|p| r.index == own.state.1 && r.print[**p as usize] != intent.part(**p));
--- a/control-plane/src/run.rs
+++ b/control-plane/src/run.rs
@@ -162,7 +162,7 @@
         if confirmed && *command == Command::GetConfig {
             let (newest, read) =
                 (self.acknowledged.get(), self.agree.agreed().map_or(0, |a| a.document.version));
-            check(Invariant::ReadNotOlder, read >= newest, || {
+            check(Invariant::ReadNotStale, read >= newest, || {
                 format!("version {read}, {newest} acknowledged")
             });
         }
--- a/counters/src/told.rs
+++ b/counters/src/handover.rs
@@ -12,7 +12,7 @@
 
 /// What one gateway tells of one name.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Told {
+pub struct HandoverEntry {
     pub name: u64,
     /// All that it ever added, units.
     pub sum: f64,
@@ -33,27 +33,27 @@
 
 /// One part of what a gateway tells: that of the names whose customers fall to it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct HandoverPart {
     /// Which one it is, of how many.
-    pub nth: u8,
-    pub of: u8,
-    pub told: Vec<Told>,
+    pub index: u8,
+    pub count: u8,
+    pub entries: Vec<HandoverEntry>,
 }
 
-impl Part {
+impl HandoverPart {
     /// All of it.
-    pub fn whole(told: Vec<Told>) -> Part {
-        Part { nth: 0, of: 1, told }
+    pub fn single(told: Vec<HandoverEntry>) -> HandoverPart {
+        HandoverPart { index: 0, count: 1, entries: told }
     }
 
     /// Cuts what is told into parts. A name falls to the same one each time it is told, whatever else is.
-    pub fn cut(told: Vec<Told>) -> Vec<Part> {
+    pub fn split(told: Vec<HandoverEntry>) -> Vec<HandoverPart> {
         let of = told.len().div_ceil(PART_MOST).next_power_of_two().min(PARTS_MOST);
-        let empty = |nth| Part { nth: nth as u8, of: of as u8, told: Vec::new() };
-        let mut parts: Vec<Part> = (0..of).map(empty).collect();
+        let empty = |nth| HandoverPart { index: nth as u8, count: of as u8, entries: Vec::new() };
+        let mut parts: Vec<HandoverPart> = (0..of).map(empty).collect();
         for told in told {
             // customers are numbers of a hash: their lowest bits are as good as any
-            parts[customer(told.name) as usize % of].told.push(told);
+            parts[customer(told.name) as usize % of].entries.push(told);
         }
         parts
     }
@@ -98,7 +98,7 @@
 
 impl Gathering {
     /// Takes a reading of a store, where it is newer than those before.
-    fn read(&mut self, now: f64, told: &Told) {
+    fn read(&mut self, now: f64, told: &HandoverEntry) {
         let Some(Reading { level, age }) = told.store.filter(|r| r.level.is_finite() && r.age >= 0.0) else {
             return;
         };
@@ -111,18 +111,18 @@
 
     /// Notes that the gateway told this part; whether it did so for the first time. One that cuts what it tells into
     /// another number of parts than before begins anew, and what was within its totals is not taken again.
-    fn first(&mut self, node: Node, part: &Part) -> bool {
-        let sound = part.nth < part.of && usize::from(part.of) <= PARTS_MOST;
+    fn first(&mut self, node: Node, part: &HandoverPart) -> bool {
+        let sound = part.index < part.count && usize::from(part.count) <= PARTS_MOST;
         let room = self.told.len() + self.partly.len() < NODES_MOST || self.partly.contains_key(&node);
         if !sound || !room || self.told.contains(&node) {
             return false;
         }
-        let heard = self.partly.entry(node).or_insert(Heard { of: part.of, parts: 0 });
-        let again = heard.of != part.of || heard.parts >> part.nth & 1 == 1;
-        if heard.of != part.of {
-            *heard = Heard { of: part.of, parts: 0 };
+        let heard = self.partly.entry(node).or_insert(Heard { of: part.count, parts: 0 });
+        let again = heard.of != part.count || heard.parts >> part.index & 1 == 1;
+        if heard.of != part.count {
+            *heard = Heard { of: part.count, parts: 0 };
         }
-        heard.parts |= 1 << part.nth;
+        heard.parts |= 1 << part.index;
         if heard.parts.count_ones() == u32::from(heard.of) {
             self.partly.remove(&node);
             self.told.insert(node);
@@ -133,7 +133,7 @@
 
 impl Counters {
     /// Whether totals are those of all, and not of those alone that were heard so far.
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.gathering.whole
     }
 
@@ -149,11 +149,12 @@
 
     /// What a gateway had told the holder before, from itself: to be heard ahead of its first sum. Of one that tells
     /// late, what was taken for lost is counted no more.
-    pub fn tell(&mut self, now: f64, from: Incarnation, part: &Part) {
-        self.heard(now, from.0);
+    pub fn tell(&mut self, now: f64, from: Incarnation, part: &HandoverPart) {
+        self.record_contact(now, from.0);
         let first = self.gathering.first(from.0, part);
-        let sound = |t: &Told| first && of_use(t.name) && t.total.is_finite() && t.within.is_finite();
-        for t in &part.told {
+        let sound =
+            |t: &HandoverEntry| first && of_use(t.name) && t.total.is_finite() && t.within.is_finite();
+        for t in &part.entries {
             let more = self.add(now, from, t.name, t.sum, t.life);
             let found = if sound(t) { self.found(t) } else { 0.0 };
             self.take(from.0, t.name, more - found);
@@ -162,7 +163,7 @@
 
     /// What of the lost part of a name's total is this gateway's, which tells it now: it is counted no more. Until the
     /// counters are whole nothing is taken for lost yet.
-    fn found(&mut self, told: &Told) -> f64 {
+    fn found(&mut self, told: &HandoverEntry) -> f64 {
         match (self.gathering.whole, self.names.get_mut(&told.name)) {
             (true, Some(kept)) => {
                 let found = told.within.clamp(0.0, kept.lost);
@@ -187,7 +188,7 @@
         }
         let missing: Vec<Node> = missing.iter().copied().filter(|n| !self.told(*n)).collect();
         let now = self.now;
-        missing.iter().for_each(|node| self.heard(now, *node));
+        missing.iter().for_each(|node| self.record_contact(now, *node));
         for (name, b) in std::mem::take(&mut self.gathering.before) {
             let lost = (b.total - b.within).max(0.0);
             if let Some(kept) = self.names.get_mut(&name) {
--- a/counters/src/duty.rs
+++ b/counters/src/holder.rs
@@ -1,9 +1,9 @@
 //! What the duty holder does with its counters: those of the epoch that it holds, which gateways are asked for what
 //! they had told the holder before, and calls that wait until the totals are whole.
 
-use crate::calls::before;
+use crate::handover::HandoverPart;
+use crate::pending_calls::before;
 use crate::silence::NODES_MOST;
-use crate::told::Part;
 use crate::{Counters, Incarnation, Node, Total};
 use std::collections::HashMap;
 
@@ -20,7 +20,7 @@
 
 /// A gateway, as the holder sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct GatewayStatus {
     pub node: Node,
     /// Nothing is held against it.
     pub alive: bool,
@@ -40,14 +40,14 @@
 
 /// What is to be done after a look at the counters.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Look {
+pub enum HandoverStatus {
     /// Totals are answered. These have not told yet, though they are there: of what they count a part is counted as
     /// lost too until they do.
-    Whole(Vec<Node>),
+    Serving(Vec<Node>),
     /// These are to be asked what they had told; look again soon.
-    Ask(Vec<Node>),
+    Collecting(Vec<Node>),
     /// The totals are whole from now on: these waited, and so many gateways did not tell.
-    Closed(Vec<Answer>, usize),
+    Completed(Vec<Answer>, usize),
 }
 
 struct Held {
@@ -74,14 +74,14 @@
 
 /// See the module. Only to be called with an epoch while it is held.
 #[derive(Default)]
-pub struct Duty {
+pub struct CounterHolder {
     /// Those of the epoch that was held last.
     held: Option<Held>,
 }
 
-impl Duty {
+impl CounterHolder {
     /// Turns to an epoch; returns whether its counters are new.
-    pub fn hold(&mut self, now: f64, epoch: u64) -> bool {
+    pub fn start_epoch(&mut self, now: f64, epoch: u64) -> bool {
         let new = self.held.as_ref().is_none_or(|held| held.epoch != epoch);
         if new {
             let (counters, waiting) = (Counters::new(epoch), Vec::new());
@@ -96,9 +96,9 @@
     }
 
     /// To be called some times a second, and more often while it asks for something.
-    pub fn look(&mut self, now: f64, gateways: &[Seen]) -> Look {
+    pub fn poll(&mut self, now: f64, gateways: &[GatewayStatus]) -> HandoverStatus {
         let Some(Held { since, counters, waiting, .. }) = &mut self.held else {
-            return Look::Whole(Vec::new());
+            return HandoverStatus::Serving(Vec::new());
         };
         counters.tick(now);
         // one that is gone without a word may go on out of sight
@@ -106,25 +106,25 @@
         let untold = || gateways.iter().filter(|g| !counters.told(g.node));
         let edges: Vec<Node> = untold().filter(|g| !g.leaving).map(|g| g.node).collect();
         let asked: Vec<Node> = untold().filter(|g| g.alive).map(|g| g.node).collect();
-        if counters.whole() {
-            return Look::Whole(asked);
+        if counters.is_complete() {
+            return HandoverStatus::Serving(asked);
         }
         let known = counters.any_told() || !asked.is_empty();
         let spent = now - *since;
         if spent < TELL && (!asked.is_empty() || !known && spent < SHOW) {
-            return Look::Ask(asked);
+            return HandoverStatus::Collecting(asked);
         }
         counters.close(now, &edges);
         let answers = std::mem::take(waiting).into_iter().map(|(from, tag, names)| {
             let totals = names.into_iter().map(|name| counters.answer(name)).collect();
             Answer { from, tag, totals }
         });
-        Look::Closed(answers.collect(), edges.len())
+        HandoverStatus::Completed(answers.collect(), edges.len())
     }
 
     /// What a gateway told the holder before this one. `epoch`: for which holder it was told; what was meant for
     /// another one is late, and the gateway tells again.
-    pub fn tell(&mut self, now: f64, epoch: u64, from: Incarnation, part: &Part) {
+    pub fn receive_handover(&mut self, now: f64, epoch: u64, from: Incarnation, part: &HandoverPart) {
         if let Some(held) = self.held.as_mut().filter(|h| h.epoch == epoch) {
             held.counters.tell(now, from, part);
         }
@@ -133,7 +133,7 @@
     /// Takes the sums of a call: name, sum, seconds that the name is kept. Returns the totals if they are whole; else
     /// the call waits. One that was overtaken on its way, by a later call over another link, adds nothing: sums
     /// would go back.
-    pub fn count(
+    pub fn apply_call(
         &mut self,
         now: f64,
         from: Incarnation,
@@ -141,7 +141,7 @@
         calls: impl Iterator<Item = (u64, f64, f64)>,
     ) -> Option<Vec<Total>> {
         let held = self.held.as_mut()?;
-        let (whole, overtaken) = (held.counters.whole(), held.overtaken(now, from, tag));
+        let (whole, overtaken) = (held.counters.is_complete(), held.overtaken(now, from, tag));
         let (mut names, mut totals) = (Vec::new(), Vec::new());
         for (name, sum, life) in calls {
             if !overtaken {
--- a/counters/src/lib.rs
+++ b/counters/src/lib.rs
@@ -6,20 +6,20 @@
 //!
 //! Each gateway tells the sum of all that it ever added to a name, so a word that is lost, or told twice, mends
 //! itself. A new holder begins with nothing and is told by the gateways what they had told the one before
-//! ([`told`]); until that is whole it has no totals. All times are seconds of one steady clock; bounds are given by
+//! ([`handover`]); until that is whole it has no totals. All times are seconds of one steady clock; bounds are given by
 //! the constants.
 
-pub mod calls;
-pub mod duty;
-pub mod own;
+pub mod handover;
+pub mod holder;
+pub mod local_sums;
+pub mod pending_calls;
 pub mod silence;
 pub mod store;
-pub mod told;
 
+use handover::Gathering;
 use silence::Silence;
 use std::collections::{BTreeMap, HashMap};
 use store::{Quota, Stores};
-use told::Gathering;
 
 /// A machine among the system's own: its address as a number.
 pub type Node = u32;
@@ -116,7 +116,7 @@
 
     /// Sets the quota of a customer; a rate of 0 for none (and for one that is gone). Without a quota nothing is
     /// presumed, and there is no store.
-    pub fn quota(&mut self, customer: u64, quota: Quota) {
+    pub fn set_quota(&mut self, customer: u64, quota: Quota) {
         self.silence.quota(customer, quota.rate);
         let presumed = self.silence.presumed_of(self.now, customer);
         self.stores.quota(self.now, customer, quota, presumed);
@@ -151,7 +151,7 @@
 
     /// Takes note of a sum; returns what it added to the total.
     fn add(&mut self, now: f64, from: Incarnation, name: u64, sum: f64, life: f64) -> f64 {
-        self.heard(now, from.0);
+        self.record_contact(now, from.0);
         let now = self.now;
         if self.names.len() >= NAMES_MOST && !self.names.contains_key(&name) {
             self.make_room();
@@ -192,7 +192,7 @@
     }
 
     /// Takes note of any word from a gateway, not a count alone: one without requests is not silent.
-    pub fn heard(&mut self, now: f64, from: Node) {
+    pub fn record_contact(&mut self, now: f64, from: Node) {
         self.tick(now);
         for (customer, presumed) in self.silence.heard(self.now, from) {
             if let Some(store) = self.stores.of(customer) {
--- a/counters/src/own.rs
+++ b/counters/src/local_sums.rs
@@ -1,7 +1,7 @@
 //! A gateway's side of the counters: the sums of what it added to each name, told whole at each call.
 
+use crate::handover::HandoverEntry;
 use crate::store::Reading;
-use crate::told::Told;
 use crate::Total;
 use std::collections::HashMap;
 
@@ -15,20 +15,20 @@
 
 /// What this process added, by name.
 #[derive(Debug, Default)]
-pub struct Own {
+pub struct LocalSums {
     names: HashMap<u64, Sum>,
     clear_at: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Sum {
-    told: Told,
+    told: HandoverEntry,
     until: f64,
     /// What was left in the customer's store with the last total, and when that came.
     store: Option<(f64, f64)>,
 }
 
-impl Own {
+impl LocalSums {
     /// Adds to a name that is kept for `life` seconds from now; returns the sum to tell. None: no room for a new name,
     /// and nothing is added.
     pub fn add(&mut self, now: f64, name: u64, amount: f64, life: f64) -> Option<f64> {
@@ -39,7 +39,7 @@
         if self.names.len() >= NAMES_MOST && !self.names.contains_key(&name) {
             return None;
         }
-        let told = Told { name, sum: 0.0, within: 0.0, total: 0.0, life, store: None };
+        let told = HandoverEntry { name, sum: 0.0, within: 0.0, total: 0.0, life, store: None };
         let none = Sum { told, until: now, store: None };
         let s = self.names.entry(name).or_insert(none);
         s.told.sum += amount;
@@ -55,7 +55,7 @@
     }
 
     /// A total that came now, with the sum that was told for it.
-    pub fn total(&mut self, now: f64, name: u64, within: f64, total: Total) {
+    pub fn record_total(&mut self, now: f64, name: u64, within: f64, total: Total) {
         if let Some(s) = self.names.get_mut(&name) {
             (s.told.within, s.told.total) = (within, total.counted);
             s.store = total.level.map(|level| (level, now));
@@ -63,11 +63,12 @@
     }
 
     /// All that a new holder has to know, by name.
-    pub fn told(&self, now: f64) -> Vec<Told> {
+    pub fn handover(&self, now: f64) -> Vec<HandoverEntry> {
         let live =
             self.names.values().filter(|s| s.until >= now && (s.told.sum != 0.0 || s.told.total != 0.0));
         let reading = |s: &Sum| s.store.map(|(level, at)| Reading { level, age: now - at });
-        let mut told: Vec<Told> = live.map(|s| Told { store: reading(s), ..s.told }).collect();
+        let mut told: Vec<HandoverEntry> =
+            live.map(|s| HandoverEntry { store: reading(s), ..s.told }).collect();
         told.sort_unstable_by_key(|t| t.name);
         told
     }
--- a/counters/src/calls.rs
+++ b/counters/src/pending_calls.rs
@@ -5,7 +5,7 @@
 use crate::Node;
 use std::collections::VecDeque;
 
-/// Calls that wait at most.
+/// PendingCalls that wait at most.
 pub const WAITING_MOST: usize = 4096;
 
 /// Whether one call of a start was made before another, by their numbers; of calls so far apart that numbers came
@@ -16,7 +16,7 @@
 
 /// Those of one process, each with what it stands for.
 #[derive(Debug)]
-pub struct Calls<T> {
+pub struct PendingCalls<T> {
     incarnation: u32,
     given: u16,
     waiting: VecDeque<Call<T>>,
@@ -31,10 +31,10 @@
     what: T,
 }
 
-impl<T> Calls<T> {
+impl<T> PendingCalls<T> {
     /// Another start of the process has another `incarnation`.
-    pub fn new(incarnation: u32) -> Calls<T> {
-        Calls { incarnation, given: 0, waiting: VecDeque::new() }
+    pub fn new(incarnation: u32) -> PendingCalls<T> {
+        PendingCalls { incarnation, given: 0, waiting: VecDeque::new() }
     }
 
     /// How many wait.
@@ -49,7 +49,7 @@
 
     /// A call to the holder of an epoch, made at `now` (seconds); returns its number, under 2^48, or with
     /// [`WAITING_MOST`] waiting `what` again.
-    pub fn ask(&mut self, now: f64, (epoch, to): (u64, Node), what: T) -> Result<u64, T> {
+    pub fn register(&mut self, now: f64, (epoch, to): (u64, Node), what: T) -> Result<u64, T> {
         if self.waiting.len() >= WAITING_MOST {
             return Err(what);
         }
@@ -62,14 +62,14 @@
 
     /// An answer from that process to the call of this number: what it stands for, once. `epoch` is that under which
     /// it was counted; none: it says that it is not the holder.
-    pub fn answered(&mut self, from: Node, tag: u64, epoch: Option<u64>) -> Option<T> {
+    pub fn take_answered(&mut self, from: Node, tag: u64, epoch: Option<u64>) -> Option<T> {
         let its = |c: &Call<T>| c.tag == tag && c.to == from && epoch.is_none_or(|e| e >= c.epoch);
         let at = self.waiting.iter().position(its)?;
         self.waiting.remove(at).map(|c| c.what)
     }
 
     /// The oldest call, if it was made `wait` seconds ago or more.
-    pub fn overdue(&mut self, now: f64, wait: f64) -> Option<T> {
+    pub fn take_overdue(&mut self, now: f64, wait: f64) -> Option<T> {
         self.waiting.pop_front_if(|c| now - c.at >= wait).map(|c| c.what)
     }
 
--- a/counters/tests/model.rs
+++ b/counters/tests/model.rs
@@ -1,8 +1,8 @@
 //! The counters against slow plain models: a log of all adds, and a fleet whose true use is known.
 
+use lupinledge_counters::handover::{HandoverEntry, HandoverPart};
 use lupinledge_counters::silence::{MEMORY, SILENT};
 use lupinledge_counters::store::Quota;
-use lupinledge_counters::told::{Part, Told};
 use lupinledge_counters::{Counters, Node, NAMES_MOST};
 use std::collections::HashMap;
 use std::ops::{Deref, DerefMut};
@@ -72,11 +72,11 @@
     bolero::check!().with_type::<u64>().with_iterations(300).for_each(|seed| {
         let mut r = fastrand::Rng::with_seed(*seed);
         let (mut counters, mut log, mut now) = (Fleet::new(3), Vec::new(), 50.0 * r.f64());
-        counters.quota(0, Quota { rate: 100.0, size: 20.0 });
-        counters.quota(1, Quota { rate: 1.0, size: 20.0 });
+        counters.set_quota(0, Quota { rate: 100.0, size: 20.0 });
+        counters.set_quota(1, Quota { rate: 1.0, size: 20.0 });
         for _ in 0..200 {
             now += [0.0, 0.02, 0.4][r.usize(0..3)];
-            (0..4).for_each(|node| counters.heard(now, node));
+            (0..4).for_each(|node| counters.record_contact(now, node));
             let name = r.u64(0..3) << 24 | r.u64(0..4);
             let (amount, life) = (r.i8(-4..20) as f64, [0.3, 2.0][r.usize(0..2)]);
             log.push(Added { at: now, name, amount, until: now + life });
@@ -127,7 +127,7 @@
         };
         let mut fleet: Vec<Gateway> = (0..r.usize(2..9)).map(|_| gateway(&mut r)).collect();
         let (mut counters, mut log, mut used) = (Fleet::new(1), Vec::new(), 0.0);
-        counters.quota(CUSTOMER, Quota { rate, size: 20.0 });
+        counters.set_quota(CUSTOMER, Quota { rate, size: 20.0 });
         for now in (0..400).map(|i| i as f64 * STEP) {
             let away = |g: &Gateway| g.cut.is_some_and(|(from, to)| now >= from && now < to);
             let last = |g: &Gateway| g.cut.map_or(now, |(from, _)| from - STEP);
@@ -190,7 +190,7 @@
 #[test]
 fn a_silent_ones_part_goes_on_until_it_is_heard() {
     let mut c = Fleet::new(1);
-    c.quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
+    c.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
     let before = steady(&mut c, 0.0, 20.0, &[1, 2, 3, 4]);
     assert_eq!(c.presumed(NAME), 0.0);
     steady(&mut c, 20.0, 20.9, &[1, 2, 3]);
@@ -220,7 +220,7 @@
 #[test]
 fn silent_ones_never_have_more_than_the_whole() {
     let mut c = Fleet::new(1);
-    c.quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
+    c.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
     steady(&mut c, 0.0, 10.0, &[1, 2, 3, 4]);
     let (mut at, mut talking) = (10.0, vec![1, 2, 3, 4, 9]);
     while talking.len() > 1 {
@@ -232,21 +232,21 @@
     steady(&mut c, at, at + 2.0, &[9]);
     let second = c.presumed(NAME) - first;
     assert!(second > 0.0 && second <= 100.0 * 2.0 + 1e-6, "{second}");
-    c.quota(CUSTOMER, Quota { rate: 0.0, size: 20.0 });
+    c.set_quota(CUSTOMER, Quota { rate: 0.0, size: 20.0 });
     assert_eq!(c.presumed(NAME), 0.0);
 }
 
 #[test]
 fn an_own_pause_is_nobodys_silence() {
     let mut c = Fleet::new(1);
-    c.quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
+    c.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
     steady(&mut c, 0.0, 10.0, &[1, 2]);
     let before = c.add(10.0, 1, NAME, 0.0, 60.0);
     assert_eq!(c.add(14.0, 1, NAME, 0.0, 60.0), before); // frozen for four seconds
     let mut other = c.clone(); // here 2 stays silent, from its last word on, which was later by the pause
-    (0..5).for_each(|i| other.heard(14.25 + 0.25 * i as f64, 1));
+    (0..5).for_each(|i| other.record_contact(14.25 + 0.25 * i as f64, 1));
     assert!((other.presumed(NAME) - 1.3 * 67.0).abs() < 5.0, "{}", other.presumed(NAME));
-    c.heard(14.3, 2); // a word that is no count
+    c.record_contact(14.3, 2); // a word that is no count
     assert_eq!(c.add(14.9, 1, NAME, 0.0, 60.0), before);
     for i in 0..8 {
         c.tick(14.9 + 0.25 * i as f64);
@@ -279,14 +279,15 @@
     bolero::check!().with_type::<u64>().with_iterations(300).for_each(|seed| {
         let mut r = fastrand::Rng::with_seed(*seed);
         let (gateways, mut now) = (r.u32(2..9), 0.0);
-        let (mut old, mut own, mut all) = (Counters::new(1), HashMap::<u32, Told>::new(), 0.0);
+        let (mut old, mut own, mut all) = (Counters::new(1), HashMap::<u32, HandoverEntry>::new(), 0.0);
         old.close(0.0, &[]);
-        old.quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
+        old.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
         for _ in 0..r.u32(20..200) {
             now += 0.01;
-            (1..=gateways).for_each(|n| old.heard(now, n));
+            (1..=gateways).for_each(|n| old.record_contact(now, n));
             let (node, amount) = (r.u32(1..=gateways), r.u8(0..3) as f64);
-            let none = Told { name: NAME, sum: 0.0, within: 0.0, total: 0.0, life: 60.0, store: None };
+            let none =
+                HandoverEntry { name: NAME, sum: 0.0, within: 0.0, total: 0.0, life: 60.0, store: None };
             let t = own.entry(node).or_insert(none);
             t.sum += amount;
             all += amount;
@@ -299,11 +300,11 @@
         let known = own.iter().filter(|(n, _)| !gone.contains(n)).map(|(_, t)| t.total).fold(0.0, f64::max);
         let within: f64 = all - away;
         let mut new = Counters::new(2);
-        new.quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
+        new.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
         for n in (1..=gateways).filter(|n| !gone.contains(n)) {
-            let told = Part::whole(own.get(&n).copied().into_iter().collect());
+            let told = HandoverPart::single(own.get(&n).copied().into_iter().collect());
             (0..r.u8(1..3)).for_each(|_| new.tell(now, (n, 1), &told));
-            assert!(new.told(n) && !new.whole());
+            assert!(new.told(n) && !new.is_complete());
         }
         new.close(now, &gone);
         let first = gateways + 1;
@@ -313,7 +314,7 @@
             for i in 1..=20 {
                 (1..=gateways + 1)
                     .filter(|n| !gone.contains(n))
-                    .for_each(|n| new.heard(now + 0.1 * i as f64, n));
+                    .for_each(|n| new.record_contact(now + 0.1 * i as f64, n));
                 new.tick(now + 0.1 * i as f64);
             }
             let presumed = new.presumed(NAME);
@@ -321,8 +322,9 @@
         }
         // back, with what they had told and no more: nothing is counted twice
         now += 2.0;
-        gone.iter()
-            .for_each(|n| new.tell(now, (*n, 1), &Part::whole(own.get(n).copied().into_iter().collect())));
+        gone.iter().for_each(|n| {
+            new.tell(now, (*n, 1), &HandoverPart::single(own.get(n).copied().into_iter().collect()))
+        });
         let total = new.put(now, (first, 1), NAME, 0.0, 60.0);
         assert!((total - all).abs() < 1e-6, "{total} counted, {all} sent; {gone:?}, {own:?}");
     });
@@ -332,9 +334,16 @@
 #[test]
 fn what_ended_processes_used_does_not_go_on() {
     let mut c = Counters::new(2);
-    c.quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
+    c.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
     let told = |sum: f64| {
-        Part::whole(vec![Told { name: NAME, sum, within: sum, total: 1000.0, life: 60.0, store: None }])
+        HandoverPart::single(vec![HandoverEntry {
+            name: NAME,
+            sum,
+            within: sum,
+            total: 1000.0,
+            life: 60.0,
+            store: None,
+        }])
     };
     c.tell(0.0, (1, 1), &told(100.0));
     c.tell(0.0, (2, 1), &told(100.0));
@@ -342,7 +351,7 @@
     c.close(0.0, &[4]);
     assert_eq!(c.total(NAME), 1000.0, "all stays counted");
     for i in 1..=40 {
-        (1..=3).for_each(|n| c.heard(0.1 * i as f64, n));
+        (1..=3).for_each(|n| c.record_contact(0.1 * i as f64, n));
     }
     let presumed = c.presumed(NAME);
     assert!((100.0..180.0).contains(&presumed), "{presumed} presumed: a third goes on, not four fifths");
--- a/counters/tests/parts.rs
+++ b/counters/tests/parts.rs
@@ -1,8 +1,8 @@
 //! A new holder is told what gateways counted of a great many customers, in parts that come in any order, more than once
 //! and with others between them.
 
-use lupinledge_counters::own::Own;
-use lupinledge_counters::told::{Part, PART_MOST};
+use lupinledge_counters::handover::{HandoverPart, PART_MOST};
+use lupinledge_counters::local_sums::LocalSums;
 use lupinledge_counters::{Counters, Node, Total};
 
 const TENANTS: u64 = 18_000;
@@ -18,14 +18,14 @@
 }
 
 /// What each gateway has counted before the holder changes, one after the other, with the total that it was told.
-fn gateways() -> Vec<Own> {
-    let mut own: Vec<Own> = (0..GATEWAYS).map(|_| Own::default()).collect();
+fn gateways() -> Vec<LocalSums> {
+    let mut own: Vec<LocalSums> = (0..GATEWAYS).map(|_| LocalSums::default()).collect();
     for name in (0..TENANTS).flat_map(names) {
         let mut total = 0.0;
         for gateway in &mut own {
             total += 1.0;
             let sum = gateway.add(1.0, name, 1.0, LIFE).expect("there is room");
-            gateway.total(1.0, name, sum, Total { counted: total, level: None });
+            gateway.record_total(1.0, name, sum, Total { counted: total, level: None });
         }
     }
     own
@@ -35,13 +35,13 @@
 fn all_of_18_000_tenants_are_taken_over() {
     let rng = &mut fastrand::Rng::with_seed(3);
     let mut counters = Counters::new(2);
-    let mut parts: Vec<(Node, Part)> = Vec::new();
+    let mut parts: Vec<(Node, HandoverPart)> = Vec::new();
     for (node, own) in (1..).zip(&gateways()) {
-        let cut = Part::cut(own.told(1.0));
-        assert_eq!(cut.iter().map(|part| part.told.len() as u64).sum::<u64>(), 2 * TENANTS);
+        let cut = HandoverPart::split(own.handover(1.0));
+        assert_eq!(cut.iter().map(|part| part.entries.len() as u64).sum::<u64>(), 2 * TENANTS);
         parts.extend(cut.into_iter().map(|part| (node, part)));
     }
-    let largest = parts.iter().map(|(_, part)| part.told.len()).max().unwrap();
+    let largest = parts.iter().map(|(_, part)| part.entries.len()).max().unwrap();
     assert!(largest <= 2 * PART_MOST, "{largest} names in a part");
     assert!(largest * NAME_BYTES <= 64 << 10, "{} bytes in a message", largest * NAME_BYTES);
     // some come twice, and none in order
@@ -64,7 +64,7 @@
 fn a_part_is_not_the_whole() {
     let own = gateways().remove(0);
     let mut counters = Counters::new(2);
-    let parts = Part::cut(own.told(1.0));
+    let parts = HandoverPart::split(own.handover(1.0));
     assert!(parts.len() > 1);
     for (nth, part) in parts.iter().enumerate() {
         assert!(!counters.told(1), "after {nth} of {}", parts.len());
@@ -76,11 +76,11 @@
 /// A part that names itself outside of its number, or of more parts than there may be, adds sums and nothing else.
 #[test]
 fn a_part_that_can_t_be_is_none() {
-    let told = gateways().remove(0).told(1.0);
-    for (nth, of) in [(1, 1), (0, 0), (64, 65), (200, 255)] {
+    let told = gateways().remove(0).handover(1.0);
+    for (index, count) in [(1, 1), (0, 0), (64, 65), (200, 255)] {
         let mut counters = Counters::new(2);
-        counters.tell(2.0, (1, 1), &Part { nth, of, told: told[..4].to_vec() });
-        assert!(!counters.told(1), "{nth} of {of}");
+        counters.tell(2.0, (1, 1), &HandoverPart { index, count, entries: told[..4].to_vec() });
+        assert!(!counters.told(1), "{index} of {count}");
     }
 }
 
@@ -90,7 +90,7 @@
 fn a_part_told_again_takes_nothing_off() {
     let mut counters = Counters::new(2);
     for (node, own) in (1..).zip(&gateways()).skip(1) {
-        let parts = Part::cut(own.told(1.0));
+        let parts = HandoverPart::split(own.handover(1.0));
         for part in parts.iter().flat_map(|part| [part, part]) {
             counters.tell(2.0, (node, 1), part);
         }
--- a/data-plane/src/guard.rs
+++ b/data-plane/src/guard.rs
@@ -5,7 +5,9 @@
 use crate::nest::Nest;
 use crate::pools::Pools;
 use lupinledge_config::{Part, Tables, DRIFTS};
-use lupinledge_drift_detection::{verdict::compare, Act, Audit, Finding, Own, Settings, Watch};
+use lupinledge_drift_detection::{
+    verdict::compare, Action, Audit, DriftMonitor, Finding, LocalState, Settings,
+};
 use lupinledge_gossip::Gossip;
 use lupinledge_membership::Rules;
 use lupinledge_proxy::clients::Clients;
@@ -29,7 +31,7 @@
     ready: Rc<Cell<bool>>,
     clients: Rc<Clients<Door>>,
     audit: Audit,
-    watch: Watch,
+    watch: DriftMonitor,
     turns: u32,
     looked: Rc<Tables>,
     /// What was in force when it went out, until it is known what differed.
@@ -45,7 +47,7 @@
         clients: Rc<Clients<Door>>,
         seed: u64,
     ) -> Guard {
-        let watch = Watch::new(gossip.now(), Settings::new(nest.settings().bounds.config_apply_s));
+        let watch = DriftMonitor::new(gossip.now(), Settings::new(nest.settings().bounds.config_apply_s));
         let audit = Audit::new(seed);
         let looked = pools.tables();
         Guard { nest, gossip, pools, ready, clients, audit, watch, turns: 0, looked, doubted: None }
@@ -75,54 +77,59 @@
         self.turns = self.turns.wrapping_add(1);
         let (tables, config) = (self.pools.tables(), self.nest.config());
         if !Rc::ptr_eq(&tables, &self.looked) {
-            self.audit.renew();
+            self.audit.reset();
             self.looked = tables.clone();
         }
         let due = if self.turns.is_multiple_of(BUILD) { self.nest.due() } else { None };
-        let found = self.audit.turn(&tables, config.as_deref(), due.as_ref()).or_else(|| {
+        let found = self.audit.step(&tables, config.as_deref(), due.as_ref()).or_else(|| {
             let looks = self.turns.is_multiple_of(TERMS);
             let stray = looks.then(|| self.pools.stray((self.turns / TERMS) as usize)).flatten();
             stray.map(|(part, name)| Finding { part, names: vec![name] })
         });
-        let (index, print) = (self.gossip.held(|h| h.digest().state.1), self.audit.live().folded());
+        let (index, print) = (self.gossip.held(|h| h.digest().state.1), self.audit.live_print().folded());
         self.gossip.set_print(index, print);
-        let own = Own { index, print, fault: found.as_ref().map(|f| f.part), sound: self.audit.sound() };
+        let own = LocalState {
+            index,
+            print,
+            faulty_part: found.as_ref().map(|f| f.part),
+            verified: self.audit.is_clean(),
+        };
         let (now, holder) = (self.gossip.now(), self.gossip.held(|h| h.epoch().1));
         let others = self.gossip.with(|s| compare(now, &own, holder, s.members()));
-        for act in self.watch.look(now, &own, &others) {
+        for act in self.watch.evaluate(now, &own, &others) {
             self.act(act, index, found.as_ref(), &tables);
         }
         if self.pools.shut().0.is_some() {
-            self.pools.set_shut(Some(self.watch.hint(now)));
+            self.pools.set_shut(Some(self.watch.retry_after(now)));
         }
         self.tell_what_differed();
     }
 
-    fn act(&mut self, act: Act, index: u64, found: Option<&Finding>, tables: &Rc<Tables>) {
+    fn act(&mut self, act: Action, index: u64, found: Option<&Finding>, tables: &Rc<Tables>) {
         match act {
-            Act::Shut { judge, part, times, hold } => {
+            Action::Withdraw { detector, part, times, hold } => {
                 let (name, names) = (part.map_or("whole", Part::name), found.map(|f| f.names.join(",")));
-                let (judge_name, route) = (judge.name(), names.unwrap_or_default());
+                let (judge_name, route) = (detector.name(), names.unwrap_or_default());
                 tracing::warn!(event = "drift", part = name, %route, judge = judge_name, index);
                 tracing::warn!(event = "out", judge = judge_name, times, hold);
                 self.doubted = Some((tables.clone(), judge_name));
                 self.ready.set(false);
-                self.pools.set_shut(Some(self.watch.hint(self.gossip.now())));
+                self.pools.set_shut(Some(self.watch.retry_after(self.gossip.now())));
                 self.clients.closing();
                 let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
-                let (part, print) = (part.map_or(u8::MAX, |p| p as u8), self.audit.live().parts());
-                let rules = Rules { index, print, part, judge: judge as u8, times: times as u16, since };
+                let (part, print) = (part.map_or(u8::MAX, |p| p as u8), self.audit.live_print().parts());
+                let rules = Rules { index, print, part, judge: detector as u8, times: times as u16, since };
                 self.gossip.set_card(|c| (c.ready, c.rules) = (false, Some(Box::new(rules))));
             }
-            Act::Rebuild => self.nest.rebuild(),
-            Act::Afresh => self.nest.afresh(self.pools.shut().0.is_some()),
-            Act::Ease => {
+            Action::Rebuild => self.nest.rebuild(),
+            Action::Refetch => self.nest.afresh(self.pools.shut().0.is_some()),
+            Action::AcceptClients => {
                 tracing::info!(event = "back", version = self.pools.tables().version());
                 self.pools.set_shut(None);
                 self.clients.reopen();
                 self.ready.set(true);
             }
-            Act::Open => self.gossip.set_card(|c| (c.ready, c.rules) = (true, None)),
+            Action::Announce => self.gossip.set_card(|c| (c.ready, c.rules) = (true, None)),
         }
     }
 
--- a/data-plane/src/ledger.rs
+++ b/data-plane/src/ledger.rs
@@ -5,9 +5,9 @@
 use crate::wire::Trail;
 use lupinledge::link::Outcome;
 use lupinledge::time::Span;
-use lupinledge_counters::calls::Calls;
-use lupinledge_counters::own::Own;
-use lupinledge_counters::told::{Part, Told};
+use lupinledge_counters::handover::{HandoverEntry, HandoverPart};
+use lupinledge_counters::local_sums::LocalSums;
+use lupinledge_counters::pending_calls::PendingCalls;
 use lupinledge_counters::Total;
 use lupinledge_messaging::{epoch, parts, units, CountedName, Node, Post, ToldName, Word};
 use lupinledge_proxy::exchange::{CounterSide, Exchange};
@@ -31,8 +31,8 @@
 }
 
 /// What was told of a name, as it goes over the network.
-fn told_name(told: Told) -> ToldName {
-    let Told { name, sum, within, total, life, store } = told;
+fn told_name(told: HandoverEntry) -> ToldName {
+    let HandoverEntry { name, sum, within, total, life, store } = told;
     let store = store.map(|reading| (reading.level, reading.age as f32));
     ToldName { name, sum, within, total, life: life as f32, store }
 }
@@ -43,9 +43,9 @@
     incarnation: u32,
     began: Instant,
     holder: Cell<(u64, Node)>,
-    own: RefCell<Own>,
+    own: RefCell<LocalSums>,
     batch: RefCell<Vec<(Pool, u64, f64, f32)>>,
-    waiting: RefCell<Calls<Vec<Call>>>,
+    waiting: RefCell<PendingCalls<Vec<Call>>>,
 }
 
 impl Ledger {
@@ -58,7 +58,7 @@
             holder: Cell::default(),
             own: RefCell::default(),
             batch: RefCell::default(),
-            waiting: RefCell::new(Calls::new(incarnation)),
+            waiting: RefCell::new(PendingCalls::new(incarnation)),
         });
         tokio::task::spawn_local(ledger.clone().sweep());
         ledger
@@ -83,9 +83,11 @@
 
     fn tell(&self) {
         let (incarnation, (epoch, holder)) = (self.incarnation, self.holder.get());
-        for Part { nth, of, told } in Part::cut(self.own.borrow().told(self.now())) {
-            let told = told.into_iter().map(told_name).collect();
-            self.post.send(holder, &Word::Told { incarnation, told, epoch, part: (nth, of) });
+        for HandoverPart { index, count, entries } in
+            HandoverPart::split(self.own.borrow().handover(self.now()))
+        {
+            let told = entries.into_iter().map(told_name).collect();
+            self.post.send(holder, &Word::Told { incarnation, told, epoch, part: (index, count) });
         }
     }
 
@@ -101,14 +103,14 @@
     /// Hands on the totals of a word; none: that process is not the holder, and nothing was added.
     pub fn counted(&self, from: Node, tag: u64, round: u32, totals: &[CountedName]) {
         let epoch = Some(epoch(round, from)).filter(|_| !totals.is_empty());
-        let calls = self.waiting.borrow_mut().answered(from, tag, epoch);
+        let calls = self.waiting.borrow_mut().take_answered(from, tag, epoch);
         let Some(calls) = calls else { return };
         if totals.len() != calls.len() {
             return self.fail(calls, Outcome::Full);
         }
         for (call, CountedName(total, level)) in calls.into_iter().zip(totals) {
             let total = Total { counted: units(*total), level: level.map(units) };
-            self.own.borrow_mut().total(self.now(), call.name, call.sum, total);
+            self.own.borrow_mut().record_total(self.now(), call.name, call.sum, total);
             let pool = call.pool.upgrade().into_iter();
             pool.for_each(|p| p.counted(call.name, total.counted, total.level, Outcome::Passed));
         }
@@ -118,7 +120,7 @@
         loop {
             tokio::time::sleep(SWEEP).await;
             loop {
-                let due = self.waiting.borrow_mut().overdue(self.now(), WAIT);
+                let due = self.waiting.borrow_mut().take_overdue(self.now(), WAIT);
                 let Some(calls) = due else { break };
                 self.fail(calls, Outcome::TimedOut);
             }
@@ -149,7 +151,7 @@
         if holder.1 == 0 {
             return self.fail(calls, Outcome::NoConnection);
         }
-        let asked = self.waiting.borrow_mut().ask(now, holder, calls);
+        let asked = self.waiting.borrow_mut().register(now, holder, calls);
         match asked {
             Ok(tag) => {
                 let incarnation = self.incarnation;
--- a/data-plane/src/nest.rs
+++ b/data-plane/src/nest.rs
@@ -208,7 +208,7 @@
                 let (old, new) = (pools.tables().version(), tables.version());
                 // serial 0: the tables in force are in doubt, and any others are better
                 let forward = self.serial.get() == 0 || new >= old;
-                check(Invariant::ConfigurationForward, forward, || format!("version {new} after {old}"));
+                check(Invariant::ConfigurationMonotonic, forward, || format!("version {new} after {old}"));
                 self.serial.set(d.serial);
                 tracing::info!(event = "follow", serial = d.serial, version = tables.version());
                 *self.kept.borrow_mut() = Some(bytes.clone());
--- a/drift-detection/src/audit.rs
+++ b/drift-detection/src/audit.rs
@@ -34,23 +34,23 @@
     }
 
     /// The tables were built anew: what was found in the former ones says nothing of these.
-    pub fn renew(&mut self) {
+    pub fn reset(&mut self) {
         self.seen = None;
     }
 
     /// The print of what is in memory, by the last look at each part.
-    pub fn live(&self) -> Print {
+    pub fn live_print(&self) -> Print {
         self.live
     }
 
     /// Whether everything was looked at since something changed, and nothing was found.
-    pub fn sound(&self) -> bool {
+    pub fn is_clean(&self) -> bool {
         self.sound >= ROUND
     }
 
     /// One turn: a part, and a probe. `config` is what the tables were built from; `due` the tables that a build
     /// from it gives now, where the caller has them.
-    pub fn turn(
+    pub fn step(
         &mut self,
         tables: &Tables,
         config: Option<&Config>,
--- a/drift-detection/src/audit/tests.rs
+++ b/drift-detection/src/audit/tests.rs
@@ -21,13 +21,13 @@
     let build = || Tables::new(&d, &Default::default()).unwrap();
     for how in ["service", "retry", "prefix", "key", "half", "evacuation"] {
         let (mut audit, mut tables) = (Audit::new(7), build());
-        let mut round = |t: &Tables| (0..ROUND).filter_map(|_| audit.turn(t, Some(&read), None)).count();
+        let mut round = |t: &Tables| (0..ROUND).filter_map(|_| audit.step(t, Some(&read), None)).count();
         assert_eq!(round(&tables), 0, "{how}");
         tables.drift(how);
         assert!(round(&tables) > 0, "{how}");
-        assert!(!audit.sound());
-        audit.renew();
-        assert_eq!(audit.turn(&build(), Some(&read), None), None, "{how}");
-        assert_eq!(audit.live(), build().print(), "{how}");
+        assert!(!audit.is_clean());
+        audit.reset();
+        assert_eq!(audit.step(&build(), Some(&read), None), None, "{how}");
+        assert_eq!(audit.live_print(), build().print(), "{how}");
     }
 }
--- a/drift-detection/src/lib.rs
+++ b/drift-detection/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! - [`audit`]: the node looks at its own tables, a part at a time, and probes them.
 //! - [`verdict`]: what follows from the own tables and from what others tell, at this moment.
-//! - [`watch`]: what follows from verdicts over time: in doubt, out, returning.
+//! - [`monitor`]: what follows from verdicts over time: in doubt, out, returning.
 //!
 //! All times are in seconds of one steady clock. See `docs/intent-watch.md`.
 
 pub mod audit;
+pub mod monitor;
 pub mod verdict;
-pub mod watch;
 
 pub use audit::{Audit, Finding};
-pub use verdict::{Judge, Own, Verdict};
-pub use watch::{Act, Settings, Standing, Watch};
+pub use monitor::{Action, DriftMonitor, Settings, Standing};
+pub use verdict::{Detector, LocalState, Verdict};
--- a/drift-detection/src/watch.rs
+++ b/drift-detection/src/monitor.rs
@@ -1,7 +1,7 @@
 //! What follows from verdicts over time. Late is not wrong, unheard is not wrong, and who is in doubt whether it is
 //! wrong stays; a node goes out only where another one is left that serves what was set.
 
-use crate::verdict::{Judge, Others, Own, Verdict};
+use crate::verdict::{Detector, LocalState, Others, Verdict};
 use lupinledge_config::Part;
 
 /// Set times, in seconds.
@@ -46,23 +46,23 @@
 
 /// What the host is to do, in this order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// No client is to be taken, and nothing is to be sent any more.
-    Shut { judge: Judge, part: Option<Part>, times: u32, hold: f64 },
+    Withdraw { detector: Detector, part: Option<Part>, times: u32, hold: f64 },
     /// The tables are to be built from nothing, of the document that is held.
     Rebuild,
     /// The document is to be asked for afresh.
-    Afresh,
+    Refetch,
     /// Clients that come are taken.
-    Ease,
+    AcceptClients,
     /// The directory may name it.
-    Open,
+    Announce,
 }
 
 enum State {
     In,
     Out {
-        wrong: (Judge, u64, u32),
+        wrong: (Detector, u64, u32),
         began: f64,
         until: f64,
         clean: Option<f64>,
@@ -80,7 +80,7 @@
 const AGAIN: f64 = 1.0;
 
 /// See the module.
-pub struct Watch {
+pub struct DriftMonitor {
     set: Settings,
     state: State,
     last: f64,
@@ -94,12 +94,12 @@
     standing: Standing,
 }
 
-impl Watch {
+impl DriftMonitor {
     /// In, and nothing known against it.
-    pub fn new(now: f64, set: Settings) -> Watch {
+    pub fn new(now: f64, set: Settings) -> DriftMonitor {
         let (state, standing) = (State::In, Standing::Matching);
         let (differs, behind, times, asked) = (0.0, 0.0, 0, f64::NEG_INFINITY);
-        Watch { set, state, last: now, differs, behind, times, back: now, asked, standing }
+        DriftMonitor { set, state, last: now, differs, behind, times, back: now, asked, standing }
     }
 
     /// Where it stands since the last look.
@@ -108,7 +108,7 @@
     }
 
     /// Seconds after which a client may come back: to one of the others soon, to this one later.
-    pub fn hint(&self, now: f64) -> f64 {
+    pub fn retry_after(&self, now: f64) -> f64 {
         match self.state {
             State::Out { alone: Some(_), until, .. } => (until - now).clamp(self.set.agree, 5.0),
             State::Out { .. } => 0.2,
@@ -117,7 +117,7 @@
     }
 
     /// To be called several times a second, with what is seen now.
-    pub fn look(&mut self, now: f64, own: &Own, others: &Others) -> Vec<Act> {
+    pub fn evaluate(&mut self, now: f64, own: &LocalState, others: &Others) -> Vec<Action> {
         let gap = now - std::mem::replace(&mut self.last, now);
         let still = gap > STILL;
         let step = if still { 0.0 } else { gap.max(0.0) };
@@ -131,34 +131,36 @@
         }
     }
 
-    fn inside(&mut self, now: f64, own: &Own, others: &Others) -> Vec<Act> {
+    fn inside(&mut self, now: f64, own: &LocalState, others: &Others) -> Vec<Action> {
         let due = match others.verdict {
-            Verdict::Differs(Judge::Own) => Some((Judge::Own, true)),
-            Verdict::Differs(Judge::Control) => Some((Judge::Control, self.differs >= self.set.control)),
-            Verdict::Differs(Judge::Peers) => Some((Judge::Peers, self.differs >= self.set.peers)),
-            Verdict::Late => Some((Judge::Control, self.behind >= self.set.late)),
+            Verdict::Differs(Detector::Own) => Some((Detector::Own, true)),
+            Verdict::Differs(Detector::Control) => {
+                Some((Detector::Control, self.differs >= self.set.control))
+            }
+            Verdict::Differs(Detector::Peers) => Some((Detector::Peers, self.differs >= self.set.peers)),
+            Verdict::Late => Some((Detector::Control, self.behind >= self.set.late)),
             Verdict::Matching | Verdict::Unheard => None,
         };
-        if let Some((judge, true)) = due {
+        if let Some((detector, true)) = due {
             self.standing = Standing::Doubt;
             if others.witness {
-                return self.go_out(now, own, judge);
+                return self.go_out(now, own, detector);
             }
             // nobody else is left that serves what was set: mended without a pause, if it can be
             if now - self.asked < AGAIN {
                 return Vec::new();
             }
             self.asked = now;
-            return match judge {
-                Judge::Own => vec![Act::Rebuild],
-                _ => vec![Act::Rebuild, Act::Afresh],
+            return match detector {
+                Detector::Own => vec![Action::Rebuild],
+                _ => vec![Action::Rebuild, Action::Refetch],
             };
         }
         if let State::Back { until } = self.state {
             self.standing = Standing::Returning;
             if now >= until && due.is_none() {
                 (self.state, self.back) = (State::In, now);
-                return vec![Act::Open];
+                return vec![Action::Announce];
             }
             return Vec::new();
         }
@@ -173,11 +175,11 @@
         Vec::new()
     }
 
-    fn go_out(&mut self, now: f64, own: &Own, judge: Judge) -> Vec<Act> {
+    fn go_out(&mut self, now: f64, own: &LocalState, detector: Detector) -> Vec<Action> {
         self.times += 1;
         let hold = (self.set.hold * 2f64.powi(self.times.min(30) as i32 - 1)).min(self.set.most);
         self.state = State::Out {
-            wrong: (judge, own.index, own.print),
+            wrong: (detector, own.index, own.print),
             began: now,
             until: now + hold,
             clean: None,
@@ -185,19 +187,19 @@
             alone: None,
         };
         self.standing = Standing::Out;
-        let shut = Act::Shut { judge, part: own.fault, times: self.times, hold };
-        vec![shut, Act::Rebuild, Act::Afresh]
+        let shut = Action::Withdraw { detector, part: own.faulty_part, times: self.times, hold };
+        vec![shut, Action::Rebuild, Action::Refetch]
     }
 
-    fn out(&mut self, now: f64, own: &Own, others: &Others) -> Vec<Act> {
+    fn out(&mut self, now: f64, own: &LocalState, others: &Others) -> Vec<Action> {
         let State::Out { wrong, began, until, clean, asked, alone } = &mut self.state else {
             return Vec::new();
         };
         // what others found is over when they say so, or when there are other rules in force
-        let same = wrong.0 != Judge::Own && (wrong.1, wrong.2) == (own.index, own.print);
+        let same = wrong.0 != Detector::Own && (wrong.1, wrong.2) == (own.index, own.print);
         let agrees = match others.verdict {
-            Verdict::Matching => own.sound,
-            Verdict::Unheard => own.sound && own.index > 0 && !same,
+            Verdict::Matching => own.verified,
+            Verdict::Unheard => own.verified && own.index > 0 && !same,
             _ => false,
         };
         *clean = if agrees { clean.or(Some(now)) } else { None };
@@ -209,11 +211,11 @@
         if whole && (now >= *until || lonely) || needed {
             self.state = State::Back { until: now + if lonely { 0.0 } else { self.set.ease } };
             (self.standing, self.differs, self.behind) = (Standing::Returning, 0.0, 0.0);
-            return vec![Act::Ease];
+            return vec![Action::AcceptClients];
         }
         if !agrees && now - *asked >= AGAIN {
             *asked = now;
-            return vec![Act::Rebuild, Act::Afresh];
+            return vec![Action::Rebuild, Action::Refetch];
         }
         Vec::new()
     }
--- a/drift-detection/src/verdict.rs
+++ b/drift-detection/src/verdict.rs
@@ -6,20 +6,20 @@
 
 /// What this process knows of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Own {
+pub struct LocalState {
     /// Index of the document that it holds; 0 for none.
     pub index: u64,
     /// Folded print of the tables in force.
     pub print: u32,
     /// The part in which its tables are not what they were built from.
-    pub fault: Option<Part>,
+    pub faulty_part: Option<Part>,
     /// All was looked at since the last change, and nothing was found.
-    pub sound: bool,
+    pub verified: bool,
 }
 
 /// Who found a difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judge {
+pub enum Detector {
     /// The node itself.
     Own,
     /// Others of its kind that agree with each other.
@@ -28,7 +28,7 @@
     Control,
 }
 
-impl Judge {
+impl Detector {
     /// As logs and operators have it.
     pub fn name(self) -> &'static str {
         ["own", "peers", "control"][self as usize]
@@ -45,7 +45,7 @@
     /// The core has a newer document.
     Late,
     /// This node would do something else than it should.
-    Differs(Judge),
+    Differs(Detector),
 }
 
 /// The core's word that there is something newer counts for so long.
@@ -66,7 +66,12 @@
 }
 
 /// Compares with all others that are known.
-pub fn compare<'a>(now: f64, own: &Own, holder: Node, members: impl Iterator<Item = &'a Member>) -> Others {
+pub fn compare<'a>(
+    now: f64,
+    own: &LocalState,
+    holder: Node,
+    members: impl Iterator<Item = &'a Member>,
+) -> Others {
     let mut told: Vec<(u32, usize, bool)> = Vec::new();
     let mut peers: Vec<(u32, usize)> = Vec::new();
     let (mut newest, mut ready, mut served) = (0, 0, Vec::new());
@@ -103,17 +108,17 @@
     let agree = peers.iter().any(|p| p.0 == own.print);
     let late = own.index > 0 && newest > own.index;
     let verdict = match intent {
-        _ if own.fault.is_some() => Verdict::Differs(Judge::Own),
+        _ if own.faulty_part.is_some() => Verdict::Differs(Detector::Own),
         _ if late => Verdict::Late,
         Some(p) if p == own.print => Verdict::Matching,
-        Some(_) => Verdict::Differs(Judge::Control),
+        Some(_) => Verdict::Differs(Detector::Control),
         None if agree => Verdict::Matching,
-        None if peers.iter().any(|p| p.1 >= PAIR) => Verdict::Differs(Judge::Peers),
+        None if peers.iter().any(|p| p.1 >= PAIR) => Verdict::Differs(Detector::Peers),
         None => Verdict::Unheard,
     };
     let witness = match verdict {
         Verdict::Late => served.iter().any(|s| s.0 >= newest),
-        Verdict::Differs(Judge::Control) => peers.iter().any(|p| Some(p.0) == intent),
+        Verdict::Differs(Detector::Control) => peers.iter().any(|p| Some(p.0) == intent),
         _ => ready > 0,
     };
     Others { verdict, ready, witness }
--- a/drift-detection/tests/cost.rs
+++ b/drift-detection/tests/cost.rs
@@ -1,7 +1,7 @@
 //! What the watch costs: `cargo test --release -p lupinledge-drift-detection --test cost -- --ignored --nocapture`.
 
 use lupinledge_config::{Config, Document, Tables};
-use lupinledge_drift_detection::{verdict::compare, Audit, Own, Settings, Watch};
+use lupinledge_drift_detection::{verdict::compare, Audit, DriftMonitor, LocalState, Settings};
 use lupinledge_membership::{Card, Digest, Member, Standing};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -38,16 +38,17 @@
         Member { node: i, incarnation: 1, card, standing: Standing::Alive, since: 0.0, heard: 0.0, digest }
     };
     let members: Vec<Member> = (0..65).map(member).collect();
-    let (mut audit, mut watch) = (Audit::new(1), Watch::new(0.0, Settings::new(2.5)));
+    let (mut audit, mut watch) = (Audit::new(1), DriftMonitor::new(0.0, Settings::new(2.5)));
     let (mut longest, began) = (0.0_f64, Instant::now());
     const SECONDS: u32 = 200;
     for turn in 0..10 * SECONDS {
         let start = Instant::now();
         let due = (turn % 50 == 0).then(|| Tables::new(&d, &BTreeMap::new()).unwrap());
-        let found = audit.turn(&tables, Some(&read), due.as_ref());
-        let own = Own { index: 1, print, fault: found.map(|f| f.part), sound: audit.sound() };
+        let found = audit.step(&tables, Some(&read), due.as_ref());
+        let own =
+            LocalState { index: 1, print, faulty_part: found.map(|f| f.part), verified: audit.is_clean() };
         let now = f64::from(turn) * 0.1;
-        assert!(watch.look(now, &own, &compare(now, &own, 1, members.iter())).is_empty());
+        assert!(watch.evaluate(now, &own, &compare(now, &own, 1, members.iter())).is_empty());
         longest = longest.max(start.elapsed().as_secs_f64());
     }
     let a_second = began.elapsed().as_secs_f64() / f64::from(SECONDS);
--- a/drift-detection/tests/world/mod.rs
+++ b/drift-detection/tests/world/mod.rs
@@ -4,7 +4,9 @@
 
 use fastrand::Rng;
 use lupinledge_config::{Config, Document, Part, Tables};
-use lupinledge_drift_detection::{verdict::compare, Act, Audit, Judge, Own, Settings, Watch};
+use lupinledge_drift_detection::{
+    verdict::compare, Action, Audit, Detector, DriftMonitor, LocalState, Settings,
+};
 use lupinledge_membership::{Card, News, Node, Said, Sends, Source, Spread};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -71,7 +73,7 @@
     serial: u64,
     pub shut: bool,
     audit: Audit,
-    watch: Watch,
+    watch: DriftMonitor,
     look: f64,
     /// When it began to have wrong rules in force, and when it served by them last.
     pub wrong: Option<f64>,
@@ -168,7 +170,7 @@
             serial: 0,
             shut: false,
             audit: Audit::new(self.chance.u64(..)),
-            watch: Watch::new(0.0, Settings::new(APPLY)),
+            watch: DriftMonitor::new(0.0, Settings::new(APPLY)),
             look: self.now + self.chance.f64() * LOOK,
             wrong: None,
             last_wrong: None,
@@ -284,7 +286,7 @@
         if d.serial > e.serial {
             e.serial = d.serial;
             e.tables = Tables::new(&d, &zones()).unwrap();
-            e.audit.renew();
+            e.audit.reset();
             e.config = d.config.as_ref().and_then(|c| Config::read(c).ok());
             e.kept = Some(d);
         }
@@ -334,44 +336,45 @@
         let p = &mut self.procs[i];
         let Some(e) = &mut p.edge else { return };
         e.look = self.now + LOOK;
-        let found = e.audit.turn(&e.tables, e.config.as_ref(), None);
-        let (index, print) = (p.spread.held().digest().state.1, e.audit.live().folded());
+        let found = e.audit.step(&e.tables, e.config.as_ref(), None);
+        let (index, print) = (p.spread.held().digest().state.1, e.audit.live_print().folded());
         p.spread.set_print(index, print);
         if !self.watching {
             return;
         }
-        let own = Own { index, print, fault: found.map(|f| f.part), sound: e.audit.sound() };
+        let own =
+            LocalState { index, print, faulty_part: found.map(|f| f.part), verified: e.audit.is_clean() };
         let others = compare(now, &own, p.spread.held().epoch().1, p.spread.swarm().members());
-        let acts = e.watch.look(now, &own, &others);
+        let acts = e.watch.evaluate(now, &own, &others);
         for act in acts {
             self.act(i, act);
         }
     }
 
-    fn act(&mut self, i: usize, act: Act) {
+    fn act(&mut self, i: usize, act: Action) {
         let right = self.matching(i);
         let p = &mut self.procs[i];
         let Some(e) = &mut p.edge else { return };
         match act {
-            Act::Shut { judge, .. } => {
+            Action::Withdraw { detector, .. } => {
                 (e.shut, e.outs) = (true, e.outs + 1);
                 self.unjust += right as u32;
-                self.judged[judge as usize] += 1;
+                self.judged[detector as usize] += 1;
                 p.spread.set_card(|c| c.ready = false);
             }
-            Act::Rebuild => {
+            Action::Rebuild => {
                 let (kept, serial) = (e.kept.clone(), std::mem::take(&mut e.serial));
                 kept.into_iter().for_each(|d| self.document(i, d));
                 let e = self.procs[i].edge.as_mut().unwrap();
                 e.serial = e.serial.max(serial);
             }
-            Act::Afresh => {
+            Action::Refetch => {
                 e.serial = if e.shut { 0 } else { e.serial.saturating_sub(1) };
                 let out = p.spread.afresh();
                 self.post(i, out);
             }
-            Act::Ease => e.shut = false,
-            Act::Open => drop(p.spread.set_card(|c| c.ready = true)),
+            Action::AcceptClients => e.shut = false,
+            Action::Announce => drop(p.spread.set_card(|c| c.ready = true)),
         }
     }
 
@@ -488,6 +491,6 @@
 }
 
 /// The judge's place in [`World::judged`].
-pub fn judge(j: Judge) -> usize {
+pub fn judge(j: Detector) -> usize {
     j as usize
 }
--- a/gateway/src/program/watched.rs
+++ b/gateway/src/program/watched.rs
@@ -4,32 +4,32 @@
 use lupinledge::time::Point;
 use lupinledge_proxy::counters::Counters;
 use lupinledge_proxy::exchange::Observer;
-use lupinledge_shadow::{Kind, Watch};
+use lupinledge_shadow::{Divergence, ShadowCounter};
 use std::rc::Rc;
 
 /// Puts the counts among the program's, where they stay 0 with nothing to watch for.
 pub fn enter(counters: &Counters) {
-    *counters.further.borrow_mut() = Kind::ALL.map(|k| (format!("watch.{}", k.name()), 0)).into();
+    *counters.further.borrow_mut() = Divergence::ALL.map(|k| (format!("watch.{}", k.name()), 0)).into();
 }
 
 pub struct Watched {
-    watch: Watch,
+    watch: ShadowCounter,
     counters: Rc<Counters>,
 }
 
 impl Watched {
     pub fn new(to_come: Terms, counters: Rc<Counters>) -> Watched {
-        Watched { watch: Watch::new(to_come), counters }
+        Watched { watch: ShadowCounter::new(to_come), counters }
     }
 }
 
 impl Observer for Watched {
     fn events(&mut self, now: Point, events: &[Event]) {
-        self.watch.events(now, events);
+        self.watch.record_events(now, events);
     }
     fn actions(&mut self, now: Point, actions: &[Action]) {
-        self.watch.actions(now, actions);
-        for ((_, n), kind) in self.counters.further.borrow_mut().iter_mut().zip(Kind::ALL) {
+        self.watch.record_actions(now, actions);
+        for ((_, n), kind) in self.counters.further.borrow_mut().iter_mut().zip(Divergence::ALL) {
             *n = self.watch.count(kind);
         }
     }
--- a/invariants/src/lib.rs
+++ b/invariants/src/lib.rs
@@ -23,13 +23,13 @@
     /// The requests counted as unanswered are those that wait for an answer.
     UnansweredCount,
     /// The configuration in force never goes back within one life of a process.
-    ConfigurationForward,
+    ConfigurationMonotonic,
     /// What the core commits never goes back within one life of a process.
-    CommitForward,
+    CommitMonotonic,
     /// A promise or vote is told only once it is on disk.
-    DurableBeforeTold,
+    DurableBeforeSent,
     /// No read of the configuration is older than an acknowledgement that this process gave before.
-    ReadNotOlder,
+    ReadNotStale,
 }
 
 impl Invariant {
@@ -40,10 +40,10 @@
         Invariant::AttemptLimit,
         Invariant::HomeZone,
         Invariant::UnansweredCount,
-        Invariant::ConfigurationForward,
-        Invariant::CommitForward,
-        Invariant::DurableBeforeTold,
-        Invariant::ReadNotOlder,
+        Invariant::ConfigurationMonotonic,
+        Invariant::CommitMonotonic,
+        Invariant::DurableBeforeSent,
+        Invariant::ReadNotStale,
     ];
 
     /// The name in logs and metrics.
@@ -54,10 +54,10 @@
             Invariant::AttemptLimit => "attempt_limit",
             Invariant::HomeZone => "home_zone",
             Invariant::UnansweredCount => "unanswered_count",
-            Invariant::ConfigurationForward => "configuration_forward",
-            Invariant::CommitForward => "commit_forward",
-            Invariant::DurableBeforeTold => "durable_before_told",
-            Invariant::ReadNotOlder => "read_not_older",
+            Invariant::ConfigurationMonotonic => "configuration_forward",
+            Invariant::CommitMonotonic => "commit_forward",
+            Invariant::DurableBeforeSent => "durable_before_told",
+            Invariant::ReadNotStale => "read_not_older",
         }
     }
 }
--- a/shadow/src/lib.rs
+++ b/shadow/src/lib.rs
@@ -8,7 +8,7 @@
 
 /// Kinds of decisions that the terms to come would have taken otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum Divergence {
     /// A dispatch beside another of the same req, where two may not be out at once.
     SecondCopy,
     /// A dispatch more than a req may have.
@@ -25,25 +25,25 @@
     Hint,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 7] = [
-        Kind::SecondCopy,
-        Kind::Attempts,
-        Kind::Repeat,
-        Kind::Denial,
-        Kind::Ceiling,
-        Kind::Unmarked,
-        Kind::Hint,
+impl Divergence {
+    pub const ALL: [Divergence; 7] = [
+        Divergence::SecondCopy,
+        Divergence::Attempts,
+        Divergence::Repeat,
+        Divergence::Denial,
+        Divergence::Ceiling,
+        Divergence::Unmarked,
+        Divergence::Hint,
     ];
     pub fn name(self) -> &'static str {
         match self {
-            Kind::SecondCopy => "second_copy",
-            Kind::Attempts => "attempts",
-            Kind::Repeat => "repeat",
-            Kind::Denial => "denial",
-            Kind::Ceiling => "ceiling",
-            Kind::Unmarked => "unmarked",
-            Kind::Hint => "hint",
+            Divergence::SecondCopy => "second_copy",
+            Divergence::Attempts => "attempts",
+            Divergence::Repeat => "repeat",
+            Divergence::Denial => "denial",
+            Divergence::Ceiling => "ceiling",
+            Divergence::Unmarked => "unmarked",
+            Divergence::Hint => "hint",
         }
     }
 }
@@ -71,31 +71,31 @@
     at: Point,
 }
 
-pub struct Watch {
+pub struct ShadowCounter {
     terms: Terms,
     began: Option<Point>,
     reqs: HashMap<u64, Seen>,
     places: HashMap<u32, (u16, u16)>,
     slices: HashMap<u64, Slice>,
-    counts: [u64; Kind::ALL.len()],
+    counts: [u64; Divergence::ALL.len()],
 }
 
-impl Watch {
+impl ShadowCounter {
     /// With the terms to come. Frontends and plans are those of the terms in force, in the same order.
-    pub fn new(terms: Terms) -> Watch {
+    pub fn new(terms: Terms) -> ShadowCounter {
         let (reqs, places, slices) = Default::default();
-        Watch { terms, began: None, reqs, places, slices, counts: [0; Kind::ALL.len()] }
+        ShadowCounter { terms, began: None, reqs, places, slices, counts: [0; Divergence::ALL.len()] }
     }
 
     /// Shows one round: its events, before the decisions take them.
-    pub fn events(&mut self, now: Point, events: &[Event]) {
+    pub fn record_events(&mut self, now: Point, events: &[Event]) {
         self.began.get_or_insert(now);
         for e in events {
             match e {
                 Event::List { rows, .. } => self.places.extend(rows.iter().map(place)),
                 Event::Req(n) if self.terms.cover(n) => {
                     if n.repeat && !self.terms.marks_repeats {
-                        self.up(Kind::Unmarked);
+                        self.up(Divergence::Unmarked);
                     }
                     let (units, spread) = (n.units, n.spread.max(1.0));
                     let (frontend, plan, customer) = (n.frontend, n.plan, n.customer);
@@ -118,14 +118,14 @@
     }
 
     /// And the actions that the decisions answered it with.
-    pub fn actions(&mut self, now: Point, actions: &[Action]) {
+    pub fn record_actions(&mut self, now: Point, actions: &[Action]) {
         for a in actions {
             match *a {
                 Action::Dispatch { id, srv, .. } => self.dispatch(now, id, srv),
                 Action::Deny { id, back_off } => {
                     let longest = if self.terms.may_hint { self.terms.longest_hint.secs() } else { 0.0 };
                     if back_off.secs() > longest + 1e-6 {
-                        self.up(Kind::Hint);
+                        self.up(Divergence::Hint);
                     }
                     let may = self.reqs.get(&id).is_none_or(|r| {
                         let f = &self.terms.frontends[r.frontend];
@@ -133,7 +133,7 @@
                         f.effect == Effect::Replayable || harmless || !r.sent.iter().any(|t| t.ran)
                     });
                     if !may {
-                        self.up(Kind::Denial);
+                        self.up(Divergence::Denial);
                     }
                     self.over(id);
                 }
@@ -152,10 +152,10 @@
         r.sent.push(Sent { srv, at: now, running: true, ran: true });
         let (plan, units, customer, spread) = (r.plan, r.units, r.customer, r.spread);
         for (kind, holds) in [
-            (Kind::SecondCopy, running && !self.terms.may_duplicate),
-            (Kind::Attempts, attempts),
-            (Kind::Repeat, repeat),
-            (Kind::Ceiling, first && !self.ceiling(now, plan, customer, spread, units)),
+            (Divergence::SecondCopy, running && !self.terms.may_duplicate),
+            (Divergence::Attempts, attempts),
+            (Divergence::Repeat, repeat),
+            (Divergence::Ceiling, first && !self.ceiling(now, plan, customer, spread, units)),
         ] {
             if holds {
                 self.up(kind);
@@ -196,11 +196,11 @@
         }
     }
 
-    fn up(&mut self, kind: Kind) {
+    fn up(&mut self, kind: Divergence) {
         self.counts[kind as usize] += 1;
     }
 
-    pub fn count(&self, kind: Kind) -> u64 {
+    pub fn count(&self, kind: Divergence) -> u64 {
         self.counts[kind as usize]
     }
 
--- a/shadow/tests/kinds.rs
+++ b/shadow/tests/kinds.rs
@@ -2,7 +2,7 @@
 
 use lupinledge::link::*;
 use lupinledge::time::{Point, Span};
-use lupinledge_shadow::{Kind, Watch};
+use lupinledge_shadow::{Divergence, ShadowCounter};
 use Outcome::{Error, NoConnection, Passed};
 
 fn at(secs: f64) -> Point {
@@ -37,11 +37,11 @@
     t
 }
 
-fn watch(effect: Effect, change: impl FnOnce(&mut Terms)) -> Watch {
-    let mut w = Watch::new(terms(effect, change));
+fn watch(effect: Effect, change: impl FnOnce(&mut Terms)) -> ShadowCounter {
+    let mut w = ShadowCounter::new(terms(effect, change));
     let row = |srv: u32, zone| SrvRow { srv, zone, cell: 0, state: SrvState::Ready, weight: 1.0, born: None };
     let rows = vec![row(1, 0), row(2, 0), row(3, 1)];
-    w.events(at(0.0), &[Event::List { kind: ListKind::Full, rows }]);
+    w.record_events(at(0.0), &[Event::List { kind: ListKind::Full, rows }]);
     w
 }
 
@@ -60,50 +60,50 @@
     Action::Dispatch { id, srv, limit: Span::ZERO }
 }
 
-fn counts(w: &Watch) -> Vec<(&'static str, u64)> {
-    Kind::ALL.iter().filter(|k| w.count(**k) > 0).map(|k| (k.name(), w.count(*k))).collect()
+fn counts(w: &ShadowCounter) -> Vec<(&'static str, u64)> {
+    Divergence::ALL.iter().filter(|k| w.count(**k) > 0).map(|k| (k.name(), w.count(*k))).collect()
 }
 
 #[test]
 fn second_copies_and_attempts() {
     let mut w = watch(Effect::Replayable, |t| (t.may_duplicate, t.frontends[0].max_dispatches) = (false, 2));
-    w.events(at(0.1), &[req(1, false)]);
-    w.actions(at(0.1), &[send(1, 1)]);
-    w.actions(at(0.4), &[send(1, 2)]);
+    w.record_events(at(0.1), &[req(1, false)]);
+    w.record_actions(at(0.1), &[send(1, 1)]);
+    w.record_actions(at(0.4), &[send(1, 2)]);
     assert_eq!(counts(&w), [("second_copy", 1)]);
-    w.events(at(0.5), &[ended(1, 0, Error), ended(1, 1, Error)]);
-    w.actions(at(0.5), &[send(1, 3)]);
+    w.record_events(at(0.5), &[ended(1, 0, Error), ended(1, 1, Error)]);
+    w.record_actions(at(0.5), &[send(1, 3)]);
     assert_eq!(counts(&w), [("second_copy", 1), ("attempts", 1)]);
     // as long as nothing of it is out, a req that has ended is not kept
-    w.events(at(0.6), &[ended(1, 2, Passed)]);
+    w.record_events(at(0.6), &[ended(1, 2, Passed)]);
     assert_eq!(w.open(), 0);
 }
 
 #[test]
 fn what_must_not_run_twice() {
     let mut w = watch(Effect::NonReplayable, |_| {});
-    w.events(at(0.1), &[req(1, false), req(2, false)]);
-    w.actions(at(0.1), &[send(1, 1), send(2, 1)]);
-    w.events(at(0.2), &[ended(1, 0, NoConnection), ended(2, 0, Error)]);
-    w.actions(at(0.2), &[send(1, 2)]); // it never ran
+    w.record_events(at(0.1), &[req(1, false), req(2, false)]);
+    w.record_actions(at(0.1), &[send(1, 1), send(2, 1)]);
+    w.record_events(at(0.2), &[ended(1, 0, NoConnection), ended(2, 0, Error)]);
+    w.record_actions(at(0.2), &[send(1, 2)]); // it never ran
     assert_eq!(counts(&w), []);
-    w.actions(at(0.2), &[send(2, 2)]);
-    w.events(at(0.3), &[ended(2, 1, Error)]);
-    w.actions(at(0.3), &[Action::Deny { id: 2, back_off: Span::ZERO }]);
+    w.record_actions(at(0.2), &[send(2, 2)]);
+    w.record_events(at(0.3), &[ended(2, 1, Error)]);
+    w.record_actions(at(0.3), &[Action::Deny { id: 2, back_off: Span::ZERO }]);
     assert_eq!(counts(&w), [("repeat", 1), ("denial", 1)]);
 }
 
 #[test]
 fn a_uniqued_req_stays_in_its_zone_and_memory() {
     let mut w = watch(Effect::Uniqued, |t| t.frontends[0].max_dispatches = 9);
-    w.events(at(0.1), &[req(1, false)]);
-    w.actions(at(0.1), &[send(1, 1)]);
-    w.events(at(0.2), &[ended(1, 0, Error)]);
-    w.actions(at(0.2), &[send(1, 2)]);
+    w.record_events(at(0.1), &[req(1, false)]);
+    w.record_actions(at(0.1), &[send(1, 1)]);
+    w.record_events(at(0.2), &[ended(1, 0, Error)]);
+    w.record_actions(at(0.2), &[send(1, 2)]);
     assert_eq!(counts(&w), []);
-    w.actions(at(0.3), &[send(1, 3)]);
+    w.record_actions(at(0.3), &[send(1, 3)]);
     assert_eq!(counts(&w), [("repeat", 1)]);
-    w.actions(at(2.2), &[send(1, 2)]);
+    w.record_actions(at(2.2), &[send(1, 2)]);
     assert_eq!(counts(&w), [("repeat", 2)]);
 }
 
@@ -112,16 +112,16 @@
     let mut w = watch(Effect::Replayable, |t| {
         (t.plans[0].ceiling_rate, t.plans[0].ceiling_burst) = (4.0, 8.0);
     });
-    w.events(at(0.5), &[req(1, false), req(2, false), req(3, false), req(4, false)]);
-    w.actions(at(0.5), &[send(1, 1)]); // one unit of two is there
+    w.record_events(at(0.5), &[req(1, false), req(2, false), req(3, false), req(4, false)]);
+    w.record_actions(at(0.5), &[send(1, 1)]); // one unit of two is there
     assert_eq!(counts(&w), [("ceiling", 1)]);
-    w.actions(at(1.5), &[send(2, 1)]);
+    w.record_actions(at(1.5), &[send(2, 1)]);
     assert_eq!(counts(&w), [("ceiling", 1)]);
-    w.actions(at(1.5), &[send(3, 1)]);
+    w.record_actions(at(1.5), &[send(3, 1)]);
     assert_eq!(counts(&w), [("ceiling", 2)]);
     // a further dispatch of the same req takes nothing
-    w.events(at(1.6), &[ended(3, 0, Error)]);
-    w.actions(at(1.6), &[send(3, 2)]);
+    w.record_events(at(1.6), &[ended(3, 0, Error)]);
+    w.record_actions(at(1.6), &[send(3, 2)]);
     assert_eq!(counts(&w), [("ceiling", 2)]);
 }
 
@@ -130,9 +130,9 @@
     let mut w = watch(Effect::Replayable, |t| {
         (t.marks_repeats, t.longest_hint) = (false, Span::from_secs(0.2));
     });
-    w.events(at(0.1), &[req(1, true), req(2, false)]);
+    w.record_events(at(0.1), &[req(1, true), req(2, false)]);
     let hint = |id, secs| Action::Deny { id, back_off: Span::from_secs(secs) };
-    w.actions(at(0.1), &[hint(1, 0.1), hint(2, 0.3)]);
+    w.record_actions(at(0.1), &[hint(1, 0.1), hint(2, 0.3)]);
     assert_eq!(counts(&w), [("unmarked", 1), ("hint", 1)]);
     assert_eq!(w.open(), 0);
 }
@@ -140,9 +140,9 @@
 #[test]
 fn the_same_terms_count_nothing() {
     let mut w = watch(Effect::Replayable, |_| {});
-    w.events(at(0.1), &[req(1, true)]);
-    w.actions(at(0.1), &[send(1, 1), send(1, 2)]);
-    w.events(at(0.2), &[Event::Left { id: 1 }, ended(1, 0, Outcome::Cancelled)]);
-    w.events(at(0.3), &[ended(1, 1, Outcome::Cancelled)]);
+    w.record_events(at(0.1), &[req(1, true)]);
+    w.record_actions(at(0.1), &[send(1, 1), send(1, 2)]);
+    w.record_events(at(0.2), &[Event::Left { id: 1 }, ended(1, 0, Outcome::Cancelled)]);
+    w.record_events(at(0.3), &[ended(1, 1, Outcome::Cancelled)]);
     assert_eq!((counts(&w), w.open()), (vec![], 0));
 }
--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -6,7 +6,7 @@
 use lupinledge_config::turns::Caller;
 use lupinledge_config::{Answer, Document, Judged, Turns};
 use lupinledge_consensus::{Ballot, Kept, Msg, Out as Ordered, Outcome, Queen, Settings};
-use lupinledge_counters::duty::Duty;
+use lupinledge_counters::holder::CounterHolder;
 use lupinledge_membership::{Member, News, Source, Spread, Standing};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
     leads: Option<u64>,
     /// The epoch whose holder was heard last, or that was held here, and the holder.
     known: (u64, Node),
-    pub(crate) duty: Duty,
+    pub(crate) duty: CounterHolder,
     /// The epoch that its counters are of, and when they are to be looked at.
     pub(crate) counts: (Option<u64>, f64),
     tickets: u64,
@@ -70,7 +70,7 @@
             told: Rc::from([]),
             leads: None,
             known: (0, 0),
-            duty: Duty::default(),
+            duty: CounterHolder::default(),
             counts: (None, now),
             tickets: 0,
             asked: BTreeMap::new(),
@@ -133,7 +133,7 @@
 
     pub(crate) fn heard(&mut self, now: f64, from: Node, say: Say, out: &mut Out) {
         if let Some(counters) = self.duty.counters() {
-            counters.heard(now, from);
+            counters.record_contact(now, from);
         }
         match say {
             Say::Spread(said) => {
--- a/simulation/src/counts.rs
+++ b/simulation/src/counts.rs
@@ -5,8 +5,8 @@
 use crate::process::{Out, Say, Told};
 use crate::world::Order;
 use crate::Flaw;
-use lupinledge_counters::duty::{Answer, Look, Seen};
-use lupinledge_counters::told::{Part, Told as Sum};
+use lupinledge_counters::handover::{HandoverEntry as Sum, HandoverPart};
+use lupinledge_counters::holder::{Answer, GatewayStatus, HandoverStatus};
 use lupinledge_counters::Incarnation;
 use lupinledge_membership::{Member, Standing};
 
@@ -19,7 +19,7 @@
     fn hold(&mut self, now: f64) -> Option<u64> {
         let unheld = self.counts.0.filter(|_| self.flaw == Flaw::CountsUnheld);
         let epoch = self.queen.leads(now).or(unheld)?;
-        self.duty.hold(now, epoch);
+        self.duty.start_epoch(now, epoch);
         self.counts.0 = Some(epoch);
         Some(epoch)
     }
@@ -29,19 +29,20 @@
         let Some(epoch) = self.hold(now) else { return };
         let seen = |m: &Member| {
             let (alive, gone) = (m.standing == Standing::Alive, m.standing == Standing::Gone);
-            Seen { node: m.node, alive, leaving: m.card.leaving, gone }
+            GatewayStatus { node: m.node, alive, leaving: m.card.leaving, gone }
         };
-        let gateways: Vec<Seen> = self.spread.swarm().members().filter(|m| !m.card.core).map(seen).collect();
-        let look = self.duty.look(now, &gateways);
-        if matches!(look, Look::Ask(_)) {
+        let gateways: Vec<GatewayStatus> =
+            self.spread.swarm().members().filter(|m| !m.card.core).map(seen).collect();
+        let look = self.duty.poll(now, &gateways);
+        if matches!(look, HandoverStatus::Collecting(_)) {
             self.counts.1 = now + ASK;
         }
         match look {
-            Look::Whole(_) if self.flaw == Flaw::CountsAsked => {}
-            Look::Whole(nodes) | Look::Ask(nodes) => {
+            HandoverStatus::Serving(_) if self.flaw == Flaw::CountsAsked => {}
+            HandoverStatus::Serving(nodes) | HandoverStatus::Collecting(nodes) => {
                 out.extend(nodes.into_iter().map(|node| Order::Cast(node, Say::Hold { epoch })));
             }
-            Look::Closed(answers, _) => {
+            HandoverStatus::Completed(answers, _) => {
                 answers.into_iter().for_each(|answer| self.answer(epoch, answer, out));
             }
         }
@@ -58,13 +59,13 @@
     /// What was told for another epoch that this process held, and waited, is none.
     pub(crate) fn gather(&mut self, now: f64, of: u64, from: Incarnation, told: &[Sum], out: &mut Out) {
         let Some(epoch) = self.hold(now).filter(|epoch| *epoch == of) else { return };
-        let before = self.duty.counters().is_some_and(|counters| !counters.whole());
+        let before = self.duty.counters().is_some_and(|counters| !counters.is_complete());
         for sum in told {
             out.push(Order::Tell(Told::Put { epoch, from, name: sum.name, sum: sum.sum }));
             out.push(Order::Tell(Told::Gathered { epoch, from, told: *sum, before }));
         }
         if self.flaw != Flaw::CountsDeaf {
-            self.duty.tell(now, epoch, from, &Part::whole(told.to_vec()));
+            self.duty.receive_handover(now, epoch, from, &HandoverPart::single(told.to_vec()));
         }
     }
 
@@ -84,7 +85,7 @@
             out.push(Order::Tell(Told::Put { epoch, from, name: *name, sum: *sum }));
         }
         let calls = calls.iter().map(|(name, sum)| (*name, *sum, NAME_LIFE));
-        if let Some(totals) = self.duty.count(now, from, tag, calls) {
+        if let Some(totals) = self.duty.apply_call(now, from, tag, calls) {
             self.answer(epoch, Answer { from, tag, totals }, out);
         }
     }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -6,7 +6,7 @@
 use crate::{Flaw, Node};
 use lupinledge_config::Document;
 use lupinledge_consensus::{Ballot, Kept};
-use lupinledge_counters::own::Own;
+use lupinledge_counters::local_sums::LocalSums;
 use lupinledge_counters::Total;
 use lupinledge_membership::{News, Said, Spread};
 use std::collections::VecDeque;
@@ -42,7 +42,7 @@
     took: f64,
     old: patched::Old,
     pub(crate) incarnation: u32,
-    own: Own,
+    own: LocalSums,
     holder: (u64, Node),
     /// Whom to ask for the clock, when next, and whether it is known.
     seeds: Vec<Node>,
@@ -67,7 +67,7 @@
             took: f64::NEG_INFINITY,
             old: patched::Old::new(),
             incarnation: run as u32,
-            own: Own::default(),
+            own: LocalSums::default(),
             holder: (0, 0),
             seeds: seeds.to_vec(),
             began: now,
@@ -174,7 +174,7 @@
 
     /// Tells a new holder what the one before was told.
     fn tell(&self, now: f64, out: &mut Out) {
-        let told = self.own.told(now);
+        let told = self.own.handover(now);
         let (epoch, holder) = self.holder;
         out.push(Order::Send(holder, Say::Told { epoch, incarnation: self.incarnation, told }));
     }
@@ -205,7 +205,7 @@
         if totals.len() == NAMES.len() {
             let totals: Vec<(u64, f64)> = NAMES.into_iter().zip(totals.iter().copied()).collect();
             for ((name, total), sum) in totals.iter().zip(&call.sums) {
-                self.own.total(now, *name, *sum, Total { counted: *total, level: None });
+                self.own.record_total(now, *name, *sum, Total { counted: *total, level: None });
             }
             out.push(Order::Tell(Told::Counted { epoch, totals }));
         }
--- a/simulation/src/process.rs
+++ b/simulation/src/process.rs
@@ -6,7 +6,7 @@
 use crate::Node;
 use lupinledge_config::{Answer, Document};
 use lupinledge_consensus::{Ballot, Kept, Msg, Value};
-use lupinledge_counters::{told::Told as Sum, Incarnation};
+use lupinledge_counters::{handover::HandoverEntry as Sum, Incarnation};
 use lupinledge_membership::{Card, Said, Sends};
 use std::rc::Rc;
 
--- a/simulation/src/sums.rs
+++ b/simulation/src/sums.rs
@@ -1,6 +1,6 @@
 //! The plain model of the counters: what was added, what holders were told, and what totals may be.
 
-use lupinledge_counters::told::Told;
+use lupinledge_counters::handover::HandoverEntry;
 use lupinledge_counters::Incarnation;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -52,7 +52,7 @@
     /// A holder hears what a gateway had told before; `before` its totals are whole. What the gateway added since the
     /// last total that it was told may be in the totals of others already, and is taken for others' then: so much may
     /// be counted twice from here on. So is what was counted twice for a while, if that total is told to the next holder.
-    pub fn gathered(&mut self, epoch: u64, from: Incarnation, told: Told, before: bool) {
+    pub fn gathered(&mut self, epoch: u64, from: Incarnation, told: HandoverEntry, before: bool) {
         let count = self.counts.entry((epoch, told.name)).or_default();
         let twice = &mut self.added.entry(told.name).or_default().1;
         if before {
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -5,10 +5,10 @@
 use lupinledge::link::*;
 use lupinledge::tables::Basis;
 use lupinledge::time::{Point, Span};
-use lupinledge_counters::duty::{Duty, Look, Seen};
-use lupinledge_counters::own::Own;
+use lupinledge_counters::handover::HandoverPart;
+use lupinledge_counters::holder::{CounterHolder, GatewayStatus, HandoverStatus};
+use lupinledge_counters::local_sums::LocalSums;
 use lupinledge_counters::store::Quota;
-use lupinledge_counters::told::Part;
 use lupinledge_counters::{Node, Total};
 use std::collections::BTreeMap;
 
@@ -87,7 +87,7 @@
     link: (Link, u64),
     /// It stands still until then.
     frozen: u64,
-    own: Own,
+    own: LocalSums,
     tag: u64,
     /// Calls that wait until the totals of a new holder are whole, by tag, and until when.
     waiting: BTreeMap<u64, (Call, u64)>,
@@ -115,7 +115,7 @@
     /// Another life of it begins at `back`; nothing of the one before is left.
     fn start_anew(&mut self, seed: u64, gateways: usize, back: u64) {
         self.pools = pools(seed, gateways, self.pools.len(), back);
-        (self.own, self.tag, self.frozen, self.away) = (Own::default(), 0, 0, back);
+        (self.own, self.tag, self.frozen, self.away) = (LocalSums::default(), 0, 0, back);
         self.incarnation += 1;
         self.waiting.clear();
     }
@@ -126,7 +126,7 @@
     }
 
     fn answered(&mut self, at: u64, (pool, name, sum): Call, total: Total) {
-        self.own.total(at as f64 / 1e3, name, sum, total);
+        self.own.record_total(at as f64 / 1e3, name, sum, total);
         let Total { counted, level } = total;
         self.hears(pool, at, Event::Counted { name, total: counted, level, how: Outcome::Passed });
     }
@@ -134,7 +134,7 @@
 
 /// The holder of the counters, as the control plane drives it.
 struct Holder {
-    duty: Duty,
+    duty: CounterHolder,
     epoch: u64,
     look_at: u64,
     take_over: u64,
@@ -154,7 +154,7 @@
         if link == Link::Cut {
             return gateway.hears(pool, now + CALL_WAIT, late);
         }
-        match self.duty.count(secs, from, tag, [(name, sum, life)].into_iter()) {
+        match self.duty.apply_call(secs, from, tag, [(name, sum, life)].into_iter()) {
             Some(totals) if link == Link::Sound => gateway.answered(now + TRIP, (pool, name, sum), totals[0]),
             Some(_) => gateway.hears(pool, now + CALL_WAIT, late),
             None => {
@@ -167,30 +167,30 @@
     fn look(&mut self, now: u64, gateways: &mut [Gateway]) {
         let secs = now as f64 / 1e3;
         for gateway in gateways.iter().filter(|g| g.there(now)) {
-            self.duty.counters().unwrap().heard(secs, gateway.node);
+            self.duty.counters().unwrap().record_contact(secs, gateway.node);
         }
-        let seen: Vec<Seen> = gateways
+        let seen: Vec<GatewayStatus> = gateways
             .iter()
-            .map(|g| Seen { node: g.node, alive: g.there(now), leaving: false, gone: false })
+            .map(|g| GatewayStatus { node: g.node, alive: g.there(now), leaving: false, gone: false })
             .collect();
-        let tell = |duty: &mut Duty, epoch: u64, asked: Vec<Node>| {
+        let tell = |duty: &mut CounterHolder, epoch: u64, asked: Vec<Node>| {
             for gateway in gateways.iter().filter(|g| asked.contains(&g.node) && g.there(now)) {
-                duty.tell(
+                duty.receive_handover(
                     secs,
                     epoch,
                     (gateway.node, gateway.incarnation),
-                    &Part::whole(gateway.own.told(secs)),
+                    &HandoverPart::single(gateway.own.handover(secs)),
                 );
             }
         };
         self.look_at = now + 250;
-        match self.duty.look(secs, &seen) {
-            Look::Whole(asked) => tell(&mut self.duty, self.epoch, asked),
-            Look::Ask(asked) => {
+        match self.duty.poll(secs, &seen) {
+            HandoverStatus::Serving(asked) => tell(&mut self.duty, self.epoch, asked),
+            HandoverStatus::Collecting(asked) => {
                 self.look_at = now + 50;
                 tell(&mut self.duty, self.epoch, asked);
             }
-            Look::Closed(answers, _) => {
+            HandoverStatus::Completed(answers, _) => {
                 for answer in answers {
                     let Some(gateway) = gateways.iter_mut().find(|g| g.node == answer.from.0) else {
                         continue;
@@ -287,13 +287,14 @@
             pools: of_pools(nth as u64),
             link: (Link::Sound, BEGIN + 1_500 + rng.u64(..1_000)),
             frozen: 0,
-            own: Own::default(),
+            own: LocalSums::default(),
             tag: 0,
             waiting: BTreeMap::new(),
         })
         .collect();
     let first = if weather.holders > 0 { BEGIN + 2_000 + rng.u64(..weather.holders) } else { u64::MAX };
-    let mut holder = Holder { duty: Duty::default(), epoch: 0, look_at: BEGIN, take_over: BEGIN, away: 0 };
+    let mut holder =
+        Holder { duty: CounterHolder::default(), epoch: 0, look_at: BEGIN, take_over: BEGIN, away: 0 };
     let (mut sends, mut next): (Vec<(usize, usize)>, u64) = (Vec::new(), 0);
     for now in BEGIN..BEGIN + SPAN {
         let secs = now as f64 / 1e3;
@@ -309,8 +310,8 @@
             };
             holder.epoch += 1;
             holder.look_at = now;
-            holder.duty.hold(secs, holder.epoch);
-            holder.duty.counters().unwrap().quota(CUSTOMER, Quota { rate: RATE, size: STORE });
+            holder.duty.start_epoch(secs, holder.epoch);
+            holder.duty.counters().unwrap().set_quota(CUSTOMER, Quota { rate: RATE, size: STORE });
             gateways.iter_mut().for_each(|g| g.end_all(now));
         }
         if now >= holder.look_at && now >= holder.away {
