--- a/counters/src/handover.rs
+++ b/counters/src/handover.rs
@@ -1,220 +1,228 @@
-//! How a new holder's counters become whole: gateways tell what they had told the one before.
+//! How the counters of a new holder become complete: gateways send what they had reported to the previous holder.
 //!
-//! Each tells, of each name, its own sum now, the last total that it was told, and what its sum was in that total.
-//! The largest total less the sums within it is what gateways had added that do not tell: it stays counted as
-//! lost, and those that are known to be there somewhere are presumed to go on with that part ([`crate::silence`]).
+//! For each name, a gateway sends its own sum now, the last total that it received, and which part of its sum was in
+//! that total. The largest total minus the sums within it was added by gateways that have not taken part: it stays
+//! counted as lost, and the known gateways that are missing are presumed to continue that share ([`crate::silence`]).
 
-use crate::silence::NODES_MOST;
+use crate::silence::MAX_NODES;
 use crate::store::Reading;
-use crate::{customer, of_use, Counters, Incarnation, Node};
+use crate::{customer, is_usage, Counters, Incarnation, Node};
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, HashMap};
 
-/// What one gateway tells of one name.
+/// What one gateway hands over for one name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HandoverEntry {
+    /// The counter's name.
     pub name: u64,
-    /// All that it ever added, units.
+    /// Everything that the gateway ever added, in units.
     pub sum: f64,
-    /// What of that was in the last total that it was told.
+    /// The part of `sum` that was in the last total that the gateway received.
     pub within: f64,
-    /// That total; 0 before the first.
+    /// The last total that the gateway received; 0 before the first.
     pub total: f64,
     /// Seconds that the name is kept after its last use.
     pub life: f64,
-    /// What was left in the customer's store with that total, if it was told.
+    /// What was left in the customer's store with that total, if it was sent.
     pub store: Option<Reading>,
 }
 
-/// What one gateway tells comes in parts where it is more than this many names: a message then holds some ten kilobytes.
-pub const PART_MOST: usize = 512;
-/// Most parts: as many as a set of 64 bits holds.
-const PARTS_MOST: usize = 64;
+/// With more names than this, a gateway's handover is split; the message of a part is then about ten kilobytes.
+pub const NAMES_PER_PART: usize = 512;
+/// Maximum number of parts: the bits of a 64-bit set.
+const MAX_PARTS: usize = 64;
 
-/// One part of what a gateway tells: that of the names whose customers fall to it.
+/// One part of a gateway's handover: the names whose customers are assigned to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandoverPart {
-    /// Which one it is, of how many.
+    /// Position of this part, from 0.
     pub index: u8,
+    /// Number of parts in the handover.
     pub count: u8,
+    /// The names in this part.
     pub entries: Vec<HandoverEntry>,
 }
 
 impl HandoverPart {
-    /// All of it.
-    pub fn single(told: Vec<HandoverEntry>) -> HandoverPart {
-        HandoverPart { index: 0, count: 1, entries: told }
+    /// The whole handover in one part.
+    pub fn single(entries: Vec<HandoverEntry>) -> HandoverPart {
+        HandoverPart { index: 0, count: 1, entries }
     }
 
-    /// Cuts what is told into parts. A name falls to the same one each time it is told, whatever else is.
-    pub fn split(told: Vec<HandoverEntry>) -> Vec<HandoverPart> {
-        let of = told.len().div_ceil(PART_MOST).next_power_of_two().min(PARTS_MOST);
-        let empty = |nth| HandoverPart { index: nth as u8, count: of as u8, entries: Vec::new() };
-        let mut parts: Vec<HandoverPart> = (0..of).map(empty).collect();
-        for told in told {
-            // customers are numbers of a hash: their lowest bits are as good as any
-            parts[customer(told.name) as usize % of].entries.push(told);
+    /// Splits a handover into parts. For a given number of parts, a name is always in the same part, whatever other
+    /// names there are.
+    pub fn split(entries: Vec<HandoverEntry>) -> Vec<HandoverPart> {
+        let count = entries.len().div_ceil(NAMES_PER_PART).next_power_of_two().min(MAX_PARTS);
+        let empty = |index| HandoverPart { index: index as u8, count: count as u8, entries: Vec::new() };
+        let mut parts: Vec<HandoverPart> = (0..count).map(empty).collect();
+        for entry in entries {
+            // customer numbers are hashes, so their lowest bits are evenly distributed
+            parts[customer(entry.name) as usize % count].entries.push(entry);
         }
         parts
     }
 }
 
-/// Which parts of a gateway's were heard.
+/// Which parts of a gateway's handover were received.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
-    of: u8,
-    parts: u64,
+struct ReceivedParts {
+    count: u8,
+    bits: u64,
 }
 
-/// Who told what.
+/// What has been received of the handovers.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Gathering {
-    told: BTreeSet<Node>,
-    /// Of those that have told a part alone.
-    partly: HashMap<Node, Heard>,
-    /// By name of use, until the counters are whole.
-    before: HashMap<u64, Before>,
-    /// By customer, the newest reading of its store that was told, until the counters are whole.
-    readings: HashMap<u64, Read>,
-    whole: bool,
+pub(crate) struct HandoverProgress {
+    finished: BTreeSet<Node>,
+    /// Gateways of which some parts are missing.
+    partial: HashMap<Node, ReceivedParts>,
+    /// By usage name, until the counters are complete.
+    previous: HashMap<u64, PreviousTotal>,
+    /// By customer, the newest reading of its store, until the counters are complete.
+    readings: HashMap<u64, TimedReading>,
+    complete: bool,
 }
 
-/// Of one name: the largest total, the sums within the totals, and the largest of these sums.
+/// For one name: the largest total received, the sums within the totals, and the largest of these sums.
 #[derive(Clone, Copy, Debug, Default)]
-struct Before {
+struct PreviousTotal {
     total: f64,
     within: f64,
-    most: f64,
+    largest: f64,
 }
 
-/// When a gateway read a store, what it read, and of which name with what total.
+/// When a gateway received the level of a store, the level, and the name and total that came with it.
 #[derive(Clone, Copy, Debug)]
-struct Read {
+struct TimedReading {
     at: f64,
     level: f64,
     name: u64,
     total: f64,
 }
 
-impl Gathering {
-    /// Takes a reading of a store, where it is newer than those before.
-    fn read(&mut self, now: f64, told: &HandoverEntry) {
-        let Some(Reading { level, age }) = told.store.filter(|r| r.level.is_finite() && r.age >= 0.0) else {
+impl HandoverProgress {
+    /// Keeps the reading of a store if it is newer than the one kept.
+    fn record_reading(&mut self, now: f64, entry: &HandoverEntry) {
+        let Some(Reading { level, age }) = entry.store.filter(|r| r.level.is_finite() && r.age >= 0.0) else {
             return;
         };
-        let read = Read { at: now - age, level, name: told.name, total: told.total };
-        let newest = self.readings.entry(customer(told.name)).or_insert(read);
-        if read.at > newest.at {
-            *newest = read;
+        let reading = TimedReading { at: now - age, level, name: entry.name, total: entry.total };
+        let newest = self.readings.entry(customer(entry.name)).or_insert(reading);
+        if reading.at > newest.at {
+            *newest = reading;
         }
     }
 
-    /// Notes that the gateway told this part; whether it did so for the first time. One that cuts what it tells into
-    /// another number of parts than before begins anew, and what was within its totals is not taken again.
-    fn first(&mut self, node: Node, part: &HandoverPart) -> bool {
-        let sound = part.index < part.count && usize::from(part.count) <= PARTS_MOST;
-        let room = self.told.len() + self.partly.len() < NODES_MOST || self.partly.contains_key(&node);
-        if !sound || !room || self.told.contains(&node) {
+    /// Records that a part was received; returns whether it came for the first time. A gateway that splits its handover
+    /// into a different number of parts than before starts over, and the amounts within its totals are not added
+    /// again.
+    fn record_part(&mut self, node: Node, part: &HandoverPart) -> bool {
+        let valid = part.index < part.count && usize::from(part.count) <= MAX_PARTS;
+        let has_room =
+            self.finished.len() + self.partial.len() < MAX_NODES || self.partial.contains_key(&node);
+        if !valid || !has_room || self.finished.contains(&node) {
             return false;
         }
-        let heard = self.partly.entry(node).or_insert(Heard { of: part.count, parts: 0 });
-        let again = heard.of != part.count || heard.parts >> part.index & 1 == 1;
-        if heard.of != part.count {
-            *heard = Heard { of: part.count, parts: 0 };
+        let received = self.partial.entry(node).or_insert(ReceivedParts { count: part.count, bits: 0 });
+        let repeated = received.count != part.count || received.bits >> part.index & 1 == 1;
+        if received.count != part.count {
+            *received = ReceivedParts { count: part.count, bits: 0 };
         }
-        heard.parts |= 1 << part.index;
-        if heard.parts.count_ones() == u32::from(heard.of) {
-            self.partly.remove(&node);
-            self.told.insert(node);
+        received.bits |= 1 << part.index;
+        if received.bits.count_ones() == u32::from(received.count) {
+            self.partial.remove(&node);
+            self.finished.insert(node);
         }
-        !again
+        !repeated
     }
 }
 
 impl Counters {
-    /// Whether totals are those of all, and not of those alone that were heard so far.
+    /// Whether totals include all gateways, and not only those whose messages were received so far.
     pub fn is_complete(&self) -> bool {
-        self.gathering.whole
+        self.handover.complete
     }
 
-    /// Whether a gateway has told what there was before.
-    pub fn told(&self, node: Node) -> bool {
-        self.gathering.told.contains(&node)
+    /// Whether the handover of a gateway was received in full.
+    pub fn has_handover_from(&self, node: Node) -> bool {
+        self.handover.finished.contains(&node)
     }
 
-    /// Whether any gateway has.
-    pub fn any_told(&self) -> bool {
-        !self.gathering.told.is_empty()
+    /// Whether the handover of any gateway was received in full.
+    pub fn has_any_handover(&self) -> bool {
+        !self.handover.finished.is_empty()
     }
 
-    /// What a gateway had told the holder before, from itself: to be heard ahead of its first sum. Of one that tells
-    /// late, what was taken for lost is counted no more.
-    pub fn tell(&mut self, now: f64, from: Incarnation, part: &HandoverPart) {
+    /// Receives from a gateway what it had reported to the previous holder; must be called before its first sum is
+    /// recorded. If the counters are complete already, what was counted as lost is reduced by what is found.
+    pub fn receive_handover(&mut self, now: f64, from: Incarnation, part: &HandoverPart) {
         self.record_contact(now, from.0);
-        let first = self.gathering.first(from.0, part);
-        let sound =
-            |t: &HandoverEntry| first && of_use(t.name) && t.total.is_finite() && t.within.is_finite();
-        for t in &part.entries {
-            let more = self.add(now, from, t.name, t.sum, t.life);
-            let found = if sound(t) { self.found(t) } else { 0.0 };
-            self.take(from.0, t.name, more - found);
+        let first = self.handover.record_part(from.0, part);
+        let valid =
+            |e: &HandoverEntry| first && is_usage(e.name) && e.total.is_finite() && e.within.is_finite();
+        for entry in &part.entries {
+            let increase = self.apply_sum(now, from, entry.name, entry.sum, entry.life);
+            let found = if valid(entry) { self.recover_lost(entry) } else { 0.0 };
+            self.charge_store(from.0, entry.name, increase - found);
         }
     }
 
-    /// What of the lost part of a name's total is this gateway's, which tells it now: it is counted no more. Until the
-    /// counters are whole nothing is taken for lost yet.
-    fn found(&mut self, told: &HandoverEntry) -> f64 {
-        match (self.gathering.whole, self.names.get_mut(&told.name)) {
-            (true, Some(kept)) => {
-                let found = told.within.clamp(0.0, kept.lost);
-                (kept.lost, kept.total) = (kept.lost - found, kept.total - found);
+    /// Subtracts from the lost part of a name's total what this gateway now hands over. Until the counters are complete
+    /// nothing is counted as lost, and the entry is only collected.
+    fn recover_lost(&mut self, entry: &HandoverEntry) -> f64 {
+        match (self.handover.complete, self.names.get_mut(&entry.name)) {
+            (true, Some(state)) => {
+                let found = entry.within.clamp(0.0, state.lost);
+                (state.lost, state.total) = (state.lost - found, state.total - found);
                 found
             }
             _ => {
-                let b = self.gathering.before.entry(told.name).or_default();
-                (b.total, b.within, b.most) =
-                    (b.total.max(told.total), b.within + told.within, b.most.max(told.within));
-                self.gathering.read(self.now, told);
+                let p = self.handover.previous.entry(entry.name).or_default();
+                (p.total, p.within, p.largest) =
+                    (p.total.max(entry.total), p.within + entry.within, p.largest.max(entry.within));
+                self.handover.record_reading(self.now, entry);
                 0.0
             }
         }
     }
 
-    /// From here on totals count. `missing`: gateways that are known and did not tell; they may go on out of sight.
-    pub fn close(&mut self, now: f64, missing: &[Node]) {
+    /// Ends the handover: totals are valid from here on. `missing` are known gateways whose handover was not received;
+    /// they may still be serving while unreachable.
+    pub fn complete_handover(&mut self, now: f64, missing: &[Node]) {
         self.tick(now);
-        if std::mem::replace(&mut self.gathering.whole, true) {
+        if std::mem::replace(&mut self.handover.complete, true) {
             return;
         }
-        let missing: Vec<Node> = missing.iter().copied().filter(|n| !self.told(*n)).collect();
+        let missing: Vec<Node> = missing.iter().copied().filter(|n| !self.has_handover_from(*n)).collect();
         let now = self.now;
         missing.iter().for_each(|node| self.record_contact(now, *node));
-        for (name, b) in std::mem::take(&mut self.gathering.before) {
-            let lost = (b.total - b.within).max(0.0);
-            if let Some(kept) = self.names.get_mut(&name) {
-                (kept.lost, kept.total) = (lost, kept.total + lost);
+        for (name, p) in std::mem::take(&mut self.handover.previous) {
+            let lost = (p.total - p.within).max(0.0);
+            if let Some(state) = self.names.get_mut(&name) {
+                (state.lost, state.total) = (lost, state.total + lost);
             }
-            // what ended processes had used is lost too, and does not go on: no one that is missing has a larger part
-            // than the largest that tells
-            let each = (lost / missing.len().max(1) as f64).min(if b.most > 0.0 { b.most } else { lost });
-            missing.iter().for_each(|&n| self.silence.used(self.now, n, customer(name), each));
+            // What ended processes had used is lost too but does not continue, so no missing gateway is given more
+            // usage than the largest of the gateways that took part.
+            let each =
+                (lost / missing.len().max(1) as f64).min(if p.largest > 0.0 { p.largest } else { lost });
+            missing.iter().for_each(|&n| self.silence.record_usage(self.now, n, customer(name), each));
         }
         self.resume_stores();
     }
 
-    /// The stores go on from the newest readings that were told. What was counted since is the use of the name that was
-    /// read beyond the total with it, and all use of later names.
+    /// Continues the stores from the newest readings. What was counted since a reading is the usage of its name beyond
+    /// the total that came with it, and all usage of later names.
     fn resume_stores(&mut self) {
-        let (now, readings) = (self.now, std::mem::take(&mut self.gathering.readings));
+        let (now, readings) = (self.now, std::mem::take(&mut self.handover.readings));
         let mut used: HashMap<u64, f64> = HashMap::new();
-        for (name, kept) in self.names.iter().filter(|(name, _)| of_use(**name)) {
-            let read = readings.get(&customer(*name));
-            let before = match read.map(|r| r.name.cmp(name)) {
-                Some(Ordering::Greater) => kept.total,
-                Some(Ordering::Equal) => read.map_or(0.0, |r| r.total),
+        for (name, state) in self.names.iter().filter(|(name, _)| is_usage(**name)) {
+            let reading = readings.get(&customer(*name));
+            let before = match reading.map(|r| r.name.cmp(name)) {
+                Some(Ordering::Greater) => state.total,
+                Some(Ordering::Equal) => reading.map_or(0.0, |r| r.total),
                 _ => 0.0,
             };
-            *used.entry(customer(*name)).or_default() += kept.total - before;
+            *used.entry(customer(*name)).or_default() += state.total - before;
         }
         self.stores.resume(now, |customer| {
             let reading = readings.get(&customer).map(|r| Reading { level: r.level, age: now - r.at });
--- a/counters/src/holder.rs
+++ b/counters/src/holder.rs
@@ -1,36 +1,36 @@
-//! What the duty holder does with its counters: those of the epoch that it holds, which gateways are asked for what
-//! they had told the holder before, and calls that wait until the totals are whole.
+//! How the holder runs its counters: the counters of the current epoch, which gateways are reachable for their handover,
+//! and calls that wait until the totals are complete.
 
 use crate::handover::HandoverPart;
 use crate::pending_calls::before;
-use crate::silence::NODES_MOST;
+use crate::silence::MAX_NODES;
 use crate::{Counters, Incarnation, Node, Total};
 use std::collections::HashMap;
 
-/// A process that just started knows nobody: it waits so long for gateways to show, seconds.
-pub const SHOW: f64 = 0.3;
-/// One that is alive and does not tell is waited for no longer, seconds.
-pub const TELL: f64 = 0.6;
-/// Calls that wait for the totals.
-const WAITING_MOST: usize = 4096;
+/// How long a process that has no gateways in its membership yet waits for them to appear, in seconds.
+pub const DISCOVERY_TIMEOUT: f64 = 0.3;
+/// How long the handover of a gateway that is alive is waited for, in seconds.
+pub const HANDOVER_TIMEOUT: f64 = 0.6;
+/// Maximum number of calls that wait for the totals.
+const MAX_WAITING: usize = 4096;
 
-/// A call that comes later than this behind one that overtook it is none, seconds: a gateway that was out of reach
-/// for long may have gone round all numbers.
-pub const LATE: f64 = 10.0;
+/// Call numbers are compared only with those received in the last seconds of this number: the numbers of a gateway that
+/// was unreachable for longer may have wrapped around.
+pub const REORDER_WINDOW: f64 = 10.0;
 
-/// A gateway, as the holder sees it.
+/// A gateway in the holder's membership view.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayStatus {
     pub node: Node,
-    /// Nothing is held against it.
+    /// Not suspected by the failure detector.
     pub alive: bool,
-    /// It said that it ends.
+    /// It announced that it is shutting down.
     pub leaving: bool,
-    /// It is taken for ended.
+    /// It is considered dead.
     pub gone: bool,
 }
 
-/// A call that waited, and the totals that it is answered with.
+/// The answer to a call that waited for the totals.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     pub from: Incarnation,
@@ -38,101 +38,104 @@
     pub totals: Vec<Total>,
 }
 
-/// What is to be done after a look at the counters.
+/// State of the handover, and what the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HandoverStatus {
-    /// Totals are answered. These have not told yet, though they are there: of what they count a part is counted as
-    /// lost too until they do.
+    /// Totals are answered. These gateways are reachable but have not handed over yet and are to be reachable; until they do,
+    /// a part of their sums is also counted as lost.
     Serving(Vec<Node>),
-    /// These are to be asked what they had told; look again soon.
+    /// These gateways are to be reachable for their handover; poll again soon.
     Collecting(Vec<Node>),
-    /// The totals are whole from now on: these waited, and so many gateways did not tell.
+    /// The totals have just become complete: the answers to the calls that waited, and the number of gateways whose
+    /// handover is missing.
     Completed(Vec<Answer>, usize),
 }
 
-struct Held {
+struct EpochState {
     epoch: u64,
     since: f64,
     counters: Counters,
     waiting: Vec<(Incarnation, u64, Vec<u64>)>,
-    /// Of each gateway, its start, the newest call that was heard of it, and when.
+    /// By gateway: its incarnation, the newest call number received, and when it was received.
     newest: HashMap<Node, (u32, u64, f64)>,
 }
 
-impl Held {
-    /// Whether a call was made before one that was heard already: its sums are within that one's.
-    fn overtaken(&mut self, now: f64, (node, incarnation): Incarnation, tag: u64) -> bool {
-        let room = self.newest.len() < NODES_MOST || self.newest.contains_key(&node);
-        let newest = self.newest.get(&node).filter(|n| n.0 == incarnation && now - n.2 < LATE);
+impl EpochState {
+    /// Whether a call was made before one that was received already, whose sums include those of this call.
+    fn is_overtaken(&mut self, now: f64, (node, incarnation): Incarnation, tag: u64) -> bool {
+        let has_room = self.newest.len() < MAX_NODES || self.newest.contains_key(&node);
+        let newest = self.newest.get(&node).filter(|n| n.0 == incarnation && now - n.2 < REORDER_WINDOW);
         let overtaken = newest.is_some_and(|n| before(tag, n.1));
-        if room && !overtaken {
+        if has_room && !overtaken {
             self.newest.insert(node, (incarnation, tag, now));
         }
         overtaken
     }
 }
 
-/// See the module. Only to be called with an epoch while it is held.
+/// The counters of the process that is the holder. May only be called with an epoch while it is held.
 #[derive(Default)]
 pub struct CounterHolder {
-    /// Those of the epoch that was held last.
-    held: Option<Held>,
+    /// The state of the epoch that was held last.
+    state: Option<EpochState>,
 }
 
 impl CounterHolder {
-    /// Turns to an epoch; returns whether its counters are new.
+    /// Switches to an epoch; returns whether its counters were newly created.
     pub fn start_epoch(&mut self, now: f64, epoch: u64) -> bool {
-        let new = self.held.as_ref().is_none_or(|held| held.epoch != epoch);
+        let new = self.state.as_ref().is_none_or(|state| state.epoch != epoch);
         if new {
             let (counters, waiting) = (Counters::new(epoch), Vec::new());
-            self.held = Some(Held { epoch, since: now, counters, waiting, newest: HashMap::new() });
+            self.state = Some(EpochState { epoch, since: now, counters, waiting, newest: HashMap::new() });
         }
         new
     }
 
     /// The counters of the epoch that was held last.
     pub fn counters(&mut self) -> Option<&mut Counters> {
-        self.held.as_mut().map(|held| &mut held.counters)
+        self.state.as_mut().map(|state| &mut state.counters)
     }
 
-    /// To be called some times a second, and more often while it asks for something.
+    /// Must be called several times a second, and more often while it returns [`HandoverStatus::Collecting`].
     pub fn poll(&mut self, now: f64, gateways: &[GatewayStatus]) -> HandoverStatus {
-        let Some(Held { since, counters, waiting, .. }) = &mut self.held else {
+        let Some(EpochState { since, counters, waiting, .. }) = &mut self.state else {
             return HandoverStatus::Serving(Vec::new());
         };
         counters.tick(now);
-        // one that is gone without a word may go on out of sight
-        gateways.iter().filter(|g| g.leaving && g.gone).for_each(|g| counters.forget(g.node));
-        let untold = || gateways.iter().filter(|g| !counters.told(g.node));
-        let edges: Vec<Node> = untold().filter(|g| !g.leaving).map(|g| g.node).collect();
-        let asked: Vec<Node> = untold().filter(|g| g.alive).map(|g| g.node).collect();
+        // a gateway that did not announce its shutdown may go on serving while unreachable
+        gateways.iter().filter(|g| g.leaving && g.gone).for_each(|g| counters.remove_gateway(g.node));
+        let missing = || gateways.iter().filter(|g| !counters.has_handover_from(g.node));
+        let unreported: Vec<Node> = missing().filter(|g| !g.leaving).map(|g| g.node).collect();
+        let reachable: Vec<Node> = missing().filter(|g| g.alive).map(|g| g.node).collect();
         if counters.is_complete() {
-            return HandoverStatus::Serving(asked);
+            return HandoverStatus::Serving(reachable);
         }
-        let known = counters.any_told() || !asked.is_empty();
-        let spent = now - *since;
-        if spent < TELL && (!asked.is_empty() || !known && spent < SHOW) {
-            return HandoverStatus::Collecting(asked);
+        let any_gateway = counters.has_any_handover() || !reachable.is_empty();
+        let elapsed = now - *since;
+        if elapsed < HANDOVER_TIMEOUT
+            && (!reachable.is_empty() || !any_gateway && elapsed < DISCOVERY_TIMEOUT)
+        {
+            return HandoverStatus::Collecting(reachable);
         }
-        counters.close(now, &edges);
+        counters.complete_handover(now, &unreported);
         let answers = std::mem::take(waiting).into_iter().map(|(from, tag, names)| {
             let totals = names.into_iter().map(|name| counters.answer(name)).collect();
             Answer { from, tag, totals }
         });
-        HandoverStatus::Completed(answers.collect(), edges.len())
+        HandoverStatus::Completed(answers.collect(), unreported.len())
     }
 
-    /// What a gateway told the holder before this one. `epoch`: for which holder it was told; what was meant for
-    /// another one is late, and the gateway tells again.
+    /// Receives what a gateway had reported to the previous holder. `epoch` is the epoch that the gateway sent it for; a
+    /// handover for another epoch is late and ignored, and the gateway sends it again.
     pub fn receive_handover(&mut self, now: f64, epoch: u64, from: Incarnation, part: &HandoverPart) {
-        if let Some(held) = self.held.as_mut().filter(|h| h.epoch == epoch) {
-            held.counters.tell(now, from, part);
+        if let Some(state) = self.state.as_mut().filter(|s| s.epoch == epoch) {
+            state.counters.receive_handover(now, from, part);
         }
     }
 
-    /// Takes the sums of a call: name, sum, seconds that the name is kept. Returns the totals if they are whole; else
-    /// the call waits. One that was overtaken on its way, by a later call over another link, adds nothing: sums
-    /// would go back.
+    /// Records the sums of a call: name, sum, and seconds that the name is kept. Returns the totals if they are complete;
+    /// otherwise the call waits. A call that was overtaken by a later one on another connection records nothing, as
+    /// the sums would go back.
     pub fn apply_call(
         &mut self,
         now: f64,
@@ -140,23 +143,23 @@
         tag: u64,
         calls: impl Iterator<Item = (u64, f64, f64)>,
     ) -> Option<Vec<Total>> {
-        let held = self.held.as_mut()?;
-        let (whole, overtaken) = (held.counters.is_complete(), held.overtaken(now, from, tag));
+        let state = self.state.as_mut()?;
+        let (complete, overtaken) = (state.counters.is_complete(), state.is_overtaken(now, from, tag));
         let (mut names, mut totals) = (Vec::new(), Vec::new());
-        for (name, sum, life) in calls {
+        for (name, sum, lifetime) in calls {
             if !overtaken {
-                held.counters.put(now, from, name, sum, life);
+                state.counters.record_sum(now, from, name, sum, lifetime);
             }
-            match whole {
-                true => totals.push(held.counters.answer(name)),
+            match complete {
+                true => totals.push(state.counters.answer(name)),
                 false => names.push(name),
             }
         }
-        if whole {
+        if complete {
             return Some(totals);
         }
-        if held.waiting.len() < WAITING_MOST {
-            held.waiting.push((from, tag, names));
+        if state.waiting.len() < MAX_WAITING {
+            state.waiting.push((from, tag, names));
         }
         None
     }
--- a/counters/src/local_sums.rs
+++ b/counters/src/local_sums.rs
@@ -1,75 +1,77 @@
-//! A gateway's side of the counters: the sums of what it added to each name, told whole at each call.
+//! A gateway's side of the counters: the sum of what it added to each name, sent in full with each call.
 
 use crate::handover::HandoverEntry;
 use crate::store::Reading;
 use crate::Total;
 use std::collections::HashMap;
 
-/// Most names kept: a customer's windows of use, now and before, for 18,000 customers, and what is in flight beside.
-/// Past it a new name has no room until another one ends: one whose sum was told and forgotten would begin at 0, and
-/// the holder's total would fall by what it was.
-pub const NAMES_MOST: usize = 65_536;
+/// Maximum number of names kept: enough for the current and the previous usage window of 18,000 customers, and for
+/// their requests in flight. When it is reached, a new name is refused until another one expires. Evicting a name whose
+/// sum was already sent would restart its sum at 0, and the holder's total would fall by the old sum.
+pub const MAX_NAMES: usize = 65_536;
 
-/// Seconds between two clearings of names that nobody counts any more.
-const CLEAR: f64 = 1.0;
+/// Seconds between two removals of expired names.
+const CLEANUP_INTERVAL: f64 = 1.0;
 
 /// What this process added, by name.
 #[derive(Debug, Default)]
 pub struct LocalSums {
-    names: HashMap<u64, Sum>,
-    clear_at: f64,
+    names: HashMap<u64, LocalSum>,
+    next_cleanup: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sum {
-    told: HandoverEntry,
-    until: f64,
-    /// What was left in the customer's store with the last total, and when that came.
+struct LocalSum {
+    entry: HandoverEntry,
+    expires_at: f64,
+    /// What was left in the customer's store with the last total, and when that total arrived.
     store: Option<(f64, f64)>,
 }
 
 impl LocalSums {
-    /// Adds to a name that is kept for `life` seconds from now; returns the sum to tell. None: no room for a new name,
-    /// and nothing is added.
+    /// Adds to a name that is kept for `life` seconds from now; returns the sum to send. `None` if there is no room
+    /// for a new name; then nothing is added.
     pub fn add(&mut self, now: f64, name: u64, amount: f64, life: f64) -> Option<f64> {
-        if now >= self.clear_at {
-            self.clear_at = now + CLEAR;
-            self.names.retain(|_, s| s.until >= now);
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_INTERVAL;
+            self.names.retain(|_, s| s.expires_at >= now);
         }
-        if self.names.len() >= NAMES_MOST && !self.names.contains_key(&name) {
+        if self.names.len() >= MAX_NAMES && !self.names.contains_key(&name) {
             return None;
         }
-        let told = HandoverEntry { name, sum: 0.0, within: 0.0, total: 0.0, life, store: None };
-        let none = Sum { told, until: now, store: None };
-        let s = self.names.entry(name).or_insert(none);
-        s.told.sum += amount;
-        (s.told.life, s.until) = (life, now + life);
-        Some(s.told.sum)
+        let entry = HandoverEntry { name, sum: 0.0, within: 0.0, total: 0.0, life, store: None };
+        let empty = LocalSum { entry, expires_at: now, store: None };
+        let s = self.names.entry(name).or_insert(empty);
+        s.entry.sum += amount;
+        (s.entry.life, s.expires_at) = (life, now + life);
+        Some(s.entry.sum)
     }
 
-    /// An amount was not counted, and is going to be added again.
+    /// Subtracts an amount that the holder has not counted; the caller adds it again later.
     pub fn undo(&mut self, name: u64, amount: f64) {
         if let Some(s) = self.names.get_mut(&name) {
-            s.told.sum -= amount;
+            s.entry.sum -= amount;
         }
     }
 
-    /// A total that came now, with the sum that was told for it.
+    /// Records a total that arrived now; `within` is the sum that was sent for it.
     pub fn record_total(&mut self, now: f64, name: u64, within: f64, total: Total) {
         if let Some(s) = self.names.get_mut(&name) {
-            (s.told.within, s.told.total) = (within, total.counted);
+            (s.entry.within, s.entry.total) = (within, total.counted);
             s.store = total.level.map(|level| (level, now));
         }
     }
 
-    /// All that a new holder has to know, by name.
+    /// Everything that a new holder needs, sorted by name.
     pub fn handover(&self, now: f64) -> Vec<HandoverEntry> {
-        let live =
-            self.names.values().filter(|s| s.until >= now && (s.told.sum != 0.0 || s.told.total != 0.0));
-        let reading = |s: &Sum| s.store.map(|(level, at)| Reading { level, age: now - at });
-        let mut told: Vec<HandoverEntry> =
-            live.map(|s| HandoverEntry { store: reading(s), ..s.told }).collect();
-        told.sort_unstable_by_key(|t| t.name);
-        told
+        let live = self
+            .names
+            .values()
+            .filter(|s| s.expires_at >= now && (s.entry.sum != 0.0 || s.entry.total != 0.0));
+        let reading = |s: &LocalSum| s.store.map(|(level, at)| Reading { level, age: now - at });
+        let mut entries: Vec<HandoverEntry> =
+            live.map(|s| HandoverEntry { store: reading(s), ..s.entry }).collect();
+        entries.sort_unstable_by_key(|e| e.name);
+        entries
     }
 }
--- a/counters/src/silence.rs
+++ b/counters/src/silence.rs
@@ -1,217 +1,225 @@
-//! Gateways that fell silent, and what they are presumed to go on using.
+//! Gateways that became unreachable ("silent"), and the usage that they are presumed to continue.
 //!
-//! Of each customer with a quota, every gateway's recent use is kept, fading over [`MEMORY`]. From a gateway
-//! that was not heard for [`SILENT`], its part of that use at its last word is presumed to go on: `rate * part`
-//! a second, from that word (or from the birth of the name, where that is later) until it is heard again. Parts
-//! of one customer's silent gateways never add up to more than 1, so that the presumed use stays within its
-//! quota.
+//! For each customer with a quota, the recent usage of every gateway is kept, decaying over [`USAGE_DECAY`]. Once a
+//! gateway has sent nothing for [`SILENCE_TIMEOUT`], its share of that usage at its last message is presumed to go on:
+//! `rate * share` a second, from that message (or from the creation of the name, if that is later) until the gateway
+//! sends a message again. The shares of a customer's silent gateways never add up to more than 1, so the presumed usage
+//! stays within the quota.
 
 use crate::Node;
 use std::collections::{BTreeMap, HashMap};
 
-/// Seconds without a word after which a gateway is silent.
-pub const SILENT: f64 = 1.0;
+/// Seconds without a message after which a gateway is silent.
+pub const SILENCE_TIMEOUT: f64 = 1.0;
 
-/// Seconds over which use fades.
-pub const MEMORY: f64 = 8.0;
+/// Time constant of the exponential decay of recent usage, in seconds.
+pub const USAGE_DECAY: f64 = 8.0;
 
-/// Most gateways kept; of others nothing is presumed.
-pub const NODES_MOST: usize = 4096;
+/// Maximum number of gateways kept; nothing is presumed of further ones.
+pub const MAX_NODES: usize = 4096;
 
-/// Most customers with a quota kept.
-pub const CUSTOMERS_MOST: usize = 20_000;
+/// Maximum number of customers with a quota that are kept.
+pub const MAX_CUSTOMERS: usize = 20_000;
 
-/// Most gateways of all customers together whose use is kept.
-pub const USERS_MOST: usize = 200_000;
+/// Maximum number of usage records, counted over all customers and gateways.
+pub const MAX_USAGE_RECORDS: usize = 200_000;
 
-/// A longer pause between two calls is this process's own: nobody is silent by it.
-const PAUSE: f64 = 0.5;
+/// A longer gap between two ticks is a pause of this process: no gateway is silent because of it.
+const OWN_PAUSE: f64 = 0.5;
 
-/// Use below this is forgotten, units.
-const LEAST: f64 = 1e-3;
+/// Usage below this is dropped, in units.
+const MIN_USAGE: f64 = 1e-3;
 
-/// Who is silent, and with what part of which customer.
+/// Which gateways are silent, and which share of each customer's usage they had.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Silence {
-    nodes: BTreeMap<Node, Heard>,
-    customers: HashMap<u64, Customer>,
-    users: usize,
-    ticked: Option<f64>,
-    look_at: f64, // no one falls silent before this
-    fade_at: f64,
+pub(crate) struct SilenceTracker {
+    nodes: BTreeMap<Node, Contact>,
+    customers: HashMap<u64, CustomerUsage>,
+    usage_records: usize,
+    last_tick: Option<f64>,
+    next_check: f64, // no gateway becomes silent before this
+    next_prune: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Contact {
     at: f64,
     silent: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Customer {
+struct CustomerUsage {
     rate: f64,
-    users: BTreeMap<Node, Use>,
-    silent: Vec<Silent>,
+    usage: BTreeMap<Node, RecentUsage>,
+    silent: Vec<SilentShare>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Use {
+struct RecentUsage {
     amount: f64,
     at: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Silent {
+struct SilentShare {
     node: Node,
-    part: f64,
+    share: f64,
     since: f64,
 }
 
-impl Use {
-    fn faded(self, now: f64) -> f64 {
-        self.amount * ((self.at - now).min(0.0) / MEMORY).exp()
+impl RecentUsage {
+    fn decayed(self, now: f64) -> f64 {
+        self.amount * ((self.at - now).min(0.0) / USAGE_DECAY).exp()
     }
 }
 
-impl Silence {
-    pub(crate) fn quota(&mut self, customer: u64, rate: f64) {
+impl SilenceTracker {
+    pub(crate) fn set_quota(&mut self, customer: u64, rate: f64) {
         if !(rate > 0.0 && rate.is_finite()) {
-            self.users -= self.customers.remove(&customer).map_or(0, |c| c.users.len());
-        } else if self.customers.len() < CUSTOMERS_MOST || self.customers.contains_key(&customer) {
+            self.usage_records -= self.customers.remove(&customer).map_or(0, |c| c.usage.len());
+        } else if self.customers.len() < MAX_CUSTOMERS || self.customers.contains_key(&customer) {
             self.customers.entry(customer).or_default().rate = rate;
         }
     }
 
-    /// Takes note of a word; of one that was silent, what it was presumed to have used, by customer.
-    pub(crate) fn heard(&mut self, now: f64, node: Node) -> Vec<(u64, f64)> {
-        let full = self.nodes.len() >= NODES_MOST;
+    /// Records a message from a gateway. If the gateway was silent, returns what it was presumed to have used, by
+    /// customer.
+    pub(crate) fn record_contact(&mut self, now: f64, node: Node) -> Vec<(u64, f64)> {
+        let full = self.nodes.len() >= MAX_NODES;
         match self.nodes.get_mut(&node) {
-            Some(heard) => {
-                let silent = std::mem::take(&mut heard.silent);
-                heard.at = now;
+            Some(contact) => {
+                let silent = std::mem::take(&mut contact.silent);
+                contact.at = now;
                 if silent {
-                    return self.returned(now, node);
+                    return self.end_silence(now, node);
                 }
             }
             None if full => {}
             None => {
-                self.look_at = self.look_at.min(now + SILENT);
-                self.nodes.insert(node, Heard { at: now, silent: false });
+                self.next_check = self.next_check.min(now + SILENCE_TIMEOUT);
+                self.nodes.insert(node, Contact { at: now, silent: false });
             }
         }
         Vec::new()
     }
 
-    /// Its own reports take the place of the presumption. Its use has not faded meanwhile.
-    fn returned(&mut self, now: f64, node: Node) -> Vec<(u64, f64)> {
-        self.look_at = self.look_at.min(now + SILENT);
+    /// The gateway's own reports replace the presumption. Its recent usage has not decayed during the silence.
+    fn end_silence(&mut self, now: f64, node: Node) -> Vec<(u64, f64)> {
+        self.next_check = self.next_check.min(now + SILENCE_TIMEOUT);
         let mut presumed = Vec::new();
         for (customer, c) in &mut self.customers {
             let Some(at) = c.silent.iter().position(|s| s.node == node) else { continue };
             let silent = c.silent.remove(at);
-            presumed.push((*customer, c.rate * silent.part * (now - silent.since).max(0.0)));
-            if let Some(u) = c.users.get_mut(&node) {
+            presumed.push((*customer, c.rate * silent.share * (now - silent.since).max(0.0)));
+            if let Some(u) = c.usage.get_mut(&node) {
                 u.at = now;
             }
         }
         presumed
     }
 
-    pub(crate) fn used(&mut self, now: f64, node: Node, customer: u64, amount: f64) {
+    pub(crate) fn record_usage(&mut self, now: f64, node: Node, customer: u64, amount: f64) {
         let Some(c) = self.customers.get_mut(&customer).filter(|_| self.nodes.contains_key(&node)) else {
             return;
         };
-        if let Some(u) = c.users.get_mut(&node) {
-            *u = Use { amount: (u.faded(now) + amount).clamp(0.0, f64::MAX), at: now };
-        } else if amount > 0.0 && self.users < USERS_MOST {
-            c.users.insert(node, Use { amount, at: now });
-            self.users += 1;
+        if let Some(u) = c.usage.get_mut(&node) {
+            *u = RecentUsage { amount: (u.decayed(now) + amount).clamp(0.0, f64::MAX), at: now };
+        } else if amount > 0.0 && self.usage_records < MAX_USAGE_RECORDS {
+            c.usage.insert(node, RecentUsage { amount, at: now });
+            self.usage_records += 1;
         }
     }
 
-    /// Units presumed of a name that was born then.
-    pub(crate) fn presumed(&self, now: f64, customer: u64, born: f64) -> f64 {
+    /// Units presumed to be used of a name that was created at `created_at`.
+    pub(crate) fn presumed(&self, now: f64, customer: u64, created_at: f64) -> f64 {
         let Some(c) = self.customers.get(&customer) else { return 0.0 };
-        let spans = c.silent.iter().map(|s| s.part * (now - s.since.max(born)).max(0.0));
+        let spans = c.silent.iter().map(|s| s.share * (now - s.since.max(created_at)).max(0.0));
         c.rate * spans.sum::<f64>()
     }
 
-    /// Units presumed of a customer's use, of all names.
-    pub(crate) fn presumed_of(&self, now: f64, customer: u64) -> f64 {
+    /// Units presumed to be used by a customer, independent of when its names were created.
+    pub(crate) fn presumed_of_customer(&self, now: f64, customer: u64) -> f64 {
         self.presumed(now, customer, f64::NEG_INFINITY)
     }
 
-    pub(crate) fn forget(&mut self, node: Node) {
+    pub(crate) fn remove(&mut self, node: Node) {
         if self.nodes.remove(&node).is_none() {
             return;
         }
         for c in self.customers.values_mut() {
             c.silent.retain(|s| s.node != node);
-            self.users -= c.users.remove(&node).is_some() as usize;
+            self.usage_records -= c.usage.remove(&node).is_some() as usize;
         }
     }
 
     pub(crate) fn tick(&mut self, now: f64) {
-        let gap = now - self.ticked.replace(now).unwrap_or(now);
-        if gap > PAUSE {
-            // words sent meanwhile are not read yet
-            self.nodes.values_mut().filter(|h| !h.silent).for_each(|h| h.at = (h.at + gap).min(now));
-            self.look_at += gap;
+        let gap = now - self.last_tick.replace(now).unwrap_or(now);
+        if gap > OWN_PAUSE {
+            // messages sent during the pause have not been read yet
+            self.nodes.values_mut().filter(|c| !c.silent).for_each(|c| c.at = (c.at + gap).min(now));
+            self.next_check += gap;
         }
-        if now >= self.fade_at {
-            self.fade_at = now + MEMORY;
-            self.fade(now);
+        if now >= self.next_prune {
+            self.next_prune = now + USAGE_DECAY;
+            self.prune(now);
         }
-        if now >= self.look_at {
-            self.look(now);
+        if now >= self.next_check {
+            self.check(now);
         }
     }
 
-    fn look(&mut self, now: f64) {
-        let mut fallen = Vec::new();
-        self.look_at = f64::INFINITY;
-        for (&node, heard) in self.nodes.iter_mut().filter(|(_, h)| !h.silent) {
-            if now - heard.at > SILENT {
-                heard.silent = true;
-                fallen.push((node, heard.at));
+    /// Finds the gateways that have become silent since the last check.
+    fn check(&mut self, now: f64) {
+        let mut newly_silent = Vec::new();
+        self.next_check = f64::INFINITY;
+        for (&node, contact) in self.nodes.iter_mut().filter(|(_, c)| !c.silent) {
+            if now - contact.at > SILENCE_TIMEOUT {
+                contact.silent = true;
+                newly_silent.push((node, contact.at));
             } else {
-                self.look_at = self.look_at.min(heard.at + SILENT);
+                self.next_check = self.next_check.min(contact.at + SILENCE_TIMEOUT);
             }
         }
-        if !fallen.is_empty() {
-            self.customers.values_mut().for_each(|c| c.presume(now, &fallen));
+        if !newly_silent.is_empty() {
+            self.customers.values_mut().for_each(|c| c.presume(now, &newly_silent));
         }
     }
 
-    /// Who used next to nothing lately is no user, so that the tables hold who is.
-    fn fade(&mut self, now: f64) {
+    /// Drops records with almost no recent usage, so that the bounded tables have room for active gateways.
+    fn prune(&mut self, now: f64) {
         for c in self.customers.values_mut() {
-            let before = c.users.len();
+            let before = c.usage.len();
             let silent = &c.silent;
-            c.users.retain(|n, u| u.faded(now) >= LEAST || silent.iter().any(|s| s.node == *n));
-            self.users -= before - c.users.len();
+            c.usage.retain(|n, u| u.decayed(now) >= MIN_USAGE || silent.iter().any(|s| s.node == *n));
+            self.usage_records -= before - c.usage.len();
         }
     }
 }
 
-impl Customer {
-    /// The fallen share what no silent one has yet, with those who still talk, by their use; a fallen one's
-    /// has not faded since its last word, as that of the others was renewed.
-    fn presume(&mut self, now: f64, fallen: &[(Node, f64)]) {
-        let uses = |&(node, since): &(Node, f64)| Some((node, since, self.users.get(&node)?.faded(since)));
-        let newly: Vec<(Node, f64, f64)> = fallen.iter().filter_map(uses).collect();
-        if newly.is_empty() {
+impl CustomerUsage {
+    /// Divides the share that is not assigned to silent gateways yet among the newly silent and the active gateways, in
+    /// proportion to their usage. The usage of a newly silent gateway is taken as of its last message, since that of
+    /// the others was refreshed by theirs.
+    fn presume(&mut self, now: f64, newly_silent: &[(Node, f64)]) {
+        let usage_at_last_message =
+            |&(node, since): &(Node, f64)| Some((node, since, self.usage.get(&node)?.decayed(since)));
+        let users: Vec<(Node, f64, f64)> = newly_silent.iter().filter_map(usage_at_last_message).collect();
+        if users.is_empty() {
             return;
         }
-        let quiet = |n: &Node| newly.iter().any(|f| f.0 == *n) || self.silent.iter().any(|s| s.node == *n);
-        let talking: f64 = self.users.iter().filter(|(n, _)| !quiet(n)).map(|(_, u)| u.faded(now)).sum();
-        let all = talking + newly.iter().map(|f| f.2).sum::<f64>();
-        let free = (1.0 - self.silent.iter().map(|s| s.part).sum::<f64>()).max(0.0);
-        if all < LEAST || !all.is_finite() {
+        let is_silent =
+            |n: &Node| users.iter().any(|u| u.0 == *n) || self.silent.iter().any(|s| s.node == *n);
+        let active: f64 = self.usage.iter().filter(|(n, _)| !is_silent(n)).map(|(_, u)| u.decayed(now)).sum();
+        let all = active + users.iter().map(|u| u.2).sum::<f64>();
+        let unassigned = (1.0 - self.silent.iter().map(|s| s.share).sum::<f64>()).max(0.0);
+        if all < MIN_USAGE || !all.is_finite() {
             return;
         }
-        let parts =
-            newly.into_iter().map(|(node, since, used)| Silent { node, part: free * used / all, since });
-        self.silent.extend(parts);
+        let shares = users.into_iter().map(|(node, since, used)| SilentShare {
+            node,
+            share: unassigned * used / all,
+            since,
+        });
+        self.silent.extend(shares);
     }
 }
--- a/counters/src/store.rs
+++ b/counters/src/store.rs
@@ -1,13 +1,13 @@
-//! The stores of customers' quotas, as the holder of the counters keeps them: each fills at its rate up to its size, and
-//! whatever is added to a name of the customer's use is taken out. A gateway that asks is told what is left, so none
-//! has to reckon it from totals that it read at times of its own.
+//! The stores of customers' quotas (token buckets), as the holder of the counters keeps them: each fills at its rate up
+//! to its size, and every increase of a usage name of the customer is taken out. The holder answers gateways with the
+//! level that is left, so that no gateway has to compute it from totals read at different times.
 
-use crate::silence::SILENT;
+use crate::silence::SILENCE_TIMEOUT;
 use crate::Node;
 use std::collections::{BTreeMap, HashMap};
 
-/// Most stores kept; of another customer nothing is told.
-pub const STORES_MOST: usize = crate::silence::CUSTOMERS_MOST;
+/// Maximum number of stores kept; further customers get no level.
+pub const MAX_STORES: usize = crate::silence::MAX_CUSTOMERS;
 
 /// A quota: `rate` units a second, and no more than `size` at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -17,64 +17,64 @@
 }
 
 impl Quota {
-    /// Whether it bounds anything.
-    fn bounds(self) -> bool {
+    /// Whether this is a limit at all.
+    fn is_limit(self) -> bool {
         self.rate > 0.0 && self.rate.is_finite() && self.size.is_finite()
     }
 }
 
-/// What a gateway read of a store.
+/// The level of a store as a gateway received it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
-    /// What was left, units; below zero it was overdrawn.
+    /// What was left, in units; negative if the store was overdrawn.
     pub level: f64,
-    /// How long ago, seconds.
+    /// How long ago it was received, in seconds.
     pub age: f64,
 }
 
-/// One customer's.
+/// The store of one customer.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
     quota: Quota,
     level: f64,
     at: f64,
-    /// What silent gateways are presumed to have used, as far as it is taken out.
+    /// What silent gateways are presumed to have used, as far as it has been taken out.
     presumed: f64,
-    /// Of gateways that were silent: what was taken out for them, against what they tell since.
+    /// For gateways that were silent: what was taken out in advance, to be offset against their later reports.
     prepaid: BTreeMap<Node, Prepaid>,
 }
 
-/// What was taken out for a gateway while it was silent, against what it tells when it is heard again.
+/// What was taken out for a gateway while it was silent, offset against what it reports once it is back.
 #[derive(Clone, Copy, Debug)]
 enum Prepaid {
-    /// It has told nothing since it is back.
-    Untold { presumed: f64, back: f64 },
-    /// So much of what it told first had been taken out before. Charges of refused requests are taken off again: within
-    /// this nothing comes back for them, as nothing was taken out.
-    Told(f64),
+    /// The gateway has reported nothing since it is back.
+    Pending { presumed: f64, back_at: f64 },
+    /// The amount of its first report that had been taken out before. Charges of rejected requests are refunded by
+    /// negative amounts: up to this amount such a refund puts nothing back, because the charge took nothing out.
+    Settled(f64),
 }
 
 impl Prepaid {
-    /// Notes an amount that is told; returns how much of it is to be taken out.
-    fn tell(&mut self, now: f64, amount: f64) -> f64 {
+    /// Offsets a reported amount; returns what is to be taken out for it.
+    fn offset(&mut self, now: f64, amount: f64) -> f64 {
         match *self {
-            Prepaid::Untold { presumed, back } => {
-                // what it tells later was not used in the silence
-                let paid = if now - back <= SILENT { presumed.min(amount.max(0.0)) } else { 0.0 };
-                *self = Prepaid::Told(paid);
+            Prepaid::Pending { presumed, back_at } => {
+                // what it reports later was not used during the silence
+                let paid = if now - back_at <= SILENCE_TIMEOUT { presumed.min(amount.max(0.0)) } else { 0.0 };
+                *self = Prepaid::Settled(paid);
                 amount - paid
             }
-            Prepaid::Told(paid) => {
-                let kept = paid.min((-amount).max(0.0));
-                *self = Prepaid::Told(paid - kept);
-                amount + kept
+            Prepaid::Settled(paid) => {
+                let retained = paid.min((-amount).max(0.0));
+                *self = Prepaid::Settled(paid - retained);
+                amount + retained
             }
         }
     }
 
-    /// Whether it changes nothing any more.
-    fn spent(self) -> bool {
-        matches!(self, Prepaid::Told(paid) if paid <= 0.0)
+    /// Whether it no longer affects any report.
+    fn is_used_up(self) -> bool {
+        matches!(self, Prepaid::Settled(paid) if paid <= 0.0)
     }
 }
 
@@ -83,8 +83,8 @@
         Store { quota, level: quota.size, at: now, presumed: 0.0, prepaid: BTreeMap::new() }
     }
 
-    /// What is left at `now`, with what silent gateways are presumed to have used by then taken out. Of a presumption
-    /// that falls nothing comes back: whether it was used is told by [`Store::take`].
+    /// What is left at `now`, after taking out what silent gateways are presumed to have used by then. If the
+    /// presumption decreases, nothing is put back: whether it was used shows in [`Store::charge`].
     pub(crate) fn level(&mut self, now: f64, presumed: f64) -> f64 {
         let filled = self.quota.rate * (now - self.at).max(0.0);
         let used = (presumed - self.presumed).max(0.0);
@@ -93,35 +93,35 @@
         self.level
     }
 
-    /// Takes out what a gateway added since it was heard last, or puts back what it took off again. `presumed` as
-    /// above.
-    pub(crate) fn take(&mut self, now: f64, presumed: f64, node: Node, amount: f64) {
+    /// Takes out what a gateway added since its last report, or puts back what it refunded. `presumed` is as for
+    /// [`Store::level`].
+    pub(crate) fn charge(&mut self, now: f64, presumed: f64, node: Node, amount: f64) {
         self.level(now, presumed);
         let due = match self.prepaid.get_mut(&node) {
-            Some(prepaid) => prepaid.tell(now, amount),
+            Some(prepaid) => prepaid.offset(now, amount),
             None => amount,
         };
-        if self.prepaid.get(&node).is_some_and(|prepaid| prepaid.spent()) {
+        if self.prepaid.get(&node).is_some_and(|prepaid| prepaid.is_used_up()) {
             self.prepaid.remove(&node);
         }
         self.level = (self.level - due).min(self.quota.size);
     }
 
-    /// A gateway is silent no more, for which so much was presumed.
-    pub(crate) fn returned(&mut self, now: f64, node: Node, presumed: f64) {
+    /// A silent gateway is back, for which `presumed` units had been taken out.
+    pub(crate) fn end_silence(&mut self, now: f64, node: Node, presumed: f64) {
         self.presumed -= presumed;
-        self.prepaid.insert(node, Prepaid::Untold { presumed, back: now });
+        self.prepaid.insert(node, Prepaid::Pending { presumed, back_at: now });
     }
 
-    /// Another quota from now on.
-    fn follow(&mut self, quota: Quota, now: f64, presumed: f64) {
+    /// Changes the quota from now on.
+    fn set_quota(&mut self, quota: Quota, now: f64, presumed: f64) {
         self.level(now, presumed);
         self.quota = quota;
         self.level = self.level.min(quota.size);
     }
 
-    /// As a gateway read it, with what was used since taken out. Where it was full in between and when its use came is
-    /// not known: the least that it may hold.
+    /// Continues from a gateway's reading, minus what was used since. Whether the store was full in between and when
+    /// the usage came is unknown, so this is the lowest level that it may have.
     fn resume(&mut self, now: f64, reading: Reading, used_since: f64) {
         let filled = self.quota.rate * reading.age.max(0.0);
         self.level = (reading.level + filled).min(self.quota.size) - used_since;
@@ -129,31 +129,31 @@
     }
 }
 
-/// All of them.
+/// The stores of all customers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Stores(HashMap<u64, Store>);
 
 impl Stores {
-    /// Sets a customer's quota. One that is met is full; one without a bound has no store.
-    pub(crate) fn quota(&mut self, now: f64, customer: u64, quota: Quota, presumed: f64) {
-        let room = self.0.len() < STORES_MOST || self.0.contains_key(&customer);
-        if !quota.bounds() {
+    /// Sets a customer's quota. A new store starts full; a quota without a limit removes the store.
+    pub(crate) fn set_quota(&mut self, now: f64, customer: u64, quota: Quota, presumed: f64) {
+        let has_room = self.0.len() < MAX_STORES || self.0.contains_key(&customer);
+        if !quota.is_limit() {
             self.0.remove(&customer);
-        } else if room {
+        } else if has_room {
             let store = self.0.entry(customer).or_insert_with(|| Store::full(quota, now));
-            store.follow(quota, now, presumed);
+            store.set_quota(quota, now, presumed);
         }
     }
 
-    pub(crate) fn of(&mut self, customer: u64) -> Option<&mut Store> {
+    pub(crate) fn get_mut(&mut self, customer: u64) -> Option<&mut Store> {
         self.0.get_mut(&customer)
     }
 
-    /// Goes on from where gateways saw the stores of the holder before; `read` gives the newest reading of a customer and
-    /// what was used since. A store that nobody read was full, but for what is counted.
-    pub(crate) fn resume(&mut self, now: f64, read: impl Fn(u64) -> (Option<Reading>, f64)) {
+    /// Continues from the levels that gateways received from the previous holder; `lookup` returns the newest reading
+    /// of a customer and what was used since. Without a reading the store was full, except for what is counted.
+    pub(crate) fn resume(&mut self, now: f64, lookup: impl Fn(u64) -> (Option<Reading>, f64)) {
         for (customer, store) in &mut self.0 {
-            let (reading, used) = read(*customer);
+            let (reading, used) = lookup(*customer);
             let full = Reading { level: store.quota.size, age: 0.0 };
             store.resume(now, reading.unwrap_or(full), used);
         }
--- a/counters/tests/store.rs
+++ b/counters/tests/store.rs
@@ -1,39 +1,39 @@
-//! The store of a customer's quota at the holder of the counters, against a plain model, over silences and holders.
+//! The store of a customer's quota at the holder, compared with a simple model, across silences and changes of holder.
 
 use lupinledge_counters::handover::HandoverPart;
 use lupinledge_counters::local_sums::LocalSums;
-use lupinledge_counters::silence::SILENT;
+use lupinledge_counters::silence::SILENCE_TIMEOUT;
 use lupinledge_counters::store::Quota;
 use lupinledge_counters::{Counters, Node};
 
 const NAME: u64 = 7 << 24;
-const LIFE: f64 = 3600.0;
+const LIFETIME: f64 = 3600.0;
 const QUOTA: Quota = Quota { rate: 20.0, size: 13.0 };
-const NEAR: f64 = 1e-6;
+const TOLERANCE: f64 = 1e-6;
 
-/// Counters that are whole, with the quota.
+/// Complete counters with the quota set.
 fn counters() -> Counters {
     let mut counters = Counters::new(1);
-    counters.close(0.0, &[]);
+    counters.complete_handover(0.0, &[]);
     counters.set_quota(7, QUOTA);
     counters
 }
 
-/// A gateway that adds so much; what is left, as it is told.
-fn add(counters: &mut Counters, now: f64, (node, own): &mut (Node, LocalSums), amount: f64) -> f64 {
-    let sum = own.add(now, NAME, amount, LIFE).expect("there is room");
-    counters.put(now, (*node, 1), NAME, sum, LIFE);
+/// A gateway adds `amount`; returns the level that it receives.
+fn add(counters: &mut Counters, now: f64, (node, sums): &mut (Node, LocalSums), amount: f64) -> f64 {
+    let sum = sums.add(now, NAME, amount, LIFETIME).expect("there is room");
+    counters.record_sum(now, (*node, 1), NAME, sum, LIFETIME);
     let answer = counters.answer(NAME);
-    own.record_total(now, NAME, sum, answer);
-    answer.level.expect("a store")
+    sums.record_total(now, NAME, sum, answer);
+    answer.level.expect("the customer has a store")
 }
 
-fn near(left: f64, right: f64) {
-    assert!((left - right).abs() < NEAR, "{left} for {right}");
+fn assert_near(actual: f64, expected: f64) {
+    assert!((actual - expected).abs() < TOLERANCE, "{actual} instead of {expected}");
 }
 
 #[test]
-fn each_gateway_is_told_what_is_left_whatever_it_knew_before() {
+fn each_gateway_receives_the_current_level() {
     let mut counters = counters();
     let mut rng = fastrand::Rng::with_seed(1);
     let (mut level, mut now) = (QUOTA.size, 0.0);
@@ -41,187 +41,192 @@
     for nth in 0..4_000 {
         let pause = rng.f64() * 0.1;
         now += pause;
-        // a gateway now and then gives back what it added, as of a request that was refused
+        // now and then a gateway refunds what it added, as for a rejected request
         let amount = if nth % 3 == 2 { -1.0 } else { 2.0 };
         level = ((level + QUOTA.rate * pause).min(QUOTA.size) - amount).min(QUOTA.size);
-        near(add(&mut counters, now, &mut gateways[rng.usize(..40)], amount), level);
-        // nobody falls silent
+        assert_near(add(&mut counters, now, &mut gateways[rng.usize(..40)], amount), level);
+        // no gateway becomes silent
         gateways.iter().for_each(|gateway| counters.record_contact(now, gateway.0));
     }
 }
 
 #[test]
-fn leases_and_customers_without_a_quota_have_no_store() {
+fn requests_in_flight_and_customers_without_a_quota_have_no_store() {
     let mut counters = counters();
-    counters.put(1.0, (1, 1), NAME | 1, 5.0, LIFE);
-    counters.put(1.0, (1, 1), 8 << 24, 5.0, LIFE);
+    counters.record_sum(1.0, (1, 1), NAME | 1, 5.0, LIFETIME);
+    counters.record_sum(1.0, (1, 1), 8 << 24, 5.0, LIFETIME);
     assert_eq!(counters.level(NAME | 1), None);
     assert_eq!(counters.level(8 << 24), None);
-    near(counters.level(NAME).expect("a store"), QUOTA.size);
+    assert_near(counters.level(NAME).expect("the customer has a store"), QUOTA.size);
     counters.set_quota(7, Quota { rate: 0.0, size: 0.0 });
     assert_eq!(counters.level(NAME), None);
 }
 
 #[test]
-fn another_quota_leaves_no_more_than_there_was() {
+fn a_changed_quota_does_not_raise_the_level() {
     let mut counters = counters();
     let gateway = &mut (1, LocalSums::default());
-    near(add(&mut counters, 1.0, gateway, 10.0), 3.0);
+    assert_near(add(&mut counters, 1.0, gateway, 10.0), 3.0);
     counters.set_quota(7, Quota { rate: 40.0, size: 30.0 });
-    near(counters.level(NAME).expect("a store"), 3.0);
-    near(add(&mut counters, 1.5, gateway, 0.0), 23.0);
+    assert_near(counters.level(NAME).expect("the customer has a store"), 3.0);
+    assert_near(add(&mut counters, 1.5, gateway, 0.0), 23.0);
     counters.set_quota(7, QUOTA);
-    near(counters.level(NAME).expect("a store"), 13.0);
+    assert_near(counters.level(NAME).expect("the customer has a store"), 13.0);
 }
 
-/// A silent gateway's part is taken out as it is presumed; once it tells, only what it used beyond that. What it did not
-/// use does not come back: the others had it taken off them while it could have been used.
+/// The share of a silent gateway is taken out while it is presumed; once it reports, only what it used beyond that is
+/// taken out. What it did not use is not put back: the other gateways had to do without it while it could have been
+/// used.
 #[test]
-fn the_part_of_a_silent_gateway_is_taken_out_once() {
+fn the_share_of_a_silent_gateway_is_taken_out_once() {
     for used in [0.0, 15.0, 60.0] {
         let mut counters = counters();
-        let (talking, silent) = (&mut (1, LocalSums::default()), &mut (2, LocalSums::default()));
-        add(&mut counters, 1.0, talking, 5.0);
+        let (active, silent) = (&mut (1, LocalSums::default()), &mut (2, LocalSums::default()));
+        add(&mut counters, 1.0, active, 5.0);
         add(&mut counters, 1.0, silent, 5.0);
-        // the other goes on, so the part of the silent one is what it used of all until it is missed
+        // the other gateway continues, so the silent one's share is its part of all usage until it becomes silent
         let mut now = 1.0;
-        while now < 5.0 - NEAR {
+        while now < 5.0 - TOLERANCE {
             now += 0.1;
-            add(&mut counters, now, talking, 1.0);
+            add(&mut counters, now, active, 1.0);
         }
-        let level = counters.level(NAME).expect("a store");
+        let level = counters.level(NAME).expect("the customer has a store");
         let presumed = counters.presumed(NAME);
         assert!((15.0..=50.0).contains(&presumed), "{presumed}");
-        assert!(level < QUOTA.size - SILENT, "{level}");
-        near(add(&mut counters, now, silent, used), level - (used - presumed).max(0.0));
+        assert!(level < QUOTA.size - SILENCE_TIMEOUT, "{level}");
+        assert_near(add(&mut counters, now, silent, used), level - (used - presumed).max(0.0));
     }
 }
 
-/// What gateways tell of what they read lets the next holder go on where the one before stood.
+/// With the levels that gateways received, the next holder continues where the previous one stopped.
 #[test]
-fn a_new_holder_goes_on_with_the_store() {
+fn a_new_holder_continues_the_store() {
     let mut old = counters();
     let mut gateways: Vec<(Node, LocalSums)> = (1..=3).map(|node| (node, LocalSums::default())).collect();
-    let mut left = 0.0;
+    let mut level_before = 0.0;
     for (nth, gateway) in gateways.iter_mut().enumerate() {
-        left = add(&mut old, 100.0 + nth as f64 * 0.01, gateway, 5.0);
+        level_before = add(&mut old, 100.0 + nth as f64 * 0.01, gateway, 5.0);
     }
-    // one adds more, of which the holder's answer is lost
-    let unanswered = gateways[0].1.add(100.03, NAME, 2.0, LIFE);
+    // one gateway adds more, and the holder's answer is lost
+    let unanswered = gateways[0].1.add(100.03, NAME, 2.0, LIFETIME);
     assert_eq!(unanswered, Some(7.0));
-    for gone in 0..=2 {
+    for missing in 0..=2 {
         let mut new = Counters::new(2);
         new.set_quota(7, QUOTA);
-        for (node, own) in gateways.iter().skip(gone) {
-            new.tell(100.1, (*node, 1), &HandoverPart::single(own.handover(100.1)));
+        for (node, sums) in gateways.iter().skip(missing) {
+            new.receive_handover(100.1, (*node, 1), &HandoverPart::single(sums.handover(100.1)));
         }
-        new.close(100.1, &[]);
-        let two_more = if gone == 0 { 2.0 } else { 0.0 };
+        new.complete_handover(100.1, &[]);
+        let two_more = if missing == 0 { 2.0 } else { 0.0 };
         let filled = QUOTA.rate * (100.1 - 100.02);
-        near(new.level(NAME).expect("a store"), (left + filled).min(QUOTA.size) - two_more);
+        assert_near(
+            new.level(NAME).expect("the customer has a store"),
+            (level_before + filled).min(QUOTA.size) - two_more,
+        );
     }
 }
 
-/// One that tells only when the totals are whole has taken out what it added since, and nothing twice.
+/// For a handover that arrives after the totals are complete, only what was added since is taken out, and only once.
 #[test]
-fn a_late_teller_takes_out_what_is_new_alone() {
+fn a_late_handover_takes_out_only_new_usage() {
     let mut old = counters();
     let (early, late) = (&mut (1, LocalSums::default()), &mut (2, LocalSums::default()));
     add(&mut old, 100.0, late, 5.0);
-    let left = add(&mut old, 100.0, early, 4.0);
-    late.1.add(100.0, NAME, 3.0, LIFE);
+    let level_before = add(&mut old, 100.0, early, 4.0);
+    late.1.add(100.0, NAME, 3.0, LIFETIME);
     let mut new = Counters::new(2);
     new.set_quota(7, QUOTA);
-    new.tell(100.0, (1, 1), &HandoverPart::single(early.1.handover(100.0)));
-    new.close(100.0, &[2]);
-    near(new.level(NAME).expect("a store"), left);
-    let told = HandoverPart::single(late.1.handover(100.0));
-    new.tell(100.0, (2, 1), &told);
-    near(new.level(NAME).expect("a store"), left - 3.0);
-    new.tell(100.0, (2, 1), &told);
-    near(new.level(NAME).expect("a store"), left - 3.0);
+    new.receive_handover(100.0, (1, 1), &HandoverPart::single(early.1.handover(100.0)));
+    new.complete_handover(100.0, &[2]);
+    assert_near(new.level(NAME).expect("the customer has a store"), level_before);
+    let part = HandoverPart::single(late.1.handover(100.0));
+    new.receive_handover(100.0, (2, 1), &part);
+    assert_near(new.level(NAME).expect("the customer has a store"), level_before - 3.0);
+    new.receive_handover(100.0, (2, 1), &part);
+    assert_near(new.level(NAME).expect("the customer has a store"), level_before - 3.0);
 }
 
-/// Nobody is left who read it: it begins full, less what those that begin anew have used alone.
+/// No remaining gateway has a reading: the store starts full, minus what new gateways have used.
 #[test]
-fn a_store_that_nobody_read_begins_full() {
+fn a_store_without_a_reading_starts_full() {
     let mut new = Counters::new(2);
     new.set_quota(7, QUOTA);
-    let mut own = LocalSums::default();
-    own.add(100.0, NAME, 4.0, LIFE);
-    new.tell(100.0, (1, 1), &HandoverPart::single(own.handover(100.0)));
-    new.close(100.0, &[]);
-    near(new.level(NAME).expect("a store"), QUOTA.size - 4.0);
+    let mut sums = LocalSums::default();
+    sums.add(100.0, NAME, 4.0, LIFETIME);
+    new.receive_handover(100.0, (1, 1), &HandoverPart::single(sums.handover(100.0)));
+    new.complete_handover(100.0, &[]);
+    assert_near(new.level(NAME).expect("the customer has a store"), QUOTA.size - 4.0);
 }
 
-/// The newest reading counts: an older one does not know where the store was full in between.
+/// The newest reading is used: an older one cannot show whether the store was full in between.
 #[test]
-fn a_new_holder_goes_by_the_newest_reading() {
+fn a_new_holder_uses_the_newest_reading() {
     let mut old = counters();
     let (early, late) = (&mut (1, LocalSums::default()), &mut (2, LocalSums::default()));
     add(&mut old, 100.0, early, 10.0);
     add(&mut old, 100.3, late, 5.0);
-    let left = old.level(NAME).expect("a store") + QUOTA.rate;
+    let level_before = old.level(NAME).expect("the customer has a store") + QUOTA.rate;
     for order in [[0, 1], [1, 0]] {
         let mut new = Counters::new(2);
         new.set_quota(7, QUOTA);
         for nth in order {
-            let (node, own) = [&*early, &*late][nth];
-            new.tell(101.3, (*node, 1), &HandoverPart::single(own.handover(101.3)));
+            let (node, sums) = [&*early, &*late][nth];
+            new.receive_handover(101.3, (*node, 1), &HandoverPart::single(sums.handover(101.3)));
         }
-        new.close(101.3, &[]);
-        near(new.level(NAME).expect("a store"), left.min(QUOTA.size));
+        new.complete_handover(101.3, &[]);
+        assert_near(new.level(NAME).expect("the customer has a store"), level_before.min(QUOTA.size));
     }
 }
 
-/// What was taken out for a silent gateway stays taken out when it is gone for good.
+/// What was taken out for a silent gateway is not put back when the gateway is gone for good.
 #[test]
-fn nothing_comes_back_for_a_gateway_that_left() {
+fn nothing_is_put_back_for_a_gateway_that_left() {
     let mut counters = counters();
-    let (talking, silent) = (&mut (1, LocalSums::default()), &mut (2, LocalSums::default()));
-    add(&mut counters, 1.0, talking, 5.0);
+    let (active, silent) = (&mut (1, LocalSums::default()), &mut (2, LocalSums::default()));
+    add(&mut counters, 1.0, active, 5.0);
     add(&mut counters, 1.0, silent, 5.0);
     let mut now = 1.0;
-    while now < 3.0 - NEAR {
+    while now < 3.0 - TOLERANCE {
         now += 0.1;
-        add(&mut counters, now, talking, 2.0);
+        add(&mut counters, now, active, 2.0);
     }
-    let level = counters.level(NAME).expect("a store");
+    let level = counters.level(NAME).expect("the customer has a store");
     assert!(counters.presumed(NAME) > 5.0 && level < QUOTA.size - 5.0);
-    counters.forget(2);
-    near(counters.level(NAME).expect("a store"), level);
+    counters.remove_gateway(2);
+    assert_near(counters.level(NAME).expect("the customer has a store"), level);
 }
 
-/// A gateway that is back tells its calls of the silence, and takes those of refused requests off again: what had been
-/// taken out for it does not come back by that way either.
+/// A gateway that is back reports its usage during the silence and refunds that of rejected requests: these refunds must
+/// not put back what had been taken out for it in advance either.
 #[test]
-fn refunds_behind_a_silence_give_back_no_more_than_was_charged() {
+fn refunds_after_a_silence_put_back_no_more_than_was_charged() {
     let mut counters = counters();
-    let (talking, silent) = (&mut (1, LocalSums::default()), &mut (2, LocalSums::default()));
-    add(&mut counters, 1.0, talking, 5.0);
+    let (active, silent) = (&mut (1, LocalSums::default()), &mut (2, LocalSums::default()));
+    add(&mut counters, 1.0, active, 5.0);
     add(&mut counters, 1.0, silent, 5.0);
     let mut now = 1.0;
-    while now < 4.0 - NEAR {
+    while now < 4.0 - TOLERANCE {
         now += 0.1;
-        add(&mut counters, now, talking, 2.0);
+        add(&mut counters, now, active, 2.0);
     }
-    let (level, presumed) = (counters.level(NAME).expect("a store"), counters.presumed(NAME));
-    near(add(&mut counters, now, silent, 8.0), level - (8.0 - presumed).max(0.0));
-    near(add(&mut counters, now, silent, -8.0), level);
-    near(add(&mut counters, now, silent, 1.0), level - 1.0);
-    // one that says what it is doing now, long after it is back, used nothing of it in the silence
+    let (level, presumed) =
+        (counters.level(NAME).expect("the customer has a store"), counters.presumed(NAME));
+    assert_near(add(&mut counters, now, silent, 8.0), level - (8.0 - presumed).max(0.0));
+    assert_near(add(&mut counters, now, silent, -8.0), level);
+    assert_near(add(&mut counters, now, silent, 1.0), level - 1.0);
+    // what a gateway reports long after it is back was not used during the silence
     let quiet = &mut (3, LocalSums::default());
     add(&mut counters, now, quiet, 5.0);
     for _ in 0..20 {
         now += 0.1;
-        add(&mut counters, now, talking, 2.0);
+        add(&mut counters, now, active, 2.0);
     }
     counters.record_contact(now, 3);
     for _ in 0..20 {
         now += 0.1;
-        add(&mut counters, now, talking, 2.0);
+        add(&mut counters, now, active, 2.0);
         counters.record_contact(now, 3);
     }
-    let level = counters.level(NAME).expect("a store");
-    near(add(&mut counters, now, quiet, 3.0), level - 3.0);
+    let level = counters.level(NAME).expect("the customer has a store");
+    assert_near(add(&mut counters, now, quiet, 3.0), level - 3.0);
 }
