--- a/drift-detection/src/audit.rs
+++ b/drift-detection/src/audit.rs
@@ -1,91 +1,98 @@
-//! A node looks at its own tables: prints are worked out anew from memory, a part a turn; requests drawn from the
-//! intent are routed, and the way is compared with that of the plain reading.
+//! A node checks its own routing tables. Each step recomputes the fingerprint of one part from memory, and routes one
+//! random request of the configuration through the tables; the result is compared with a direct evaluation of the
+//! configuration.
 
 use fastrand::Rng;
 use lupinledge_config::plain::{draw, way, way_in};
 use lupinledge_config::{Config, Part, Print, Tables};
 
-/// Something in memory is not what the intent says.
+/// Tables in memory that differ from the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
     /// The part that differs.
     pub part: Part,
-    /// Routes, tenants or services that differ, the first few.
+    /// Names of the first routes, tenants or services that differ.
     pub names: Vec<String>,
 }
 
-/// Turns until all parts were looked at once.
-const ROUND: u32 = Part::ALL.len() as u32;
+/// Steps until every part has been checked once.
+const STEPS_PER_ROUND: u32 = Part::ALL.len() as u32;
 
-/// See the module.
+/// The state of the checks, see the module.
 pub struct Audit {
-    chance: Rng,
-    turn: u32,
-    /// Turns since the tables were looked at for the first time or since something was found.
-    sound: u32,
-    seen: Option<Print>,
-    live: Print,
+    rng: Rng,
+    steps: u32,
+    /// Steps without a finding, since the tables were first seen or since the last finding.
+    clean_steps: u32,
+    last_seen: Option<Print>,
+    live_print: Print,
 }
 
 impl Audit {
-    /// The probes are drawn by the seed.
+    /// The seed determines the probes.
     pub fn new(seed: u64) -> Audit {
-        Audit { chance: Rng::with_seed(seed), turn: 0, sound: 0, seen: None, live: Print::default() }
+        Audit {
+            rng: Rng::with_seed(seed),
+            steps: 0,
+            clean_steps: 0,
+            last_seen: None,
+            live_print: Print::default(),
+        }
     }
 
-    /// The tables were built anew: what was found in the former ones says nothing of these.
+    /// Must be called when the tables were rebuilt: findings in the old tables do not apply to the new ones.
     pub fn reset(&mut self) {
-        self.seen = None;
+        self.last_seen = None;
     }
 
-    /// The print of what is in memory, by the last look at each part.
+    /// The fingerprint of the tables in memory, as of the last check of each part.
     pub fn live_print(&self) -> Print {
-        self.live
+        self.live_print
     }
 
-    /// Whether everything was looked at since something changed, and nothing was found.
+    /// Whether all parts were checked without a finding since the last change.
     pub fn is_clean(&self) -> bool {
-        self.sound >= ROUND
+        self.clean_steps >= STEPS_PER_ROUND
     }
 
-    /// One turn: a part, and a probe. `config` is what the tables were built from; `due` the tables that a build
-    /// from it gives now, where the caller has them.
+    /// Checks one part and sends one probe. `config` is what the tables were built from; `expected` are newly built tables
+    /// of the same configuration, if the caller has them.
     pub fn step(
         &mut self,
         tables: &Tables,
         config: Option<&Config>,
-        due: Option<&Tables>,
+        expected: Option<&Tables>,
     ) -> Option<Finding> {
         if tables.print() == Print::default() {
-            return None; // nothing is in force yet
+            return None; // there is no configuration yet
         }
-        if self.seen.replace(tables.print()) != Some(tables.print()) {
-            (self.sound, self.live) = (0, tables.print());
+        if self.last_seen.replace(tables.print()) != Some(tables.print()) {
+            (self.clean_steps, self.live_print) = (0, tables.print());
         }
-        let part = Part::ALL[(self.turn % ROUND) as usize];
-        self.turn = self.turn.wrapping_add(1);
+        let part = Part::ALL[(self.steps % STEPS_PER_ROUND) as usize];
+        self.steps = self.steps.wrapping_add(1);
         let print = tables.reprint(part);
-        self.live.set(part, print);
-        let bent = print != tables.print().part(part);
-        let other =
-            due.and_then(|d| Part::ALL.into_iter().find(|p| d.print().part(*p) != tables.reprint(*p)));
-        let found = match (bent, other, config) {
+        self.live_print.set(part, print);
+        let corrupted = print != tables.print().part(part);
+        let differing =
+            expected.and_then(|e| Part::ALL.into_iter().find(|p| e.print().part(*p) != tables.reprint(*p)));
+        let found = match (corrupted, differing, config) {
             (true, ..) => Some(Finding { part, names: Vec::new() }),
             (_, Some(part), _) => Some(Finding { part, names: Vec::new() }),
             (_, _, Some(config)) => self.probe(tables, config),
             _ => None,
         };
-        self.sound = if found.is_some() { 0 } else { self.sound.saturating_add(1) };
+        self.clean_steps = if found.is_some() { 0 } else { self.clean_steps.saturating_add(1) };
         found
     }
 
     fn probe(&mut self, tables: &Tables, config: &Config) -> Option<Finding> {
-        let probe = draw(config, &mut self.chance)?;
-        let (is, due) = (way_in(tables, &probe), way(config, &probe));
-        let names = || is.iter().chain(&due).map(|w| w.route.clone()).take(1).collect();
-        let bare = |w: &Option<lupinledge_config::plain::Way>| w.as_ref().map(|w| w.tenant.clone());
-        let part = if bare(&is) != bare(&due) { Part::Tenants } else { Part::Routes };
-        (is != due).then(|| Finding { part, names: names() })
+        let probe = draw(config, &mut self.rng)?;
+        let (actual, expected) = (way_in(tables, &probe), way(config, &probe));
+        let names = || actual.iter().chain(&expected).map(|w| w.route.clone()).take(1).collect();
+        let tenant = |w: &Option<lupinledge_config::plain::Way>| w.as_ref().map(|w| w.tenant.clone());
+        let part = if tenant(&actual) != tenant(&expected) { Part::Tenants } else { Part::Routes };
+        (actual != expected).then(|| Finding { part, names: names() })
     }
 }
 
--- a/drift-detection/src/monitor.rs
+++ b/drift-detection/src/monitor.rs
@@ -1,220 +1,262 @@
-//! What follows from verdicts over time. Late is not wrong, unheard is not wrong, and who is in doubt whether it is
-//! wrong stays; a node goes out only where another one is left that serves what was set.
+//! The conclusion from verdicts over time. Being behind for a short time is not an error, and neither is a lack of
+//! reports. While it is uncertain whether a node's tables are wrong, it stays in service. A node withdraws only if
+//! another one remains that serves the current configuration.
 
-use crate::verdict::{Detector, LocalState, Others, Verdict};
+use crate::verdict::{Comparison, Detector, LocalState, Verdict};
 use lupinledge_config::Part;
 
-/// Set times, in seconds.
+/// Timing of the decisions, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// A node may be behind for so long.
-    pub late: f64,
-    /// The core's word of a difference stands for so long before it is acted on; that of peers as well.
-    pub control: f64,
-    pub peers: f64,
-    /// How long a node stays out the first time; doubled each time again, up to `most`.
-    pub hold: f64,
-    pub most: f64,
-    /// Prints and probes have to agree for so long before it returns.
-    pub agree: f64,
-    /// Before the directory names it again, it takes those clients for so long that know it.
-    pub ease: f64,
-    /// After so long without a difference former ones are forgotten.
-    pub forgive: f64,
-    /// Where nobody else takes clients, one that went out returns after so long in any case.
-    pub alone: f64,
+    /// How long a node may be behind.
+    pub max_lag: f64,
+    /// How long a difference from the core must last before the node acts on it.
+    pub core_delay: f64,
+    /// The same for a difference from other edge nodes.
+    pub peers_delay: f64,
+    /// How long a node stays withdrawn the first time; doubled with each repetition, up to `max_hold`.
+    pub initial_hold: f64,
+    /// Upper limit of the doubled `initial_hold`.
+    pub max_hold: f64,
+    /// How long fingerprints and probes must match before the node returns.
+    pub clean_period: f64,
+    /// How long a returning node accepts only the clients that already have its address, before the directory lists it
+    /// again.
+    pub easing_period: f64,
+    /// After this time without a difference, earlier withdrawals are no longer counted.
+    pub forget_after: f64,
+    /// If no other node accepts clients, a withdrawn node returns after this time in any case.
+    pub alone_timeout: f64,
 }
 
 impl Settings {
-    /// `apply`: when a change has to be in force everywhere after its acknowledgement.
+    /// `apply` is the time within which a change must be in force everywhere after its acknowledgement.
     pub fn new(apply: f64) -> Settings {
-        let (control, peers, hold, most) = (0.3, 1.0, 1.0, 60.0);
-        let (agree, ease, forgive, alone) = (1.0, 1.0, 300.0, 3.0);
-        Settings { late: apply + 0.5, control, peers, hold, most, agree, ease, forgive, alone }
+        let (core_delay, peers_delay, initial_hold, max_hold) = (0.3, 1.0, 1.0, 60.0);
+        let (clean_period, easing_period, forget_after, alone_timeout) = (1.0, 1.0, 300.0, 3.0);
+        Settings {
+            max_lag: apply + 0.5,
+            core_delay,
+            peers_delay,
+            initial_hold,
+            max_hold,
+            clean_period,
+            easing_period,
+            forget_after,
+            alone_timeout,
+        }
     }
 }
 
-/// Where a node stands.
+/// The status of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
+    /// In service, with no evidence of a difference.
     Matching,
-    Late,
-    Doubt,
-    Out,
+    /// In service, and behind the core within the allowed time.
+    Behind,
+    /// In service, and suspected to differ.
+    Suspected,
+    /// Withdrawn from service.
+    Withdrawn,
+    /// Accepts clients again, but is not listed in the directory yet.
     Returning,
 }
 
-/// What the host is to do, in this order.
+/// What the caller has to do, in this order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// No client is to be taken, and nothing is to be sent any more.
+    /// Stop accepting clients and stop forwarding requests. `times` is the number of recent withdrawals including this
+    /// one, `hold` the seconds until the node may return.
     Withdraw { detector: Detector, part: Option<Part>, times: u32, hold: f64 },
-    /// The tables are to be built from nothing, of the document that is held.
+    /// Rebuild the tables from scratch, from the document that is held.
     Rebuild,
-    /// The document is to be asked for afresh.
+    /// Request the document again.
     Refetch,
-    /// Clients that come are taken.
+    /// Accept clients again.
     AcceptClients,
-    /// The directory may name it.
+    /// Allow the directory to list the node.
     Announce,
 }
 
 enum State {
-    In,
-    Out {
-        wrong: (Detector, u64, u32),
-        began: f64,
+    InService,
+    Withdrawn {
+        diverged: (Detector, u64, u32),
+        since: f64,
         until: f64,
-        clean: Option<f64>,
-        asked: f64,
-        alone: Option<f64>,
+        clean_since: Option<f64>,
+        last_request: f64,
+        alone_since: Option<f64>,
     },
-    Back {
+    Returning {
         until: f64,
     },
 }
 
-/// Looks further apart than this mean that the process stood still: what it knew is old.
-const STILL: f64 = 1.0;
-/// While out, or in doubt with nobody to take its place, the state is asked for again after so long.
-const AGAIN: f64 = 1.0;
+/// A longer gap between two evaluations means that the process was paused: its view of the others is outdated.
+const MAX_GAP: f64 = 1.0;
+/// Interval of repeated requests for the state, while withdrawn or while suspected without a replacement.
+const REQUEST_INTERVAL: f64 = 1.0;
 
-/// See the module.
+/// Decides from the verdicts over time whether the node withdraws and when it returns.
 pub struct DriftMonitor {
-    set: Settings,
+    settings: Settings,
     state: State,
     last: f64,
-    /// For how long a difference or being behind was seen without a break.
+    /// For how long without interruption a difference was seen.
     differs: f64,
+    /// For how long without interruption the node was behind.
     behind: f64,
-    /// How often it went out lately, and when it last came back.
-    times: u32,
-    back: f64,
-    asked: f64,
-    standing: Standing,
+    /// Number of recent withdrawals.
+    withdrawals: u32,
+    /// When the node last returned to service.
+    returned_at: f64,
+    last_request: f64,
+    status: Status,
 }
 
 impl DriftMonitor {
-    /// In, and nothing known against it.
-    pub fn new(now: f64, set: Settings) -> DriftMonitor {
-        let (state, standing) = (State::In, Standing::Matching);
-        let (differs, behind, times, asked) = (0.0, 0.0, 0, f64::NEG_INFINITY);
-        DriftMonitor { set, state, last: now, differs, behind, times, back: now, asked, standing }
+    /// In service, with no evidence of a difference.
+    pub fn new(now: f64, settings: Settings) -> DriftMonitor {
+        let (state, status) = (State::InService, Status::Matching);
+        let (differs, behind, withdrawals, last_request) = (0.0, 0.0, 0, f64::NEG_INFINITY);
+        DriftMonitor {
+            settings,
+            state,
+            last: now,
+            differs,
+            behind,
+            withdrawals,
+            returned_at: now,
+            last_request,
+            status,
+        }
     }
 
-    /// Where it stands since the last look.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    /// The status as of the last evaluation.
+    pub fn status(&self) -> Status {
+        self.status
     }
 
-    /// Seconds after which a client may come back: to one of the others soon, to this one later.
+    /// Seconds after which a client should retry: soon if another node accepts clients, otherwise when this node may
+    /// return.
     pub fn retry_after(&self, now: f64) -> f64 {
         match self.state {
-            State::Out { alone: Some(_), until, .. } => (until - now).clamp(self.set.agree, 5.0),
-            State::Out { .. } => 0.2,
+            State::Withdrawn { alone_since: Some(_), until, .. } => {
+                (until - now).clamp(self.settings.clean_period, 5.0)
+            }
+            State::Withdrawn { .. } => 0.2,
             _ => 0.0,
         }
     }
 
-    /// To be called several times a second, with what is seen now.
-    pub fn evaluate(&mut self, now: f64, own: &LocalState, others: &Others) -> Vec<Action> {
+    /// Must be called several times a second with the current observations; returns what the caller has to do.
+    pub fn evaluate(&mut self, now: f64, own: &LocalState, others: &Comparison) -> Vec<Action> {
         let gap = now - std::mem::replace(&mut self.last, now);
-        let still = gap > STILL;
-        let step = if still { 0.0 } else { gap.max(0.0) };
+        let paused = gap > MAX_GAP;
+        let step = if paused { 0.0 } else { gap.max(0.0) };
         let verdict = others.verdict;
-        let count = |so_far: f64, on: bool| if on && !still { so_far + step } else { 0.0 };
-        self.behind = count(self.behind, verdict == Verdict::Late);
-        self.differs = count(self.differs, matches!(verdict, Verdict::Differs(_)));
+        let accumulate = |so_far: f64, on: bool| if on && !paused { so_far + step } else { 0.0 };
+        self.behind = accumulate(self.behind, verdict == Verdict::Behind);
+        self.differs = accumulate(self.differs, matches!(verdict, Verdict::Differs(_)));
         match &mut self.state {
-            State::Out { .. } => self.out(now, own, others),
-            State::In | State::Back { .. } => self.inside(now, own, others),
+            State::Withdrawn { .. } => self.evaluate_withdrawn(now, own, others),
+            State::InService | State::Returning { .. } => self.evaluate_in_service(now, own, others),
         }
     }
 
-    fn inside(&mut self, now: f64, own: &LocalState, others: &Others) -> Vec<Action> {
-        let due = match others.verdict {
+    fn evaluate_in_service(&mut self, now: f64, own: &LocalState, others: &Comparison) -> Vec<Action> {
+        // the detector of a problem, and whether the problem has lasted long enough to act on it
+        let problem = match others.verdict {
             Verdict::Differs(Detector::Own) => Some((Detector::Own, true)),
             Verdict::Differs(Detector::Control) => {
-                Some((Detector::Control, self.differs >= self.set.control))
+                Some((Detector::Control, self.differs >= self.settings.core_delay))
+            }
+            Verdict::Differs(Detector::Peers) => {
+                Some((Detector::Peers, self.differs >= self.settings.peers_delay))
             }
-            Verdict::Differs(Detector::Peers) => Some((Detector::Peers, self.differs >= self.set.peers)),
-            Verdict::Late => Some((Detector::Control, self.behind >= self.set.late)),
-            Verdict::Matching | Verdict::Unheard => None,
+            Verdict::Behind => Some((Detector::Control, self.behind >= self.settings.max_lag)),
+            Verdict::Matching | Verdict::Unknown => None,
         };
-        if let Some((detector, true)) = due {
-            self.standing = Standing::Doubt;
-            if others.witness {
-                return self.go_out(now, own, detector);
+        if let Some((detector, true)) = problem {
+            self.status = Status::Suspected;
+            if others.replacement {
+                return self.withdraw(now, own, detector);
             }
-            // nobody else is left that serves what was set: mended without a pause, if it can be
-            if now - self.asked < AGAIN {
+            // no other node serves the current configuration: try a repair while staying in service
+            if now - self.last_request < REQUEST_INTERVAL {
                 return Vec::new();
             }
-            self.asked = now;
+            self.last_request = now;
             return match detector {
                 Detector::Own => vec![Action::Rebuild],
                 _ => vec![Action::Rebuild, Action::Refetch],
             };
         }
-        if let State::Back { until } = self.state {
-            self.standing = Standing::Returning;
-            if now >= until && due.is_none() {
-                (self.state, self.back) = (State::In, now);
+        if let State::Returning { until } = self.state {
+            self.status = Status::Returning;
+            if now >= until && problem.is_none() {
+                (self.state, self.returned_at) = (State::InService, now);
                 return vec![Action::Announce];
             }
             return Vec::new();
         }
-        self.standing = match due {
-            None => Standing::Matching,
-            Some(_) if others.verdict == Verdict::Late => Standing::Late,
-            Some(_) => Standing::Doubt,
+        self.status = match problem {
+            None => Status::Matching,
+            Some(_) if others.verdict == Verdict::Behind => Status::Behind,
+            Some(_) => Status::Suspected,
         };
-        if due.is_none() && now - self.back >= self.set.forgive {
-            self.times = 0;
+        if problem.is_none() && now - self.returned_at >= self.settings.forget_after {
+            self.withdrawals = 0;
         }
         Vec::new()
     }
 
-    fn go_out(&mut self, now: f64, own: &LocalState, detector: Detector) -> Vec<Action> {
-        self.times += 1;
-        let hold = (self.set.hold * 2f64.powi(self.times.min(30) as i32 - 1)).min(self.set.most);
-        self.state = State::Out {
-            wrong: (detector, own.index, own.print),
-            began: now,
+    fn withdraw(&mut self, now: f64, own: &LocalState, detector: Detector) -> Vec<Action> {
+        self.withdrawals += 1;
+        let hold = (self.settings.initial_hold * 2f64.powi(self.withdrawals.min(30) as i32 - 1))
+            .min(self.settings.max_hold);
+        self.state = State::Withdrawn {
+            diverged: (detector, own.index, own.print),
+            since: now,
             until: now + hold,
-            clean: None,
-            asked: now,
-            alone: None,
+            clean_since: None,
+            last_request: now,
+            alone_since: None,
         };
-        self.standing = Standing::Out;
-        let shut = Action::Withdraw { detector, part: own.faulty_part, times: self.times, hold };
-        vec![shut, Action::Rebuild, Action::Refetch]
+        self.status = Status::Withdrawn;
+        let withdraw = Action::Withdraw { detector, part: own.faulty_part, times: self.withdrawals, hold };
+        vec![withdraw, Action::Rebuild, Action::Refetch]
     }
 
-    fn out(&mut self, now: f64, own: &LocalState, others: &Others) -> Vec<Action> {
-        let State::Out { wrong, began, until, clean, asked, alone } = &mut self.state else {
+    fn evaluate_withdrawn(&mut self, now: f64, own: &LocalState, others: &Comparison) -> Vec<Action> {
+        let State::Withdrawn { diverged, since, until, clean_since, last_request, alone_since } =
+            &mut self.state
+        else {
             return Vec::new();
         };
-        // what others found is over when they say so, or when there are other rules in force
-        let same = wrong.0 != Detector::Own && (wrong.1, wrong.2) == (own.index, own.print);
-        let agrees = match others.verdict {
+        // a difference that others found has ended once they report a match, or once other tables are in use
+        let unchanged = diverged.0 != Detector::Own && (diverged.1, diverged.2) == (own.index, own.print);
+        let clean = match others.verdict {
             Verdict::Matching => own.verified,
-            Verdict::Unheard => own.verified && own.index > 0 && !same,
+            Verdict::Unknown => own.verified && own.index > 0 && !unchanged,
             _ => false,
         };
-        *clean = if agrees { clean.or(Some(now)) } else { None };
-        *alone = if others.ready == 0 { alone.or(Some(now)) } else { None };
-        let lonely = alone.is_some();
-        let whole = clean.is_some_and(|since| now - since >= self.set.agree);
-        let needed =
-            alone.is_some_and(|since| now - since >= self.set.alone) && now - *began >= self.set.alone;
-        if whole && (now >= *until || lonely) || needed {
-            self.state = State::Back { until: now + if lonely { 0.0 } else { self.set.ease } };
-            (self.standing, self.differs, self.behind) = (Standing::Returning, 0.0, 0.0);
+        *clean_since = if clean { clean_since.or(Some(now)) } else { None };
+        *alone_since = if others.ready == 0 { alone_since.or(Some(now)) } else { None };
+        let alone = alone_since.is_some();
+        let clean_long_enough = clean_since.is_some_and(|from| now - from >= self.settings.clean_period);
+        let needed = alone_since.is_some_and(|from| now - from >= self.settings.alone_timeout)
+            && now - *since >= self.settings.alone_timeout;
+        if clean_long_enough && (now >= *until || alone) || needed {
+            self.state =
+                State::Returning { until: now + if alone { 0.0 } else { self.settings.easing_period } };
+            (self.status, self.differs, self.behind) = (Status::Returning, 0.0, 0.0);
             return vec![Action::AcceptClients];
         }
-        if !agrees && now - *asked >= AGAIN {
-            *asked = now;
+        if !clean && now - *last_request >= REQUEST_INTERVAL {
+            *last_request = now;
             return vec![Action::Rebuild, Action::Refetch];
         }
         Vec::new()
--- a/drift-detection/src/verdict.rs
+++ b/drift-detection/src/verdict.rs
@@ -1,125 +1,127 @@
-//! What follows at this moment from the own tables and from what others tell. Prints are compared only where they
-//! stand for the same document: who is behind judges nobody, and nobody is judged for being behind here.
+//! The conclusion at one moment from a node's own tables and the state that other nodes report. Fingerprints are only
+//! compared between nodes that hold the same document, so a node that is behind is never taken for one that differs.
 
 use lupinledge_config::{comparable, Part};
 use lupinledge_membership::{Member, Node, Standing};
 
-/// What this process knows of itself.
+/// The state of this process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LocalState {
-    /// Index of the document that it holds; 0 for none.
+    /// Index of the document that it holds; 0 without a document.
     pub index: u64,
-    /// Folded print of the tables in force.
+    /// Folded fingerprint of the tables in use.
     pub print: u32,
-    /// The part in which its tables are not what they were built from.
+    /// The part of its tables that differs from the configuration they were built from.
     pub faulty_part: Option<Part>,
-    /// All was looked at since the last change, and nothing was found.
+    /// All parts were checked without a finding since the last change.
     pub verified: bool,
 }
 
-/// Who found a difference.
+/// The source of the evidence for a difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Detector {
-    /// The node itself.
+    /// The audit of the node itself.
     Own,
-    /// Others of its kind that agree with each other.
+    /// Other edge nodes that agree with each other.
     Peers,
-    /// The core, which knows what was acknowledged.
+    /// The core, which has the acknowledged document.
     Control,
 }
 
 impl Detector {
-    /// As logs and operators have it.
+    /// The name in logs and in answers to operators.
     pub fn name(self) -> &'static str {
         ["own", "peers", "control"][self as usize]
     }
 }
 
-/// See the module.
+/// The conclusion about this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The core, or without its word others, would do the same.
+    /// The tables of the core are the same, or without a report of the core those of another edge node.
     Matching,
-    /// Nobody told anything that can be compared.
-    Unheard,
+    /// No comparable report was received.
+    Unknown,
     /// The core has a newer document.
-    Late,
-    /// This node would do something else than it should.
+    Behind,
+    /// The tables of this node are wrong.
     Differs(Detector),
 }
 
-/// The core's word that there is something newer counts for so long.
-const NEWER: f64 = 2.0;
-/// The word of a peer counts for so long.
-const FRESH: f64 = 10.0;
-/// So many others have to agree before they judge without the core.
-const PAIR: usize = 2;
+/// Seconds for which a report of the core that it has a newer document is valid.
+const CORE_REPORT_TTL: f64 = 2.0;
+/// Seconds for which the report of another edge node is valid.
+const PEER_REPORT_TTL: f64 = 10.0;
+/// Number of edge nodes that have to agree before a difference from them counts without a report of the core.
+const PEER_QUORUM: usize = 2;
 
-/// What others have to do with it, at this moment.
-pub struct Others {
-    /// What follows for this process.
+/// The state of the other nodes, compared with this one.
+pub struct Comparison {
+    /// The conclusion about this process.
     pub verdict: Verdict,
-    /// Other edge nodes that take clients.
+    /// Number of other edge nodes that accept clients.
     pub ready: usize,
-    /// Some of these do what the core has.
-    pub witness: bool,
+    /// Whether one of these can take over. If the core reports a difference or a newer document, its state must match.
+    pub replacement: bool,
 }
 
-/// Compares with all others that are known.
+/// Compares this process with all other members.
 pub fn compare<'a>(
     now: f64,
     own: &LocalState,
     holder: Node,
     members: impl Iterator<Item = &'a Member>,
-) -> Others {
-    let mut told: Vec<(u32, usize, bool)> = Vec::new();
-    let mut peers: Vec<(u32, usize)> = Vec::new();
-    let (mut newest, mut ready, mut served) = (0, 0, Vec::new());
+) -> Comparison {
+    let mut core_prints: Vec<(u32, usize, bool)> = Vec::new();
+    let mut peer_prints: Vec<(u32, usize)> = Vec::new();
+    let (mut newest, mut ready, mut serving) = (0, 0, Vec::new());
     for m in members {
-        let there = m.standing != Standing::Gone;
+        let present = m.standing != Standing::Gone;
         let (index, print, age) = (m.digest.state.1, m.digest.print, now - m.heard);
-        let takes = there && !m.card.core && m.card.ready && !m.card.leaving;
-        ready += takes as usize;
-        if there && m.card.core && age < NEWER {
+        let accepts = present && !m.card.core && m.card.ready && !m.card.leaving;
+        ready += accepts as usize;
+        if present && m.card.core && age < CORE_REPORT_TTL {
             newest = newest.max(index);
         }
-        if takes && age < FRESH {
-            served.push((index, print));
+        if accepts && age < PEER_REPORT_TTL {
+            serving.push((index, print));
         }
         if index != own.index || !comparable(print, own.print) {
             continue;
         }
-        // what the core said of a document stays true; a peer may have been mended since
+        // a report of the core about a document stays valid; an edge node may have been repaired since its report
         match m.card.core {
-            true => match told.iter_mut().find(|t| t.0 == print) {
+            true => match core_prints.iter_mut().find(|t| t.0 == print) {
                 Some(t) => (t.1, t.2) = (t.1 + 1, t.2 || m.node == holder),
-                None => told.push((print, 1, m.node == holder)),
-            },
-            false if takes && age < FRESH => match peers.iter_mut().find(|p| p.0 == print) {
-                Some(p) => p.1 += 1,
-                None => peers.push((print, 1)),
+                None => core_prints.push((print, 1, m.node == holder)),
             },
+            false if accepts && age < PEER_REPORT_TTL => {
+                match peer_prints.iter_mut().find(|p| p.0 == print) {
+                    Some(p) => p.1 += 1,
+                    None => peer_prints.push((print, 1)),
+                }
+            }
             _ => {}
         }
     }
-    let best = told.iter().map(|t| (t.1, t.2)).max();
-    let mut bests = told.iter().filter(|t| Some((t.1, t.2)) == best);
-    let intent = bests.next().filter(|_| bests.next().is_none()).map(|t| t.0);
-    let agree = peers.iter().any(|p| p.0 == own.print);
-    let late = own.index > 0 && newest > own.index;
-    let verdict = match intent {
+    let best = core_prints.iter().map(|t| (t.1, t.2)).max();
+    let mut candidates = core_prints.iter().filter(|t| Some((t.1, t.2)) == best);
+    let expected = candidates.next().filter(|_| candidates.next().is_none()).map(|t| t.0);
+    let peer_agrees = peer_prints.iter().any(|p| p.0 == own.print);
+    let behind = own.index > 0 && newest > own.index;
+    let verdict = match expected {
         _ if own.faulty_part.is_some() => Verdict::Differs(Detector::Own),
-        _ if late => Verdict::Late,
+        _ if behind => Verdict::Behind,
         Some(p) if p == own.print => Verdict::Matching,
         Some(_) => Verdict::Differs(Detector::Control),
-        None if agree => Verdict::Matching,
-        None if peers.iter().any(|p| p.1 >= PAIR) => Verdict::Differs(Detector::Peers),
-        None => Verdict::Unheard,
+        None if peer_agrees => Verdict::Matching,
+        None if peer_prints.iter().any(|p| p.1 >= PEER_QUORUM) => Verdict::Differs(Detector::Peers),
+        None => Verdict::Unknown,
     };
-    let witness = match verdict {
-        Verdict::Late => served.iter().any(|s| s.0 >= newest),
-        Verdict::Differs(Detector::Control) => peers.iter().any(|p| Some(p.0) == intent),
+    let replacement = match verdict {
+        Verdict::Behind => serving.iter().any(|s| s.0 >= newest),
+        Verdict::Differs(Detector::Control) => peer_prints.iter().any(|p| Some(p.0) == expected),
         _ => ready > 0,
     };
-    Others { verdict, ready, witness }
+    Comparison { verdict, ready, replacement }
 }
