--- a/shadow/src/lib.rs
+++ b/shadow/src/lib.rs
@@ -1,31 +1,32 @@
-//! What a gateway watches before its operators move to other terms: it decides as before, and this counts, by
-//! kind, where the terms to come would not have allowed a decision or would have taken it otherwise. It is
-//! shown the events and actions of each round, changes neither, and keeps only reqs that are not over.
+//! Shadow evaluation of proposed terms before operators switch to them. The gateway decides by its current terms, and
+//! this module counts, by kind, the decisions that the proposed terms would not have allowed or would have taken
+//! differently. It receives the events and actions of each round, changes neither, and keeps only unfinished requests.
 
 use lupinledge::link::{Action, Effect, Event, Frontend, Group, Outcome, SrvRow, Terms};
 use lupinledge::time::Point;
 use std::collections::HashMap;
 
-/// Kinds of decisions that the terms to come would have taken otherwise.
+/// Kinds of decisions that the proposed terms would have taken differently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Divergence {
-    /// A dispatch beside another of the same req, where two may not be out at once.
+    /// A dispatch while another one of the same request is running, where duplicates are not allowed.
     SecondCopy,
-    /// A dispatch more than a req may have.
+    /// A dispatch beyond the maximum number for a request.
     Attempts,
-    /// A dispatch of a req that may have run, where its effect forbids it.
+    /// Another dispatch of a request that may have run, where its effect forbids repeating it.
     Repeat,
-    /// A denial of a req that may have run, where it would have to be an abort.
+    /// A denial of a request that may have run, which should have been an abort.
     Denial,
-    /// A first dispatch past this gateway's even part of a hard ceiling.
+    /// A first dispatch that exceeds this gateway's equal share of a hard ceiling.
     Ceiling,
-    /// A req that its mark tells to be a repeat, where clients carry none.
+    /// A request marked as a repeat, where clients do not mark repeats.
     Unmarked,
-    /// A hint when to come back, where none may be given or only a shorter one.
+    /// A retry hint, where none is allowed or only a shorter one.
     Hint,
 }
 
 impl Divergence {
+    /// All kinds, in the order of their declaration.
     pub const ALL: [Divergence; 7] = [
         Divergence::SecondCopy,
         Divergence::Attempts,
@@ -35,6 +36,8 @@
         Divergence::Unmarked,
         Divergence::Hint,
     ];
+
+    /// The name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Divergence::SecondCopy => "second_copy",
@@ -48,76 +51,88 @@
     }
 }
 
-struct Sent {
-    srv: u32,
+struct Attempt {
+    server: u32,
     at: Point,
     running: bool,
     ran: bool,
 }
 
-struct Seen {
+/// A request that is not finished.
+struct OpenRequest {
     frontend: usize,
     plan: usize,
     units: f64,
     customer: u64,
     spread: f64,
-    sent: Vec<Sent>,
-    over: bool,
+    attempts: Vec<Attempt>,
+    finished: bool,
 }
 
-/// A part of a hard ceiling: empty at the start, as the decisions keep it.
-struct Slice {
-    holds: f64,
+/// This gateway's share of a customer's hard ceiling, as a token bucket. It starts empty, as in the decisions.
+struct CeilingShare {
+    level: f64,
     at: Point,
 }
 
+/// Counts the divergences of the decisions from the proposed terms.
 pub struct ShadowCounter {
     terms: Terms,
-    began: Option<Point>,
-    reqs: HashMap<u64, Seen>,
-    places: HashMap<u32, (u16, u16)>,
-    slices: HashMap<u64, Slice>,
+    started_at: Option<Point>,
+    requests: HashMap<u64, OpenRequest>,
+    locations: HashMap<u32, (u16, u16)>,
+    shares: HashMap<u64, CeilingShare>,
     counts: [u64; Divergence::ALL.len()],
 }
 
 impl ShadowCounter {
-    /// With the terms to come. Frontends and plans are those of the terms in force, in the same order.
+    /// `terms` are the proposed terms. Their frontends and plans must be those of the current terms, in the same order.
     pub fn new(terms: Terms) -> ShadowCounter {
-        let (reqs, places, slices) = Default::default();
-        ShadowCounter { terms, began: None, reqs, places, slices, counts: [0; Divergence::ALL.len()] }
+        let (requests, locations, shares) = Default::default();
+        ShadowCounter {
+            terms,
+            started_at: None,
+            requests,
+            locations,
+            shares,
+            counts: [0; Divergence::ALL.len()],
+        }
     }
 
-    /// Shows one round: its events, before the decisions take them.
+    /// Records the events of one round; must be called before the decisions process them.
     pub fn record_events(&mut self, now: Point, events: &[Event]) {
-        self.began.get_or_insert(now);
+        self.started_at.get_or_insert(now);
         for e in events {
             match e {
-                Event::List { rows, .. } => self.places.extend(rows.iter().map(place)),
+                Event::List { rows, .. } => self.locations.extend(rows.iter().map(location)),
                 Event::Req(n) if self.terms.cover(n) => {
                     if n.repeat && !self.terms.marks_repeats {
-                        self.up(Divergence::Unmarked);
+                        self.increment(Divergence::Unmarked);
                     }
                     let (units, spread) = (n.units, n.spread.max(1.0));
                     let (frontend, plan, customer) = (n.frontend, n.plan, n.customer);
-                    let (sent, over) = (Vec::new(), false);
-                    self.reqs.insert(n.id, Seen { frontend, plan, units, customer, spread, sent, over });
+                    let (attempts, finished) = (Vec::new(), false);
+                    self.requests.insert(
+                        n.id,
+                        OpenRequest { frontend, plan, units, customer, spread, attempts, finished },
+                    );
                 }
                 Event::Ended(e, _) => {
-                    let Some(r) = self.reqs.get_mut(&e.id) else { continue };
-                    if let Some(t) = r.sent.get_mut(e.nth as usize) {
+                    let Some(r) = self.requests.get_mut(&e.id) else { continue };
+                    if let Some(t) = r.attempts.get_mut(e.nth as usize) {
                         t.running = false;
                         t.ran = !matches!(e.how, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
                     }
-                    r.over |= e.closed;
-                    self.drop_over(e.id);
+                    r.finished |= e.closed;
+                    self.remove_if_finished(e.id);
                 }
-                Event::Left { id } => self.over(*id),
+                Event::Left { id } => self.finish(*id),
                 _ => {}
             }
         }
     }
 
-    /// And the actions that the decisions answered it with.
+    /// Records the actions that the decisions returned for the round.
     pub fn record_actions(&mut self, now: Point, actions: &[Action]) {
         for a in actions {
             match *a {
@@ -125,109 +140,123 @@
                 Action::Deny { id, back_off } => {
                     let longest = if self.terms.may_hint { self.terms.longest_hint.secs() } else { 0.0 };
                     if back_off.secs() > longest + 1e-6 {
-                        self.up(Divergence::Hint);
+                        self.increment(Divergence::Hint);
                     }
-                    let may = self.reqs.get(&id).is_none_or(|r| {
+                    let allowed = self.requests.get(&id).is_none_or(|r| {
                         let f = &self.terms.frontends[r.frontend];
-                        let harmless = f.effect == Effect::Uniqued && f.group == Group::All;
-                        f.effect == Effect::Replayable || harmless || !r.sent.iter().any(|t| t.ran)
+                        let unique_everywhere = f.effect == Effect::Uniqued && f.group == Group::All;
+                        f.effect == Effect::Replayable
+                            || unique_everywhere
+                            || !r.attempts.iter().any(|t| t.ran)
                     });
-                    if !may {
-                        self.up(Divergence::Denial);
+                    if !allowed {
+                        self.increment(Divergence::Denial);
                     }
-                    self.over(id);
+                    self.finish(id);
                 }
-                Action::Abort { id } => self.over(id),
+                Action::Abort { id } => self.finish(id),
                 _ => {}
             }
         }
     }
 
-    fn dispatch(&mut self, now: Point, id: u64, srv: u32) {
-        let Some(r) = self.reqs.get_mut(&id) else { return };
+    fn dispatch(&mut self, now: Point, id: u64, server: u32) {
+        let Some(r) = self.requests.get_mut(&id) else { return };
         let f = self.terms.frontends[r.frontend];
-        let (first, running) = (r.sent.is_empty(), r.sent.iter().any(|t| t.running));
-        let attempts = r.sent.len() >= f.max_dispatches as usize;
-        let repeat = r.sent.iter().find(|t| t.ran).is_some_and(|t| !repeats(&f, t, srv, now, &self.places));
-        r.sent.push(Sent { srv, at: now, running: true, ran: true });
+        let (first, running) = (r.attempts.is_empty(), r.attempts.iter().any(|t| t.running));
+        let too_many = r.attempts.len() >= f.max_dispatches as usize;
+        let forbidden_repeat = r
+            .attempts
+            .iter()
+            .find(|t| t.ran)
+            .is_some_and(|t| !may_repeat(&f, t, server, now, &self.locations));
+        r.attempts.push(Attempt { server, at: now, running: true, ran: true });
         let (plan, units, customer, spread) = (r.plan, r.units, r.customer, r.spread);
-        for (kind, holds) in [
+        for (kind, occurred) in [
             (Divergence::SecondCopy, running && !self.terms.may_duplicate),
-            (Divergence::Attempts, attempts),
-            (Divergence::Repeat, repeat),
-            (Divergence::Ceiling, first && !self.ceiling(now, plan, customer, spread, units)),
+            (Divergence::Attempts, too_many),
+            (Divergence::Repeat, forbidden_repeat),
+            (Divergence::Ceiling, first && !self.take_from_ceiling(now, plan, customer, spread, units)),
         ] {
-            if holds {
-                self.up(kind);
+            if occurred {
+                self.increment(kind);
             }
         }
     }
 
-    /// Whether the units fit into the customer's slice here; they are taken from it if they do.
-    fn ceiling(&mut self, now: Point, plan: usize, customer: u64, spread: f64, units: f64) -> bool {
+    /// Takes the units from this gateway's share of the customer's ceiling if they fit; returns whether they do.
+    fn take_from_ceiling(&mut self, now: Point, plan: usize, customer: u64, spread: f64, units: f64) -> bool {
         let p = &self.terms.plans[plan];
         if p.ceiling_rate <= 0.0 {
             return true;
         }
-        if self.slices.len() >= MOST_SLICES {
-            // a full one is as one never met, but for the time that a new one takes to fill
-            let all = (p.ceiling_burst / p.ceiling_rate).max(1.0);
-            self.slices.retain(|_, s| now.since(s.at) < all);
+        if self.shares.len() >= MAX_SHARES {
+            // a share that had time to fill up may be dropped: the only difference is that a new one has to fill again
+            let fill_time = (p.ceiling_burst / p.ceiling_rate).max(1.0);
+            self.shares.retain(|_, s| now.since(s.at) < fill_time);
         }
-        let at = self.began.unwrap_or(now);
-        let s = self.slices.entry(customer).or_insert(Slice { holds: 0.0, at });
+        let at = self.started_at.unwrap_or(now);
+        let s = self.shares.entry(customer).or_insert(CeilingShare { level: 0.0, at });
         let gained = p.ceiling_rate / spread * now.since(s.at);
-        (s.holds, s.at) = ((s.holds + gained).min(p.ceiling_burst / spread), now);
-        let fits = s.holds >= units;
-        s.holds -= if fits { units } else { 0.0 };
+        (s.level, s.at) = ((s.level + gained).min(p.ceiling_burst / spread), now);
+        let fits = s.level >= units;
+        s.level -= if fits { units } else { 0.0 };
         fits
     }
 
-    fn over(&mut self, id: u64) {
-        if let Some(r) = self.reqs.get_mut(&id) {
-            r.over = true;
+    fn finish(&mut self, id: u64) {
+        if let Some(r) = self.requests.get_mut(&id) {
+            r.finished = true;
         }
-        self.drop_over(id);
+        self.remove_if_finished(id);
     }
 
-    fn drop_over(&mut self, id: u64) {
-        if self.reqs.get(&id).is_some_and(|r| r.over && !r.sent.iter().any(|t| t.running)) {
-            self.reqs.remove(&id);
+    fn remove_if_finished(&mut self, id: u64) {
+        if self.requests.get(&id).is_some_and(|r| r.finished && !r.attempts.iter().any(|t| t.running)) {
+            self.requests.remove(&id);
         }
     }
 
-    fn up(&mut self, kind: Divergence) {
+    fn increment(&mut self, kind: Divergence) {
         self.counts[kind as usize] += 1;
     }
 
+    /// Number of decisions that diverged in this way.
     pub fn count(&self, kind: Divergence) -> u64 {
         self.counts[kind as usize]
     }
 
-    /// Reqs that are not over.
+    /// Number of requests that are not finished.
     pub fn open(&self) -> usize {
-        self.reqs.len()
+        self.requests.len()
     }
 }
 
-fn place(row: &SrvRow) -> (u32, (u16, u16)) {
+/// The location of a server: its zone and cell.
+fn location(row: &SrvRow) -> (u32, (u16, u16)) {
     (row.srv, (row.zone, row.cell))
 }
 
-/// Whether a req may go to this srv after a dispatch that may have run.
-fn repeats(f: &Frontend, ran: &Sent, srv: u32, now: Point, places: &HashMap<u32, (u16, u16)>) -> bool {
-    let at = |srv| places.get(&srv).copied().unwrap_or_default();
-    let same = match f.group {
+/// Whether a request may be sent to this server after a previous attempt that may have run.
+fn may_repeat(
+    f: &Frontend,
+    previous: &Attempt,
+    server: u32,
+    now: Point,
+    locations: &HashMap<u32, (u16, u16)>,
+) -> bool {
+    let location_of = |server| locations.get(&server).copied().unwrap_or_default();
+    let same_group = match f.group {
         Group::All => true,
-        Group::Zone => at(ran.srv).0 == at(srv).0,
-        Group::Cell => at(ran.srv).1 == at(srv).1,
+        Group::Zone => location_of(previous.server).0 == location_of(server).0,
+        Group::Cell => location_of(previous.server).1 == location_of(server).1,
     };
     match f.effect {
         Effect::Replayable => true,
         Effect::NonReplayable => false,
-        Effect::Uniqued => same && now - ran.at <= f.memory,
+        Effect::Uniqued => same_group && now - previous.at <= f.memory,
     }
 }
 
-/// Customers under a ceiling that are kept; some megabytes at the most.
-const MOST_SLICES: usize = 65_536;
+/// Maximum number of customers with a ceiling that are kept, a few megabytes.
+const MAX_SHARES: usize = 65_536;
--- a/shadow/tests/kinds.rs
+++ b/shadow/tests/kinds.rs
@@ -1,4 +1,4 @@
-//! One round of events and actions a case: what the terms to come would have decided otherwise is counted.
+//! Rounds of events and actions, with the decisions counted that the proposed terms would have taken differently.
 
 use lupinledge::link::*;
 use lupinledge::time::{Point, Span};
@@ -37,15 +37,15 @@
     t
 }
 
-fn watch(effect: Effect, change: impl FnOnce(&mut Terms)) -> ShadowCounter {
-    let mut w = ShadowCounter::new(terms(effect, change));
+fn shadow_counter(effect: Effect, change: impl FnOnce(&mut Terms)) -> ShadowCounter {
+    let mut counter = ShadowCounter::new(terms(effect, change));
     let row = |srv: u32, zone| SrvRow { srv, zone, cell: 0, state: SrvState::Ready, weight: 1.0, born: None };
     let rows = vec![row(1, 0), row(2, 0), row(3, 1)];
-    w.record_events(at(0.0), &[Event::List { kind: ListKind::Full, rows }]);
-    w
+    counter.record_events(at(0.0), &[Event::List { kind: ListKind::Full, rows }]);
+    counter
 }
 
-fn req(id: u64, repeat: bool) -> Event {
+fn request(id: u64, repeat: bool) -> Event {
     let left = Span::from_secs(3.0);
     let (units, customer, spread, zones) = (2.0, 7, 2.0, u64::MAX);
     Event::Req(NewReq { id, frontend: 0, repeat, units, customer, plan: 0, spread, left, zones })
@@ -56,93 +56,97 @@
     Event::Ended(Ended { id, nth, how, took: Span::ZERO, closed, billed: 0.0 }, Vec::new())
 }
 
-fn send(id: u64, srv: u32) -> Action {
+fn dispatch(id: u64, srv: u32) -> Action {
     Action::Dispatch { id, srv, limit: Span::ZERO }
 }
 
-fn counts(w: &ShadowCounter) -> Vec<(&'static str, u64)> {
-    Divergence::ALL.iter().filter(|k| w.count(**k) > 0).map(|k| (k.name(), w.count(*k))).collect()
+fn counts(counter: &ShadowCounter) -> Vec<(&'static str, u64)> {
+    Divergence::ALL.iter().filter(|k| counter.count(**k) > 0).map(|k| (k.name(), counter.count(*k))).collect()
 }
 
 #[test]
-fn second_copies_and_attempts() {
-    let mut w = watch(Effect::Replayable, |t| (t.may_duplicate, t.frontends[0].max_dispatches) = (false, 2));
-    w.record_events(at(0.1), &[req(1, false)]);
-    w.record_actions(at(0.1), &[send(1, 1)]);
-    w.record_actions(at(0.4), &[send(1, 2)]);
-    assert_eq!(counts(&w), [("second_copy", 1)]);
-    w.record_events(at(0.5), &[ended(1, 0, Error), ended(1, 1, Error)]);
-    w.record_actions(at(0.5), &[send(1, 3)]);
-    assert_eq!(counts(&w), [("second_copy", 1), ("attempts", 1)]);
-    // as long as nothing of it is out, a req that has ended is not kept
-    w.record_events(at(0.6), &[ended(1, 2, Passed)]);
-    assert_eq!(w.open(), 0);
+fn counts_second_copies_and_excess_attempts() {
+    let mut counter =
+        shadow_counter(Effect::Replayable, |t| (t.may_duplicate, t.frontends[0].max_dispatches) = (false, 2));
+    counter.record_events(at(0.1), &[request(1, false)]);
+    counter.record_actions(at(0.1), &[dispatch(1, 1)]);
+    counter.record_actions(at(0.4), &[dispatch(1, 2)]);
+    assert_eq!(counts(&counter), [("second_copy", 1)]);
+    counter.record_events(at(0.5), &[ended(1, 0, Error), ended(1, 1, Error)]);
+    counter.record_actions(at(0.5), &[dispatch(1, 3)]);
+    assert_eq!(counts(&counter), [("second_copy", 1), ("attempts", 1)]);
+    // a request that has ended and has no running attempt is removed
+    counter.record_events(at(0.6), &[ended(1, 2, Passed)]);
+    assert_eq!(counter.open(), 0);
 }
 
 #[test]
-fn what_must_not_run_twice() {
-    let mut w = watch(Effect::NonReplayable, |_| {});
-    w.record_events(at(0.1), &[req(1, false), req(2, false)]);
-    w.record_actions(at(0.1), &[send(1, 1), send(2, 1)]);
-    w.record_events(at(0.2), &[ended(1, 0, NoConnection), ended(2, 0, Error)]);
-    w.record_actions(at(0.2), &[send(1, 2)]); // it never ran
-    assert_eq!(counts(&w), []);
-    w.record_actions(at(0.2), &[send(2, 2)]);
-    w.record_events(at(0.3), &[ended(2, 1, Error)]);
-    w.record_actions(at(0.3), &[Action::Deny { id: 2, back_off: Span::ZERO }]);
-    assert_eq!(counts(&w), [("repeat", 1), ("denial", 1)]);
+fn counts_repeats_and_denials_of_requests_that_may_have_run() {
+    let mut counter = shadow_counter(Effect::NonReplayable, |_| {});
+    counter.record_events(at(0.1), &[request(1, false), request(2, false)]);
+    counter.record_actions(at(0.1), &[dispatch(1, 1), dispatch(2, 1)]);
+    counter.record_events(at(0.2), &[ended(1, 0, NoConnection), ended(2, 0, Error)]);
+    counter.record_actions(at(0.2), &[dispatch(1, 2)]); // the first attempt never ran
+    assert_eq!(counts(&counter), []);
+    counter.record_actions(at(0.2), &[dispatch(2, 2)]);
+    counter.record_events(at(0.3), &[ended(2, 1, Error)]);
+    counter.record_actions(at(0.3), &[Action::Deny { id: 2, back_off: Span::ZERO }]);
+    assert_eq!(counts(&counter), [("repeat", 1), ("denial", 1)]);
 }
 
 #[test]
-fn a_uniqued_req_stays_in_its_zone_and_memory() {
-    let mut w = watch(Effect::Uniqued, |t| t.frontends[0].max_dispatches = 9);
-    w.record_events(at(0.1), &[req(1, false)]);
-    w.record_actions(at(0.1), &[send(1, 1)]);
-    w.record_events(at(0.2), &[ended(1, 0, Error)]);
-    w.record_actions(at(0.2), &[send(1, 2)]);
-    assert_eq!(counts(&w), []);
-    w.record_actions(at(0.3), &[send(1, 3)]);
-    assert_eq!(counts(&w), [("repeat", 1)]);
-    w.record_actions(at(2.2), &[send(1, 2)]);
-    assert_eq!(counts(&w), [("repeat", 2)]);
+fn a_uniqued_request_may_repeat_only_in_its_zone_and_memory() {
+    let mut counter = shadow_counter(Effect::Uniqued, |t| t.frontends[0].max_dispatches = 9);
+    counter.record_events(at(0.1), &[request(1, false)]);
+    counter.record_actions(at(0.1), &[dispatch(1, 1)]);
+    counter.record_events(at(0.2), &[ended(1, 0, Error)]);
+    counter.record_actions(at(0.2), &[dispatch(1, 2)]);
+    assert_eq!(counts(&counter), []);
+    counter.record_actions(at(0.3), &[dispatch(1, 3)]);
+    assert_eq!(counts(&counter), [("repeat", 1)]);
+    counter.record_actions(at(2.2), &[dispatch(1, 2)]);
+    assert_eq!(counts(&counter), [("repeat", 2)]);
 }
 
 #[test]
-fn slices_of_a_ceiling_start_empty_and_fill() {
-    let mut w = watch(Effect::Replayable, |t| {
+fn ceiling_shares_start_empty_and_fill() {
+    let mut counter = shadow_counter(Effect::Replayable, |t| {
         (t.plans[0].ceiling_rate, t.plans[0].ceiling_burst) = (4.0, 8.0);
     });
-    w.record_events(at(0.5), &[req(1, false), req(2, false), req(3, false), req(4, false)]);
-    w.record_actions(at(0.5), &[send(1, 1)]); // one unit of two is there
-    assert_eq!(counts(&w), [("ceiling", 1)]);
-    w.record_actions(at(1.5), &[send(2, 1)]);
-    assert_eq!(counts(&w), [("ceiling", 1)]);
-    w.record_actions(at(1.5), &[send(3, 1)]);
-    assert_eq!(counts(&w), [("ceiling", 2)]);
-    // a further dispatch of the same req takes nothing
-    w.record_events(at(1.6), &[ended(3, 0, Error)]);
-    w.record_actions(at(1.6), &[send(3, 2)]);
-    assert_eq!(counts(&w), [("ceiling", 2)]);
+    counter.record_events(
+        at(0.5),
+        &[request(1, false), request(2, false), request(3, false), request(4, false)],
+    );
+    counter.record_actions(at(0.5), &[dispatch(1, 1)]); // needs two units; one is available
+    assert_eq!(counts(&counter), [("ceiling", 1)]);
+    counter.record_actions(at(1.5), &[dispatch(2, 1)]);
+    assert_eq!(counts(&counter), [("ceiling", 1)]);
+    counter.record_actions(at(1.5), &[dispatch(3, 1)]);
+    assert_eq!(counts(&counter), [("ceiling", 2)]);
+    // another dispatch of the same request takes nothing
+    counter.record_events(at(1.6), &[ended(3, 0, Error)]);
+    counter.record_actions(at(1.6), &[dispatch(3, 2)]);
+    assert_eq!(counts(&counter), [("ceiling", 2)]);
 }
 
 #[test]
-fn marks_and_hints() {
-    let mut w = watch(Effect::Replayable, |t| {
+fn counts_unexpected_marks_and_long_hints() {
+    let mut counter = shadow_counter(Effect::Replayable, |t| {
         (t.marks_repeats, t.longest_hint) = (false, Span::from_secs(0.2));
     });
-    w.record_events(at(0.1), &[req(1, true), req(2, false)]);
+    counter.record_events(at(0.1), &[request(1, true), request(2, false)]);
     let hint = |id, secs| Action::Deny { id, back_off: Span::from_secs(secs) };
-    w.record_actions(at(0.1), &[hint(1, 0.1), hint(2, 0.3)]);
-    assert_eq!(counts(&w), [("unmarked", 1), ("hint", 1)]);
-    assert_eq!(w.open(), 0);
+    counter.record_actions(at(0.1), &[hint(1, 0.1), hint(2, 0.3)]);
+    assert_eq!(counts(&counter), [("unmarked", 1), ("hint", 1)]);
+    assert_eq!(counter.open(), 0);
 }
 
 #[test]
-fn the_same_terms_count_nothing() {
-    let mut w = watch(Effect::Replayable, |_| {});
-    w.record_events(at(0.1), &[req(1, true)]);
-    w.record_actions(at(0.1), &[send(1, 1), send(1, 2)]);
-    w.record_events(at(0.2), &[Event::Left { id: 1 }, ended(1, 0, Outcome::Cancelled)]);
-    w.record_events(at(0.3), &[ended(1, 1, Outcome::Cancelled)]);
-    assert_eq!((counts(&w), w.open()), (vec![], 0));
+fn counts_nothing_for_identical_terms() {
+    let mut counter = shadow_counter(Effect::Replayable, |_| {});
+    counter.record_events(at(0.1), &[request(1, true)]);
+    counter.record_actions(at(0.1), &[dispatch(1, 1), dispatch(1, 2)]);
+    counter.record_events(at(0.2), &[Event::Left { id: 1 }, ended(1, 0, Outcome::Cancelled)]);
+    counter.record_events(at(0.3), &[ended(1, 1, Outcome::Cancelled)]);
+    assert_eq!((counts(&counter), counter.open()), (vec![], 0));
 }
