--- a/invariants/src/lib.rs
+++ b/invariants/src/lib.rs
@@ -1,39 +1,39 @@
-//! Promises of the system that the code checks while it runs.
+//! Invariants of the system that the programs check at run time.
 //!
-//! A check costs a comparison. A violation changes nothing in what the program does: it is counted, and logged
-//! with what is known of it. Tests that start the programs fail on any `event=invariant_violated` in their logs,
-//! and the metrics of both programs show the counts.
+//! A check costs one comparison. A violation does not change what the program does: it is counted, and logged with the
+//! details that the caller gives. Tests that start the programs fail on any `event=invariant_violated` in their logs, and
+//! the metrics of both programs include the counts.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Violations of one invariant that are logged; all are counted.
-const LOGGED_AT_MOST: u64 = 20;
+/// Maximum number of logged violations of one invariant; all are counted.
+const MAX_LOGGED: u64 = 20;
 
-/// What has to hold at all times. The names are those in logs and metrics.
+/// A condition that must hold at all times.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A request that may run once is sent on only if no dispatch of it may have run.
+    /// A request that must not run twice is dispatched again only if no earlier dispatch may have run.
     RunOnce,
-    /// A request that may run once is refused with the promise that it has not run only if it has not.
+    /// A request that must not run twice is rejected as "not run" only if it has not run.
     RefusedNotRun,
-    /// A request goes to no more servers than its route allows.
+    /// A request is sent to no more servers than its route allows.
     AttemptLimit,
-    /// A request goes only to a server in a zone that is a home of its route and its tenant.
+    /// A request is sent only to a server in a home zone of both its route and its tenant.
     HomeZone,
-    /// The requests counted as unanswered are those that wait for an answer.
+    /// The count of unanswered requests equals the number of requests that wait for an answer.
     UnansweredCount,
-    /// The configuration in force never goes back within one life of a process.
+    /// The version of the configuration in use never decreases while a process runs.
     ConfigurationMonotonic,
-    /// What the core commits never goes back within one life of a process.
+    /// The position that the core has committed never decreases while a process runs.
     CommitMonotonic,
-    /// A promise or vote is told only once it is on disk.
+    /// A promise or vote is sent only after it is on disk.
     DurableBeforeSent,
-    /// No read of the configuration is older than an acknowledgement that this process gave before.
+    /// No read of the configuration returns an older state than one that this process has acknowledged before.
     ReadNotStale,
 }
 
 impl Invariant {
-    /// All of them, in the order of their declaration.
+    /// All invariants, in the order of their declaration.
     pub const ALL: [Invariant; 9] = [
         Invariant::RunOnce,
         Invariant::RefusedNotRun,
@@ -64,19 +64,19 @@
 
 static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
-/// Counts and logs a violation unless the invariant holds. `detail` is only called for one that is logged.
+/// Counts and logs a violation if `holds` is false. `detail` is only called for a violation that is logged.
 pub fn check(invariant: Invariant, holds: bool, detail: impl FnOnce() -> String) {
     if holds {
         return;
     }
     let earlier = VIOLATIONS[invariant as usize].fetch_add(1, Ordering::Relaxed);
-    if earlier < LOGGED_AT_MOST {
+    if earlier < MAX_LOGGED {
         let detail = detail();
         tracing::error!(event = "invariant_violated", invariant = invariant.name(), %detail);
     }
 }
 
-/// How often an invariant was violated in this process.
+/// Number of violations of an invariant in this process.
 pub fn violations(invariant: Invariant) -> u64 {
     VIOLATIONS[invariant as usize].load(Ordering::Relaxed)
 }
