--- a/drift-detection/tests/cost.rs
+++ b/drift-detection/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What the watch costs: `cargo test --release -p lupinledge-drift-detection --test cost -- --ignored --nocapture`.
+//! The CPU cost of drift detection: `cargo test --release -p lupinledge-drift-detection --test cost -- --ignored --nocapture`.
 
 use lupinledge_config::{Config, Document, Tables};
 use lupinledge_drift_detection::{verdict::compare, Audit, DriftMonitor, LocalState, Settings};
@@ -7,10 +7,10 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// 74 tenants of two keys, 24 routes, 12 services; 60 gateways and 5 of the core.
+/// 74 tenants with two keys each, 24 routes, 12 services; 60 gateways and 5 core nodes.
 #[test]
 #[ignore = "a measurement"]
-fn a_second_of_the_watch() {
+fn cost_of_one_second_of_drift_detection() {
     let rule = |i: usize| {
         json!({"name": format!("route-{i}"), "route_kind": "idempotent", "match": {"path_prefix": format!("/p{i}/")},
                "action": {"service": format!("service-{}", i % 12), "timeout_s": 3, "max_attempts": 2}})
@@ -26,9 +26,9 @@
         "clusters": (0..12).map(|i| json!({"name": format!("service-{i}")})).collect::<Vec<Value>>(),
     });
     let bytes = config.to_string().into_bytes();
-    let (read, size) = (Config::read(&bytes).unwrap(), bytes.len());
-    let d = Document { config: Some(bytes), version: 1, serial: 1, ..Document::default() };
-    let tables = Tables::new(&d, &BTreeMap::new()).unwrap();
+    let (parsed, size) = (Config::read(&bytes).unwrap(), bytes.len());
+    let document = Document { config: Some(bytes), version: 1, serial: 1, ..Document::default() };
+    let tables = Tables::new(&document, &BTreeMap::new()).unwrap();
     let print = tables.print().folded();
     let member = |i: u32| {
         let (region, zone, front, control, rules) = ("r".into(), "z".into(), None, None, None);
@@ -38,23 +38,23 @@
         Member { node: i, incarnation: 1, card, standing: Standing::Alive, since: 0.0, heard: 0.0, digest }
     };
     let members: Vec<Member> = (0..65).map(member).collect();
-    let (mut audit, mut watch) = (Audit::new(1), DriftMonitor::new(0.0, Settings::new(2.5)));
-    let (mut longest, began) = (0.0_f64, Instant::now());
+    let (mut audit, mut monitor) = (Audit::new(1), DriftMonitor::new(0.0, Settings::new(2.5)));
+    let (mut longest, started_at) = (0.0_f64, Instant::now());
     const SECONDS: u32 = 200;
-    for turn in 0..10 * SECONDS {
+    for step in 0..10 * SECONDS {
         let start = Instant::now();
-        let due = (turn % 50 == 0).then(|| Tables::new(&d, &BTreeMap::new()).unwrap());
-        let found = audit.step(&tables, Some(&read), due.as_ref());
+        let expected = (step % 50 == 0).then(|| Tables::new(&document, &BTreeMap::new()).unwrap());
+        let found = audit.step(&tables, Some(&parsed), expected.as_ref());
         let own =
             LocalState { index: 1, print, faulty_part: found.map(|f| f.part), verified: audit.is_clean() };
-        let now = f64::from(turn) * 0.1;
-        assert!(watch.evaluate(now, &own, &compare(now, &own, 1, members.iter())).is_empty());
+        let now = f64::from(step) * 0.1;
+        assert!(monitor.evaluate(now, &own, &compare(now, &own, 1, members.iter())).is_empty());
         longest = longest.max(start.elapsed().as_secs_f64());
     }
-    let a_second = began.elapsed().as_secs_f64() / f64::from(SECONDS);
+    let cost_per_second = started_at.elapsed().as_secs_f64() / f64::from(SECONDS);
     println!(
-        "configuration {size} bytes: {:.0} us a second, longest turn {:.0} us",
-        a_second * 1e6,
+        "configuration {size} bytes: {:.0} us a second, longest step {:.0} us",
+        cost_per_second * 1e6,
         longest * 1e6
     );
 }
