--- a/counters/src/holder.rs
+++ b/counters/src/holder.rs
@@ -14,13 +14,14 @@
 /// Maximum number of calls that wait for the totals.
 const MAX_WAITING: usize = 4096;
 
-/// Call numbers are compared only with those received in the last seconds of this number: the numbers of a gateway that
-/// was unreachable for longer may have wrapped around.
+/// How long the newest call number of a gateway is used to detect overtaken calls, in seconds: the numbers of a gateway
+/// that was unreachable for longer may have wrapped around.
 pub const REORDER_WINDOW: f64 = 10.0;
 
 /// A gateway in the holder's membership view.
 #[derive(Clone, Copy, Debug)]
 pub struct GatewayStatus {
+    /// Its address.
     pub node: Node,
     /// Not suspected by the failure detector.
     pub alive: bool,
@@ -33,8 +34,11 @@
 /// The answer to a call that waited for the totals.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
+    /// The process that made the call.
     pub from: Incarnation,
+    /// The number of the call.
     pub tag: u64,
+    /// The totals, in the order of the names in the call.
     pub totals: Vec<Total>,
 }
 
--- a/counters/src/silence.rs
+++ b/counters/src/silence.rs
@@ -15,7 +15,7 @@
 /// Time constant of the exponential decay of recent usage, in seconds.
 pub const USAGE_DECAY: f64 = 8.0;
 
-/// Maximum number of gateways kept; nothing is presumed of further ones.
+/// Maximum number of gateways kept; no usage is presumed of additional gateways.
 pub const MAX_NODES: usize = 4096;
 
 /// Maximum number of customers with a quota that are kept.
--- a/counters/src/store.rs
+++ b/counters/src/store.rs
@@ -12,7 +12,9 @@
 /// A quota: `rate` units a second, and no more than `size` at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
+    /// Units added per second.
     pub rate: f64,
+    /// Capacity in units.
     pub size: f64,
 }
 
--- a/drift-detection/tests/cluster/mod.rs
+++ b/drift-detection/tests/cluster/mod.rs
@@ -443,7 +443,7 @@
 /// The causes of a drift.
 pub const CAUSES: [&str; 9] =
     ["service", "retry", "prefix", "key", "half", "forged-old", "forged-half", "restart", "evacuation-lost"];
-/// What happens in the cluster at the same time.
+/// Circumstances in the cluster at the time of the drift.
 pub const CIRCUMSTANCES: [&str; 6] = ["calm", "core-cut", "evacuation", "race", "holder", "freeze"];
 
 /// Simulates a drift of `count` nodes at once; without `monitoring`, nodes do not react to it.
--- a/shadow/src/lib.rs
+++ b/shadow/src/lib.rs
@@ -51,10 +51,12 @@
     }
 }
 
+/// A dispatch of a request.
 struct Attempt {
     server: u32,
     at: Point,
     running: bool,
+    /// Whether it may have run.
     ran: bool,
 }
 
@@ -64,6 +66,7 @@
     plan: usize,
     units: f64,
     customer: u64,
+    /// Number by which a ceiling is divided among gateways.
     spread: f64,
     attempts: Vec<Attempt>,
     finished: bool,
