--- a/counters/src/holder.rs
+++ b/counters/src/holder.rs
@@ -45,10 +45,10 @@
 /// State of the handover, and what the caller has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HandoverStatus {
-    /// Totals are answered. These gateways are reachable but have not handed over yet and are to be reachable; until they do,
-    /// a part of their sums is also counted as lost.
+    /// Totals are answered. The listed gateways are reachable but have not handed over yet and must be asked to; until
+    /// they do, a part of their sums is also counted as lost.
     Serving(Vec<Node>),
-    /// These gateways are to be reachable for their handover; poll again soon.
+    /// Totals are not complete. The listed gateways must be asked for their handover; poll again soon.
     Collecting(Vec<Node>),
     /// The totals have just become complete: the answers to the calls that waited, and the number of gateways whose
     /// handover is missing.
