--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -1,50 +1,50 @@
 //! The part that every member plays: promises, votes, and passing on what is committed.
 
-use crate::{Ballot, Msg, Node, Out, Queen, Role, Seen, Value};
+use crate::{Ballot, Msg, Node, Output, Replica, Role, Seen, Value};
 use std::rc::Rc;
 
-/// No epoch is promised while a holder was heard this lately.
+/// No epoch is promised while a leader was heard this lately.
 const LOYAL: f64 = 0.6;
 /// So long the one that was named to hold next has for its first words, before others stand.
 const HANDED: f64 = 0.5;
 /// So long others are put off once a candidate was promised an epoch.
 const PATIENCE: f64 = 0.8;
 
-impl Queen {
-    /// Is there a holder, or a candidate under way, that `candidate` has to leave alone?
+impl Replica {
+    /// Is there a leader, or a candidate under way, that `candidate` has to leave alone?
     pub(crate) fn bound(&self, candidate: Node) -> bool {
         let seen = self.seen.is_some_and(|seen| seen.node != candidate && self.now - seen.at < LOYAL);
         let patient = self.patience.is_some_and(|(node, until)| node != candidate && self.now < until);
         let own = match &self.role {
-            Role::Holding(holding) => holding.backed(&self.disk.mem.value, self.me, self.now, LOYAL),
+            Role::Leading(leading) => leading.backed(&self.disk.mem.value, self.me, self.now, LOYAL),
             Role::Preparing(_) => candidate > self.me,
             _ => false,
         };
         seen || patient || own
     }
 
-    pub(crate) fn on_ask(&mut self, from: Node, n: u64, out: &mut Vec<Out>) {
+    pub(crate) fn on_ask(&mut self, from: Node, n: u64, out: &mut Vec<Output>) {
         if self.learner.is_some() {
             return;
         }
         let promised = self.disk.mem.promised;
         let answer = if self.bound(from) {
-            let holder = self.holder(self.now).map_or(0, |(node, _)| node);
-            Msg::AskNo { n, promised, holder, commit: self.commit_ballot() }
+            let leader = self.leader(self.now).map_or(0, |(node, _)| node);
+            Msg::PreVoteRefused { n, promised, leader, commit: self.commit_ballot() }
         } else {
-            Msg::AskOk { n, promised }
+            Msg::PreVoteGranted { n, promised }
         };
-        out.push(Out::Send(from, answer));
+        out.push(Output::Send(from, answer));
     }
 
-    pub(crate) fn on_prepare(&mut self, from: Node, epoch: u64, have: Ballot, out: &mut Vec<Out>) {
+    pub(crate) fn on_prepare(&mut self, from: Node, epoch: u64, have: Ballot, out: &mut Vec<Output>) {
         if self.learner.is_some() || epoch as Node != from {
             return;
         }
         self.floor = self.floor.max(epoch);
         let promised = self.disk.mem.promised;
         if epoch < promised || (epoch > promised && self.bound(from)) {
-            out.push(Out::Send(from, Msg::Refused { epoch, promised, commit: self.commit_ballot() }));
+            out.push(Output::Send(from, Msg::Refused { epoch, promised, commit: self.commit_ballot() }));
             return;
         }
         if epoch > promised {
@@ -67,7 +67,7 @@
         ballot: Ballot,
         value: Rc<Value>,
         incarnation: u64,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         if self.learner.is_some() || ballot.epoch as Node != from {
             return;
@@ -75,7 +75,7 @@
         let promised = self.disk.mem.promised;
         if ballot.epoch < promised {
             let (epoch, commit) = (ballot.epoch, self.commit_ballot());
-            out.push(Out::Send(from, Msg::Refused { epoch, promised, commit }));
+            out.push(Output::Send(from, Msg::Refused { epoch, promised, commit }));
             return;
         }
         self.follow(from, ballot.epoch, out);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Makes the value the one to be saved; `proposer` as in [`crate::Kept`].
+    /// Makes the value the one to be saved; `proposer` as in [`crate::PersistentState`].
     pub(crate) fn take(&mut self, ballot: Ballot, value: Rc<Value>, proposer: u64) {
         let mem = &mut self.disk.mem;
         mem.promised = mem.promised.max(ballot.epoch);
@@ -104,7 +104,7 @@
         epoch: u64,
         commit: Ballot,
         nonce: u64,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         if epoch as Node != from {
             return;
@@ -113,21 +113,21 @@
             if self.seen.is_none_or(|seen| seen.epoch <= epoch) {
                 self.seen = Some(Seen { node: from, epoch, at: self.now });
             }
-            out.push(Out::Send(from, Msg::Alive));
+            out.push(Output::Send(from, Msg::Alive));
             return;
         }
         let promised = self.disk.mem.promised;
         if epoch < promised {
-            out.push(Out::Send(from, Msg::Refused { epoch, promised, commit: self.commit_ballot() }));
+            out.push(Output::Send(from, Msg::Refused { epoch, promised, commit: self.commit_ballot() }));
             return;
         }
         self.follow(from, epoch, out);
-        out.push(Out::Send(from, Msg::HeartbeatOk { epoch, nonce }));
+        out.push(Output::Send(from, Msg::HeartbeatOk { epoch, nonce }));
         self.told_commit(from, commit, out);
     }
 
-    /// Takes the node for the holder of an epoch not below the promised one.
-    fn follow(&mut self, node: Node, epoch: u64, out: &mut Vec<Out>) {
+    /// Takes the node for the leader of an epoch not below the promised one.
+    fn follow(&mut self, node: Node, epoch: u64, out: &mut Vec<Output>) {
         self.yield_to(epoch, out);
         self.floor = self.floor.max(epoch);
         if epoch <= self.over {
@@ -141,12 +141,12 @@
     }
 
     /// Another node has, or is to have, a higher epoch: gives up the own one or the try for it.
-    fn yield_to(&mut self, epoch: u64, out: &mut Vec<Out>) {
+    fn yield_to(&mut self, epoch: u64, out: &mut Vec<Output>) {
         match &self.role {
             Role::Follower => {}
             Role::Asking(_) => self.role = Role::Follower,
             Role::Preparing(preparing) if preparing.epoch < epoch => self.role = Role::Follower,
-            Role::Holding(holding) if holding.epoch < epoch => self.lose(out),
+            Role::Leading(leading) if leading.epoch < epoch => self.lose(out),
             _ => {}
         }
     }
@@ -163,15 +163,15 @@
         }
     }
 
-    pub(crate) fn on_fetch(&mut self, from: Node, have: Ballot, out: &mut Vec<Out>) {
+    pub(crate) fn on_fetch(&mut self, from: Node, have: Ballot, out: &mut Vec<Output>) {
         if let Some((ballot, value)) = &self.committed {
             if *ballot > have {
-                out.push(Out::Send(from, Msg::News { ballot: *ballot, value: value.clone() }));
+                out.push(Output::Send(from, Msg::CommittedValue { ballot: *ballot, value: value.clone() }));
             }
         }
     }
 
-    pub(crate) fn on_news(&mut self, ballot: Ballot, value: Rc<Value>, out: &mut Vec<Out>) {
+    pub(crate) fn on_news(&mut self, ballot: Ballot, value: Rc<Value>, out: &mut Vec<Output>) {
         self.floor = self.floor.max(ballot.epoch);
         let mem = &self.disk.mem;
         if self.learner.is_none() && ballot > mem.ballot && ballot.epoch >= mem.promised {
--- a/consensus/src/cluster.rs
+++ b/consensus/src/cluster.rs
@@ -4,7 +4,7 @@
 //! and counts once the value that it was drawn with is known to be committed, since two first changes may be on their
 //! way, of which one is dropped; until then it is odd. Each founding anew by an operator begins a generation.
 
-use crate::{Msg, Node, Out, Queen};
+use crate::{Msg, Node, Output, Replica};
 
 const DRAWN: u64 = 1;
 const GENERATION: u32 = 48;
@@ -53,20 +53,20 @@
 /// The number that a message tells.
 fn told(msg: &Msg) -> Option<u64> {
     match msg {
-        Msg::Ask { cluster, .. }
+        Msg::PreVote { cluster, .. }
         | Msg::Prepare { cluster, .. }
         | Msg::Heartbeat { cluster, .. }
         | Msg::Resume { cluster, .. }
         | Msg::Superseded { cluster } => Some(*cluster),
-        Msg::Accept { value, .. } | Msg::News { value, .. } => Some(value.cluster),
+        Msg::Accept { value, .. } | Msg::CommittedValue { value, .. } => Some(value.cluster),
         _ => None,
     }
 }
 
-impl Queen {
+impl Replica {
     /// Is the message to be dropped, as what it stands on is of another cluster? Who is of an earlier generation is told
     /// so; this node forgets what it holds where that was superseded.
-    pub(crate) fn drops(&mut self, from: Node, msg: &Msg, out: &mut Vec<Out>) -> bool {
+    pub(crate) fn drops(&mut self, from: Node, msg: &Msg, out: &mut Vec<Output>) -> bool {
         let own = self.newest().cluster;
         let Some(told) = told(msg).filter(|_| self.learner.is_none()) else { return false };
         match relation(own, told) {
@@ -74,7 +74,7 @@
             // who asks whether its state is the newest is answered with what is held here
             Relation::Other => !matches!(msg, Msg::Resume { .. }),
             Relation::Older => {
-                out.push(Out::Send(from, Msg::Superseded { cluster: own }));
+                out.push(Output::Send(from, Msg::Superseded { cluster: own }));
                 true
             }
             Relation::Newer => {
--- a/consensus/src/disk.rs
+++ b/consensus/src/disk.rs
@@ -1,6 +1,6 @@
 //! What must be saved, what was, and the answers that wait for it.
 
-use crate::{Kept, Msg, Node, Out};
+use crate::{Msg, Node, Output, PersistentState};
 use lupinledge_invariants::{check, Invariant};
 use std::collections::VecDeque;
 use std::mem::discriminant;
@@ -11,12 +11,12 @@
 #[derive(Default)]
 pub(crate) struct Disk {
     /// Newest state, perhaps not saved yet.
-    pub(crate) mem: Kept,
+    pub(crate) mem: PersistentState,
     /// State known to be on disk.
-    pub(crate) safe: Kept,
+    pub(crate) safe: PersistentState,
     version: u64,
     safe_version: u64,
-    saving: Option<(u64, Kept)>,
+    saving: Option<(u64, PersistentState)>,
     /// When the save under way was first asked for.
     since: Option<f64>,
     retry_at: f64,
@@ -24,7 +24,7 @@
 }
 
 impl Disk {
-    pub(crate) fn new(kept: Kept) -> Disk {
+    pub(crate) fn new(kept: PersistentState) -> Disk {
         Disk { mem: kept.clone(), safe: kept, ..Disk::default() }
     }
 
@@ -34,10 +34,10 @@
     }
 
     /// Sends an answer that depends on the present state, once that is saved.
-    pub(crate) fn tell(&mut self, to: Node, msg: Msg, out: &mut Vec<Out>) {
+    pub(crate) fn tell(&mut self, to: Node, msg: Msg, out: &mut Vec<Output>) {
         if self.safe_version == self.version {
             self.check_durable(&msg);
-            return out.push(Out::Send(to, msg));
+            return out.push(Output::Send(to, msg));
         }
         if self.waiting.iter().any(|(_, node, waits)| *node == to && *waits == msg) {
             return;
@@ -55,16 +55,16 @@
     }
 
     /// Asks for a save if one is due.
-    pub(crate) fn flush(&mut self, now: f64, out: &mut Vec<Out>) {
+    pub(crate) fn flush(&mut self, now: f64, out: &mut Vec<Output>) {
         if self.saving.is_none() && self.safe_version < self.version && now >= self.retry_at {
             self.since.get_or_insert(now);
             self.saving = Some((self.version, self.mem.clone()));
-            out.push(Out::Save(self.version, self.mem.clone()));
+            out.push(Output::Save(self.version, self.mem.clone()));
         }
     }
 
     /// Takes the end of a save; true if newer state is on disk now.
-    pub(crate) fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Vec<Out>) -> bool {
+    pub(crate) fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Vec<Output>) -> bool {
         let Some((version, kept)) = self.saving.take_if(|(version, _)| *version == ticket) else {
             return false;
         };
@@ -80,7 +80,7 @@
         while self.waiting.front().is_some_and(|(needs, ..)| *needs <= version) {
             if let Some((_, to, msg)) = self.waiting.pop_front() {
                 self.check_durable(&msg);
-                out.push(Out::Send(to, msg));
+                out.push(Output::Send(to, msg));
             }
         }
         true
@@ -122,7 +122,7 @@
     matches!(
         msg,
         Msg::Promise { value: Some(_), .. }
-            | Msg::Learnt { value: Some(_), .. }
-            | Msg::Resumed { value: Some(_), .. }
+            | Msg::LearnReply { value: Some(_), .. }
+            | Msg::ResumeReply { value: Some(_), .. }
     )
 }
--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -1,16 +1,16 @@
-//! Standing for an epoch: first asked for without binding anybody, then promised.
+//! ReplicaStatus for an epoch: first asked for without binding anybody, then promised.
 
-use crate::{dice, Ballot, Msg, Node, Out, Queen, Role, Tally, Value};
+use crate::{dice, Ballot, Msg, Node, Output, Replica, Role, Tally, Value};
 use std::rc::Rc;
 
-/// So long without a sign of a holder before the first in order stands.
+/// So long without a sign of a leader before the first in order stands.
 const WAIT: f64 = 0.9;
 /// Of that, what one that just started does not wait: it was not there to hear one, and where all were killed there is
-/// none. Two heartbeats and a way of a holder that is alive have room in the rest.
+/// none. Two heartbeats and a way of a leader that is alive have room in the rest.
 pub(crate) const AT_START: f64 = WAIT - 0.4;
 /// How much longer each next one in order waits.
 const RANK: f64 = 0.25;
-/// Members tell each other that they live once the holder was silent for so long.
+/// Members tell each other that they live once the leader was silent for so long.
 const UNEASY: f64 = 0.45;
 const ALIVE: f64 = 0.2;
 /// Who was heard within this span counts in the order.
@@ -54,8 +54,8 @@
     }
 }
 
-impl Queen {
-    /// No holder is to be waited for; after `span` only the order counts.
+impl Replica {
+    /// No leader is to be waited for; after `span` only the order counts.
     pub(crate) fn hurry(&mut self, span: f64) {
         self.calm = self.calm.min(self.now - WAIT + span);
     }
@@ -76,14 +76,14 @@
         self.calm + WAIT + before as f64 * RANK
     }
 
-    pub(crate) fn follow_tick(&mut self, out: &mut Vec<Out>) {
+    pub(crate) fn follow_tick(&mut self, out: &mut Vec<Output>) {
         if !self.member() {
             return;
         }
         if self.now >= (self.calm + UNEASY).max(self.next_alive) {
             self.next_alive = self.now + ALIVE;
             for node in self.newest().others(self.me) {
-                out.push(Out::Send(node, Msg::Alive));
+                out.push(Output::Send(node, Msg::Alive));
             }
         }
         if self.now < self.stand_at() || self.leaving.is_some() {
@@ -105,7 +105,7 @@
         (self.calm + UNEASY).max(self.next_alive).min(stand).min(self.now + NAP)
     }
 
-    pub(crate) fn asking_tick(&mut self, out: &mut Vec<Out>) {
+    pub(crate) fn asking_tick(&mut self, out: &mut Vec<Output>) {
         // also who doesn't count as far as this one knows: it may have been cut off while the members changed
         let others = self.known();
         let cluster = self.newest().cluster;
@@ -118,14 +118,14 @@
             asking.next_send = self.now + RESEND;
             for node in others {
                 if !asking.oks.contains(&node) {
-                    out.push(Out::Send(node, Msg::Ask { n: asking.n, cluster }));
+                    out.push(Output::Send(node, Msg::PreVote { n: asking.n, cluster }));
                 }
             }
         }
         self.stand_if_asked(out);
     }
 
-    pub(crate) fn on_ask_ok(&mut self, from: Node, n: u64, promised: u64, out: &mut Vec<Out>) {
+    pub(crate) fn on_ask_ok(&mut self, from: Node, n: u64, promised: u64, out: &mut Vec<Output>) {
         self.floor = self.floor.max(promised);
         let others = self.newest().others(self.me);
         let Role::Asking(asking) = &mut self.role else { return };
@@ -139,19 +139,19 @@
         &mut self,
         from: Node,
         promised: u64,
-        holder: Node,
+        leader: Node,
         commit: Ballot,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         self.floor = self.floor.max(promised);
         self.told_commit(from, commit, out);
-        if matches!(self.role, Role::Asking(_)) && holder == from {
+        if matches!(self.role, Role::Asking(_)) && leader == from {
             self.role = Role::Follower;
             self.pause(NAP);
         }
     }
 
-    fn stand_if_asked(&mut self, out: &mut Vec<Out>) {
+    fn stand_if_asked(&mut self, out: &mut Vec<Output>) {
         let Role::Asking(asking) = &self.role else { return };
         if !self.newest().carried(|m| m == self.me || asking.oks.contains(&m)) || !self.disk.idle() {
             return;
@@ -173,7 +173,7 @@
     }
 
     /// Sends the prepares once the own promise is on disk.
-    pub(crate) fn prepare_if_safe(&mut self, out: &mut Vec<Out>) {
+    pub(crate) fn prepare_if_safe(&mut self, out: &mut Vec<Output>) {
         let (safe, incarnation) = (self.disk.safe.promised, self.disk.mem.incarnation);
         let Role::Preparing(preparing) = &mut self.role else { return };
         if !preparing.safe && safe >= preparing.epoch {
@@ -185,7 +185,7 @@
         }
     }
 
-    pub(crate) fn preparing_tick(&mut self, out: &mut Vec<Out>) {
+    pub(crate) fn preparing_tick(&mut self, out: &mut Vec<Output>) {
         let Role::Preparing(preparing) = &self.role else { return };
         if self.now >= preparing.ends() {
             self.role = Role::Follower;
@@ -196,14 +196,14 @@
         }
     }
 
-    fn send_prepares(&mut self, out: &mut Vec<Out>) {
+    fn send_prepares(&mut self, out: &mut Vec<Output>) {
         let Role::Preparing(preparing) = &mut self.role else { return };
         preparing.next_send = self.now + RESEND;
         for node in preparing.best.1.others(self.me) {
             if !preparing.tally.has(node) {
                 let (epoch, have) = (preparing.epoch, preparing.best.0);
                 let cluster = preparing.best.1.cluster;
-                out.push(Out::Send(node, Msg::Prepare { epoch, have, cluster }));
+                out.push(Output::Send(node, Msg::Prepare { epoch, have, cluster }));
             }
         }
     }
@@ -215,7 +215,7 @@
         ballot: Ballot,
         value: Option<Rc<Value>>,
         (incarnation, incarnations): (u64, Vec<(Node, u64)>),
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         let Role::Preparing(preparing) = &mut self.role else { return };
         if preparing.epoch != epoch || !preparing.safe {
@@ -235,23 +235,23 @@
     }
 
     /// With a majority of promises, in the members of the newest value among them, the epoch is held.
-    fn take_over_if_promised(&mut self, out: &mut Vec<Out>) {
+    fn take_over_if_promised(&mut self, out: &mut Vec<Output>) {
         let incarnations = self.incarnations();
         let Role::Preparing(preparing) = &mut self.role else { return };
         preparing.tally.know(&incarnations);
         if preparing.best.1.carried(|m| preparing.tally.has(m)) {
             let (epoch, (ballot, value)) = (preparing.epoch, preparing.best.clone());
-            self.hold(epoch, ballot.index, value, out);
+            self.become_leader(epoch, ballot.index, value, out);
         }
     }
 
-    pub(crate) fn on_refused(&mut self, epoch: u64, promised: u64, out: &mut Vec<Out>) {
+    pub(crate) fn on_refused(&mut self, epoch: u64, promised: u64, out: &mut Vec<Output>) {
         self.floor = self.floor.max(promised);
         if promised <= epoch {
             return;
         }
         match &self.role {
-            Role::Holding(holding) if holding.epoch == epoch => self.lose(out),
+            Role::Leading(leading) if leading.epoch == epoch => self.lose(out),
             Role::Preparing(preparing) if preparing.epoch == epoch => self.role = Role::Follower,
             _ => return,
         }
--- a/consensus/src/holder.rs
+++ b/consensus/src/leader.rs
@@ -1,7 +1,7 @@
-//! The holder of an epoch: heartbeats, proposals, read barriers.
+//! The leader of an epoch: heartbeats, proposals, read barriers.
 
 use crate::cluster;
-use crate::{dice, Ballot, Msg, Node, Out, Outcome, Queen, Role, Tally, Value, FRESH, ROUTE};
+use crate::{dice, Ballot, Msg, Node, Outcome, Output, Replica, Role, Tally, Value, FRESH, ROUTE};
 use std::{
     collections::{BTreeMap, VecDeque},
     rc::Rc,
@@ -11,9 +11,9 @@
 /// Beats asked for by barriers are at least this far apart.
 const HEARTBEAT_LEAST: f64 = 0.02;
 const RESEND: f64 = 0.25;
-/// The holder steps down when its own save takes longer.
+/// The leader steps down when its own save takes longer.
 const STALL: f64 = 1.2;
-/// The holder steps down when no majority answers for so long.
+/// The leader steps down when no majority answers for so long.
 const ALONE: f64 = 2.0;
 /// A barrier that isn't reached in this time ends.
 const BARRIER: f64 = 2.0;
@@ -37,7 +37,7 @@
     since: f64,
 }
 
-pub(crate) struct Holding {
+pub(crate) struct Leading {
     pub(crate) epoch: u64,
     /// Is what was found when taking over committed?
     pub(crate) won: bool,
@@ -55,7 +55,7 @@
     barriers: VecDeque<Barrier>,
 }
 
-impl Holding {
+impl Leading {
     /// Did a majority answer heartbeats sent within `span`?
     pub(crate) fn backed(&self, value: &Value, me: Node, now: f64, span: f64) -> bool {
         let from = (now - span).max(self.since);
@@ -81,61 +81,61 @@
     }
 }
 
-impl Queen {
+impl Replica {
     /// The own epoch if this node holds it, has settled all older doubts, and a majority answered lately.
-    pub fn leads(&self, now: f64) -> Option<u64> {
+    pub fn leading_epoch(&self, now: f64) -> Option<u64> {
         match &self.role {
-            Role::Holding(holding) if holding.won => {
-                holding.backed(&self.disk.mem.value, self.me, now, FRESH).then_some(holding.epoch)
+            Role::Leading(leading) if leading.won => {
+                leading.backed(&self.disk.mem.value, self.me, now, FRESH).then_some(leading.epoch)
             }
             _ => None,
         }
     }
 
     /// Proposes a new document. A second proposal waits for the first; a third is refused.
-    pub fn propose(&mut self, now: f64, ticket: u64, body: Vec<u8>, out: &mut Vec<Out>) {
+    pub fn propose(&mut self, now: f64, ticket: u64, body: Vec<u8>, out: &mut Vec<Output>) {
         self.enter(now);
-        let leads = self.leads(self.now).is_some();
+        let leads = self.leading_epoch(self.now).is_some();
         match &mut self.role {
-            Role::Holding(holding) if leads => {
-                if holding.queued.is_some() {
-                    out.push(Out::Done { ticket, how: Outcome::Busy });
+            Role::Leading(leading) if leads => {
+                if leading.queued.is_some() {
+                    out.push(Output::Done { ticket, outcome: Outcome::Busy });
                 } else {
-                    holding.queued = Some((ticket, body));
+                    leading.queued = Some((ticket, body));
                     self.launch_queued(out);
                 }
             }
-            _ => out.push(Out::Done { ticket, how: Outcome::NotHolder }),
+            _ => out.push(Output::Done { ticket, outcome: Outcome::NotLeader }),
         }
         self.disk.flush(self.now, out);
     }
 
     /// Read barrier: `Confirmed` once a majority stood by this epoch after the call.
-    pub fn confirm(&mut self, now: f64, ticket: u64, out: &mut Vec<Out>) {
+    pub fn read_barrier(&mut self, now: f64, ticket: u64, out: &mut Vec<Output>) {
         self.enter(now);
         match &mut self.role {
-            Role::Holding(holding) if holding.won => {
-                if holding.barriers.len() >= BARRIERS_MOST {
-                    return out.push(Out::Done { ticket, how: Outcome::Busy });
+            Role::Leading(leading) if leading.won => {
+                if leading.barriers.len() >= BARRIERS_MOST {
+                    return out.push(Output::Done { ticket, outcome: Outcome::Busy });
                 }
-                let (needs, since) = (holding.nonce + 1, self.now);
-                holding.barriers.push_back(Barrier { ticket, needs, since });
-                holding.next_heartbeat =
-                    holding.next_heartbeat.min(self.now.max(holding.last_heartbeat + HEARTBEAT_LEAST));
-                if holding.next_heartbeat <= self.now {
+                let (needs, since) = (leading.nonce + 1, self.now);
+                leading.barriers.push_back(Barrier { ticket, needs, since });
+                leading.next_heartbeat =
+                    leading.next_heartbeat.min(self.now.max(leading.last_heartbeat + HEARTBEAT_LEAST));
+                if leading.next_heartbeat <= self.now {
                     self.heartbeat(out);
                 }
             }
-            _ => out.push(Out::Done { ticket, how: Outcome::NotHolder }),
+            _ => out.push(Output::Done { ticket, outcome: Outcome::NotLeader }),
         }
     }
 
     /// The epoch is promised by a majority: settles what was found first.
-    pub(crate) fn hold(&mut self, epoch: u64, index: u64, value: Rc<Value>, out: &mut Vec<Out>) {
+    pub(crate) fn become_leader(&mut self, epoch: u64, index: u64, value: Rc<Value>, out: &mut Vec<Output>) {
         self.seen = None;
         self.patience = None;
         self.joiners.clear();
-        self.role = Role::Holding(Holding {
+        self.role = Role::Leading(Leading {
             epoch,
             won: false,
             since: self.now,
@@ -153,31 +153,31 @@
     }
 
     /// Puts a value on its way, votes for it, and sends it to all that count.
-    fn launch(&mut self, ticket: Option<u64>, ballot: Ballot, value: Rc<Value>, out: &mut Vec<Out>) {
+    fn launch(&mut self, ticket: Option<u64>, ballot: Ballot, value: Rc<Value>, out: &mut Vec<Output>) {
         self.take(ballot, value.clone(), self.disk.mem.incarnation.saturating_add(1));
-        if let Role::Holding(holding) = &mut self.role {
+        if let Role::Leading(leading) = &mut self.role {
             let tally = Tally::default();
             // what this node proposes of the members is never known to others alone, see `Learner::own_change`
             let waits = !value.outgoing.is_empty();
-            holding.flight = Some(Flight { ticket, ballot, value, tally, next_send: self.now, waits });
+            leading.flight = Some(Flight { ticket, ballot, value, tally, next_send: self.now, waits });
             self.send_flight(out);
         }
     }
 
     /// Puts the next value on its way; none may be on its way.
-    pub(crate) fn launch_next(&mut self, ticket: Option<u64>, mut value: Value, out: &mut Vec<Out>) {
-        let Role::Holding(holding) = &self.role else { return };
+    pub(crate) fn launch_next(&mut self, ticket: Option<u64>, mut value: Value, out: &mut Vec<Output>) {
+        let Role::Leading(leading) = &self.role else { return };
         value.cluster = cluster::next(value.cluster, dice(&mut self.random));
-        let ballot = Ballot { epoch: holding.epoch, index: self.disk.mem.ballot.index.saturating_add(1) };
+        let ballot = Ballot { epoch: leading.epoch, index: self.disk.mem.ballot.index.saturating_add(1) };
         self.launch(ticket, ballot, Rc::new(value), out);
     }
 
-    fn launch_queued(&mut self, out: &mut Vec<Out>) {
-        let Role::Holding(holding) = &mut self.role else { return };
-        if holding.flight.is_some() {
+    fn launch_queued(&mut self, out: &mut Vec<Output>) {
+        let Role::Leading(leading) = &mut self.role else { return };
+        if leading.flight.is_some() {
             return;
         }
-        if let Some((ticket, body)) = holding.queued.take() {
+        if let Some((ticket, body)) = leading.queued.take() {
             let Value { members, outgoing, cluster, .. } = &*self.disk.mem.value;
             let (members, outgoing) = (members.clone(), outgoing.clone());
             let value = Value { members, outgoing, body, cluster: *cluster };
@@ -185,8 +185,8 @@
         }
     }
 
-    fn send_flight(&mut self, out: &mut Vec<Out>) {
-        let Role::Holding(Holding { flight: Some(flight), .. }) = &mut self.role else { return };
+    fn send_flight(&mut self, out: &mut Vec<Output>) {
+        let Role::Leading(Leading { flight: Some(flight), .. }) = &mut self.role else { return };
         flight.next_send = self.now + RESEND.max(flight.value.span());
         if flight.waits {
             return;
@@ -195,15 +195,15 @@
         for node in flight.value.others(self.me) {
             if !flight.tally.has(node) {
                 let (ballot, value) = (flight.ballot, flight.value.clone());
-                out.push(Out::Send(node, Msg::Accept { ballot, value, incarnation }));
+                out.push(Output::Send(node, Msg::Accept { ballot, value, incarnation }));
             }
         }
     }
 
     /// Counts the own vote once it is on disk.
-    pub(crate) fn vote_if_safe(&mut self, out: &mut Vec<Out>) {
+    pub(crate) fn vote_if_safe(&mut self, out: &mut Vec<Output>) {
         let (safe, incarnation) = (self.disk.safe.ballot, self.disk.mem.incarnation);
-        let Role::Holding(Holding { flight: Some(flight), .. }) = &mut self.role else { return };
+        let Role::Leading(Leading { flight: Some(flight), .. }) = &mut self.role else { return };
         if flight.ballot == safe {
             flight.tally.vote(self.me, incarnation, &[]);
             if std::mem::take(&mut flight.waits) {
@@ -219,9 +219,9 @@
         ballot: Ballot,
         incarnation: u64,
         incarnations: Vec<(Node, u64)>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
-        let Role::Holding(Holding { flight: Some(flight), .. }) = &mut self.role else { return };
+        let Role::Leading(Leading { flight: Some(flight), .. }) = &mut self.role else { return };
         if flight.ballot == ballot {
             flight.tally.vote(from, incarnation, &incarnations);
             self.told.insert(from, ballot);
@@ -229,23 +229,23 @@
         }
     }
 
-    fn land_if_carried(&mut self, out: &mut Vec<Out>) {
+    fn land_if_carried(&mut self, out: &mut Vec<Output>) {
         let incarnations = self.incarnations();
-        let Role::Holding(holding) = &mut self.role else { return };
-        let Some(mut flight) = holding.flight.take() else { return };
+        let Role::Leading(leading) = &mut self.role else { return };
+        let Some(mut flight) = leading.flight.take() else { return };
         flight.tally.know(&incarnations);
         if !flight.value.carried(|m| flight.tally.has(m)) {
-            holding.flight = Some(flight);
+            leading.flight = Some(flight);
             return;
         }
-        let first = !std::mem::replace(&mut holding.won, true);
-        let epoch = holding.epoch;
+        let first = !std::mem::replace(&mut leading.won, true);
+        let epoch = leading.epoch;
         self.commit(flight.ballot, flight.value, out);
         if first {
-            out.push(Out::Won(epoch));
+            out.push(Output::BecameLeader(epoch));
         }
         if let Some(ticket) = flight.ticket {
-            out.push(Out::Done { ticket, how: Outcome::Committed(flight.ballot) });
+            out.push(Output::Done { ticket, outcome: Outcome::Committed(flight.ballot) });
         }
         self.heartbeat(out);
         self.launch_queued(out);
@@ -253,76 +253,76 @@
         self.quit_if_struck(out);
     }
 
-    /// A holder that doesn't count any more hands the duty over as soon as nothing of its own is on its way.
-    fn quit_if_struck(&mut self, out: &mut Vec<Out>) {
-        let Role::Holding(holding) = &self.role else { return };
-        if holding.won && holding.flight.is_none() && !self.member() && self.newest().outgoing.is_empty() {
+    /// A leader that doesn't count any more hands the duty over as soon as nothing of its own is on its way.
+    fn quit_if_struck(&mut self, out: &mut Vec<Output>) {
+        let Role::Leading(leading) = &self.role else { return };
+        if leading.won && leading.flight.is_none() && !self.member() && self.newest().outgoing.is_empty() {
             self.quit(out);
         }
     }
 
-    fn heartbeat(&mut self, out: &mut Vec<Out>) {
+    fn heartbeat(&mut self, out: &mut Vec<Output>) {
         let commit = self.commit_ballot();
-        let Role::Holding(holding) = &mut self.role else { return };
-        holding.nonce += 1;
-        holding.last_heartbeat = self.now;
-        holding.next_heartbeat = self.now + HEARTBEAT;
-        if holding.sent.len() == SENT_MOST {
-            holding.sent.pop_front();
+        let Role::Leading(leading) = &mut self.role else { return };
+        leading.nonce += 1;
+        leading.last_heartbeat = self.now;
+        leading.next_heartbeat = self.now + HEARTBEAT;
+        if leading.sent.len() == SENT_MOST {
+            leading.sent.pop_front();
         }
-        holding.sent.push_back((holding.nonce, self.now));
-        let (epoch, nonce) = (holding.epoch, holding.nonce);
+        leading.sent.push_back((leading.nonce, self.now));
+        let (epoch, nonce) = (leading.epoch, leading.nonce);
         let cluster = self.disk.mem.value.cluster;
         for node in self.disk.mem.value.others(self.me) {
-            out.push(Out::Send(node, Msg::Heartbeat { epoch, commit, nonce, cluster }));
+            out.push(Output::Send(node, Msg::Heartbeat { epoch, commit, nonce, cluster }));
         }
         self.reach_barriers(out);
     }
 
-    pub(crate) fn on_heartbeat_ok(&mut self, from: Node, epoch: u64, nonce: u64, out: &mut Vec<Out>) {
+    pub(crate) fn on_heartbeat_ok(&mut self, from: Node, epoch: u64, nonce: u64, out: &mut Vec<Output>) {
         let counts = self.disk.mem.value.others(self.me).contains(&from);
-        let Role::Holding(holding) = &mut self.role else { return };
-        if holding.epoch != epoch || !counts {
+        let Role::Leading(leading) = &mut self.role else { return };
+        if leading.epoch != epoch || !counts {
             return;
         }
-        let Some(&(_, sent)) = holding.sent.iter().find(|(known, _)| *known == nonce) else { return };
-        let answered = holding.answered.entry(from).or_insert((nonce, sent));
+        let Some(&(_, sent)) = leading.sent.iter().find(|(known, _)| *known == nonce) else { return };
+        let answered = leading.answered.entry(from).or_insert((nonce, sent));
         if nonce > answered.0 {
             *answered = (nonce, sent);
         }
         self.reach_barriers(out);
     }
 
-    fn reach_barriers(&mut self, out: &mut Vec<Out>) {
+    fn reach_barriers(&mut self, out: &mut Vec<Output>) {
         let value = self.disk.mem.value.clone();
-        let Role::Holding(holding) = &mut self.role else { return };
-        while let Some(barrier) = holding.barriers.front() {
+        let Role::Leading(leading) = &mut self.role else { return };
+        while let Some(barrier) = leading.barriers.front() {
             let needs = barrier.needs;
-            let stood = |m: Node| holding.answered.get(&m).is_some_and(|(nonce, _)| *nonce >= needs);
-            if holding.nonce < needs || !value.carried(|m| m == self.me || stood(m)) {
+            let stood = |m: Node| leading.answered.get(&m).is_some_and(|(nonce, _)| *nonce >= needs);
+            if leading.nonce < needs || !value.carried(|m| m == self.me || stood(m)) {
                 return;
             }
-            out.push(Out::Done { ticket: barrier.ticket, how: Outcome::Confirmed });
-            holding.barriers.pop_front();
+            out.push(Output::Done { ticket: barrier.ticket, outcome: Outcome::Confirmed });
+            leading.barriers.pop_front();
         }
     }
 
-    pub(crate) fn holding_tick(&mut self, out: &mut Vec<Out>) {
-        let Role::Holding(holding) = &mut self.role else { return };
+    pub(crate) fn leading_tick(&mut self, out: &mut Vec<Output>) {
+        let Role::Leading(leading) = &mut self.role else { return };
         let value = &self.disk.mem.value;
-        let alone = self.now - holding.since > ALONE && !holding.backed(value, self.me, self.now, ALONE);
+        let alone = self.now - leading.since > ALONE && !leading.backed(value, self.me, self.now, ALONE);
         if alone || self.disk.behind(self.now) > STALL {
             return self.quit(out);
         }
-        while let Some(barrier) = holding.barriers.front() {
+        while let Some(barrier) = leading.barriers.front() {
             if self.now - barrier.since <= BARRIER {
                 break;
             }
-            out.push(Out::Done { ticket: barrier.ticket, how: Outcome::NotHolder });
-            holding.barriers.pop_front();
+            out.push(Output::Done { ticket: barrier.ticket, outcome: Outcome::NotLeader });
+            leading.barriers.pop_front();
         }
-        let due = self.now >= holding.next_heartbeat;
-        let resend = holding.flight.as_ref().is_some_and(|flight| self.now >= flight.next_send);
+        let due = self.now >= leading.next_heartbeat;
+        let resend = leading.flight.as_ref().is_some_and(|flight| self.now >= flight.next_send);
         if due {
             self.heartbeat(out);
         }
@@ -335,38 +335,38 @@
     }
 
     /// Gives the epoch up and tells so.
-    fn quit(&mut self, out: &mut Vec<Out>) {
-        let Role::Holding(holding) = &self.role else { return };
-        let (epoch, next) = (holding.epoch, self.successor());
+    fn quit(&mut self, out: &mut Vec<Output>) {
+        let Role::Leading(leading) = &self.role else { return };
+        let (epoch, next) = (leading.epoch, self.successor());
         for node in self.disk.mem.value.others(self.me) {
-            out.push(Out::Send(node, Msg::Quit { epoch, next }));
+            out.push(Output::Send(node, Msg::StepDown { epoch, next }));
         }
         self.lose(out);
     }
 
-    /// Who is to hold next if this holder gives its epoch up: of the members that answered a heartbeat of the last
+    /// Who is to hold next if this leader gives its epoch up: of the members that answered a heartbeat of the last
     /// moment and don't leave the first in order; 0: none, or this node holds nothing. Followers don't hear each
-    /// other while there is a holder, so that left to themselves several stand at once.
+    /// other while there is a leader, so that left to themselves several stand at once.
     pub fn successor(&self) -> Node {
-        let Role::Holding(holding) = &self.role else { return 0 };
-        let answers = |m: Node| self.now - holding.answered(m) <= ROUTE;
+        let Role::Leading(leading) = &self.role else { return 0 };
+        let answers = |m: Node| self.now - leading.answered(m) <= ROUTE;
         let fit = |m: &Node| *m != self.me && answers(*m) && !self.leaves(*m);
         self.newest().members.iter().copied().find(fit).unwrap_or(0)
     }
 
     /// The epoch is over: ends all that waits for it.
-    pub(crate) fn lose(&mut self, out: &mut Vec<Out>) {
-        let Role::Holding(holding) = std::mem::replace(&mut self.role, Role::Follower) else { return };
+    pub(crate) fn lose(&mut self, out: &mut Vec<Output>) {
+        let Role::Leading(leading) = std::mem::replace(&mut self.role, Role::Follower) else { return };
         self.calm = self.now;
-        if let Some(ticket) = holding.flight.and_then(|flight| flight.ticket) {
-            out.push(Out::Done { ticket, how: Outcome::Unknown });
+        if let Some(ticket) = leading.flight.and_then(|flight| flight.ticket) {
+            out.push(Output::Done { ticket, outcome: Outcome::Unknown });
         }
-        let queued = holding.queued.map(|(ticket, _)| ticket);
-        for ticket in queued.into_iter().chain(holding.barriers.into_iter().map(|barrier| barrier.ticket)) {
-            out.push(Out::Done { ticket, how: Outcome::NotHolder });
+        let queued = leading.queued.map(|(ticket, _)| ticket);
+        for ticket in queued.into_iter().chain(leading.barriers.into_iter().map(|barrier| barrier.ticket)) {
+            out.push(Output::Done { ticket, outcome: Outcome::NotLeader });
         }
-        if holding.won {
-            out.push(Out::Lost);
+        if leading.won {
+            out.push(Output::LostLeadership);
         }
     }
 }
--- a/consensus/src/learn.rs
+++ b/consensus/src/learn.rs
@@ -4,7 +4,7 @@
 //! the incarnation before is counted only where none of them voted after its answer, and their answers tell the rest.
 
 use crate::cluster::{relation, Relation};
-use crate::{dice, Ballot, Kept, Msg, Node, Out, Queen, Value};
+use crate::{dice, Ballot, Msg, Node, Output, PersistentState, Replica, Value};
 use std::rc::Rc;
 
 const RESEND: f64 = 0.3;
@@ -17,7 +17,7 @@
     answered: Vec<Node>,
     promised: u64,
     best: (Ballot, Rc<Value>),
-    /// Of the best, as in [`Kept`].
+    /// Of the best, as in [`PersistentState`].
     proposer: u64,
     incarnations: Vec<(Node, u64, u64)>,
 }
@@ -73,7 +73,7 @@
     }
 }
 
-impl Queen {
+impl Replica {
     /// All that might be members or know of them.
     pub(crate) fn known(&self) -> Vec<Node> {
         let mut all = self.newest().others(self.me);
@@ -90,7 +90,7 @@
         all
     }
 
-    pub(crate) fn learn_tick(&mut self, out: &mut Vec<Out>) {
+    pub(crate) fn learn_tick(&mut self, out: &mut Vec<Output>) {
         let known = self.known();
         let Some(learner) = &mut self.learner else { return };
         if self.now < learner.next_send {
@@ -101,7 +101,7 @@
         for node in known {
             let (incarnation, nonce, have) = (learner.incarnation, learner.nonce, learner.best.0);
             let cluster = learner.best.1.cluster;
-            out.push(Out::Send(node, Msg::Learn { incarnation, nonce, have, cluster }));
+            out.push(Output::Send(node, Msg::Learn { incarnation, nonce, have, cluster }));
         }
     }
 
@@ -116,7 +116,7 @@
         (incarnation, nonce): (u64, u64),
         have: Ballot,
         cluster: u64,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         if self.learner.is_some() || !self.keep_incarnation(from, incarnation, nonce, out) {
             return;
@@ -128,16 +128,16 @@
         let value = newer.then(|| mem.value.clone());
         let (promised, ballot, proposer) = (mem.promised, mem.ballot, mem.proposer);
         let incarnations = mem.incarnations.clone();
-        let answer = Msg::Learnt { incarnation, nonce, promised, ballot, value, incarnations, proposer };
+        let answer = Msg::LearnReply { incarnation, nonce, promised, ballot, value, incarnations, proposer };
         self.disk.tell(from, answer, out);
     }
 
-    fn keep_incarnation(&mut self, node: Node, incarnation: u64, nonce: u64, out: &mut Vec<Out>) -> bool {
+    fn keep_incarnation(&mut self, node: Node, incarnation: u64, nonce: u64, out: &mut Vec<Output>) -> bool {
         let value = self.disk.mem.value.clone();
         let incarnations = &mut self.disk.mem.incarnations;
         if let Some(kept) = incarnations.iter_mut().find(|kept| kept.0 == node) {
             if incarnation < kept.1 || (incarnation == kept.1 && nonce != kept.2) {
-                out.push(Out::Send(node, Msg::NewerIncarnation { incarnation: kept.1 }));
+                out.push(Output::Send(node, Msg::NewerIncarnation { incarnation: kept.1 }));
                 return false;
             }
             if *kept != (node, incarnation, nonce) {
@@ -167,10 +167,10 @@
         &mut self,
         from: Node,
         incarnation: (u64, u64),
-        held: Kept,
+        held: PersistentState,
         value: Option<Rc<Value>>,
     ) {
-        let Kept { promised, ballot, incarnations, proposer, .. } = held;
+        let PersistentState { promised, ballot, incarnations, proposer, .. } = held;
         let Some(learner) = &mut self.learner else { return };
         if incarnation != (learner.incarnation, learner.nonce) {
             return;
@@ -202,9 +202,9 @@
     fn rejoin(&mut self) {
         let Some(learner) = self.learner.take() else { return };
         let Learner { incarnation, promised, best: (ballot, value), incarnations, proposer, .. } = learner;
-        let (owner, amnesiac) = (self.me, false);
+        let (owner, stale) = (self.me, false);
         self.disk.mem =
-            Kept { promised, ballot, value, amnesiac, incarnation, incarnations, owner, proposer };
+            PersistentState { promised, ballot, value, stale, incarnation, incarnations, owner, proposer };
         self.disk.changed();
         self.floor = self.floor.max(promised);
         self.calm = self.now;
--- a/consensus/src/leave.rs
+++ b/consensus/src/leave.rs
@@ -4,7 +4,7 @@
 //! are more than the losses to be borne ask for, or a newcomer waits; else it goes at once, and its disk counts on.
 
 use crate::membership::{JOIN, JOINER};
-use crate::{Msg, Node, Out, Queen, Role, Value, MEMBERS_MOST};
+use crate::{Msg, Node, Output, Replica, Role, Value, MAX_MEMBERS};
 use std::rc::Rc;
 
 /// Said again so often, by datagrams.
@@ -15,9 +15,9 @@
 /// Who is heard so long after its last word on leaving is back.
 const BACK: f64 = 1.0;
 
-impl Queen {
+impl Replica {
     /// From here on this node tells that it leaves, stands for no epoch, and asks for no admission.
-    pub fn leave(&mut self, now: f64, out: &mut Vec<Out>) {
+    pub fn leave(&mut self, now: f64, out: &mut Vec<Output>) {
         self.enter(now);
         self.leaving.get_or_insert((self.now, self.now));
         self.leave_tick(out);
@@ -25,7 +25,7 @@
     }
 
     /// May this process end, as far as the agreement goes? It may if it doesn't count, or isn't to be struck now.
-    pub fn left(&self) -> bool {
+    pub fn can_stop(&self) -> bool {
         if self.learner.is_some() {
             return true;
         }
@@ -37,29 +37,29 @@
         let counts = newest.members.contains(&self.me) || committed.members.contains(&self.me);
         let kept = newest.members.len() <= self.least && !self.awaited();
         let asks = self.now - self.next_join < FORGOTTEN - JOIN;
-        !changing && if counts { kept } else { !asks && !matches!(self.role, Role::Holding(_)) }
+        !changing && if counts { kept } else { !asks && !matches!(self.role, Role::Leading(_)) }
     }
 
     pub(crate) fn leave_wake(&self) -> f64 {
         self.leaving.map_or(f64::INFINITY, |(_, at)| at)
     }
 
-    pub(crate) fn leave_tick(&mut self, out: &mut Vec<Out>) {
+    pub(crate) fn leave_tick(&mut self, out: &mut Vec<Output>) {
         let Some((_, at)) = self.leaving.as_mut().filter(|(_, at)| self.now >= *at) else { return };
         *at = self.now + SAY;
-        // a holder tells the others too: one of them holds next
+        // a leader tells the others too: one of them holds next
         for node in self.known() {
-            out.push(Out::Send(node, Msg::Leave));
+            out.push(Output::Send(node, Msg::Leave));
         }
         self.leavers.insert(self.me, self.now);
         self.change_members(out);
     }
 
-    /// Noted by all, as each may be the holder next; who doesn't count any more is told so.
-    pub(crate) fn on_leave(&mut self, from: Node, out: &mut Vec<Out>) {
+    /// Noted by all, as each may be the leader next; who doesn't count any more is told so.
+    pub(crate) fn on_leave(&mut self, from: Node, out: &mut Vec<Output>) {
         let value = self.newest();
         if value.members.contains(&from) || value.outgoing.contains(&from) {
-            if self.leavers.len() < 2 * MEMBERS_MOST || self.leavers.contains_key(&from) {
+            if self.leavers.len() < 2 * MAX_MEMBERS || self.leavers.contains_key(&from) {
                 self.leavers.insert(from, self.now);
             }
             return self.change_members(out);
@@ -67,7 +67,7 @@
         let struck = |(_, value): &(_, Rc<Value>)| !value.members.contains(&from);
         if self.committed.as_ref().is_some_and(struck) {
             let (promised, commit) = (self.disk.mem.promised, self.commit_ballot());
-            out.push(Out::Send(from, Msg::AskNo { n: 0, promised, holder: 0, commit }));
+            out.push(Output::Send(from, Msg::PreVoteRefused { n: 0, promised, leader: 0, commit }));
         }
     }
 
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -1,6 +1,6 @@
 //! Agreement of the core on one state document under epochs; no I/O.
 //!
-//! The document and the members of those that count are one value, replaced as a whole. A holder of an epoch
+//! The document and the members of those that count are one value, replaced as a whole. A leader of an epoch
 //! proposes values; each is committed when a majority has it on disk. Whoever takes an epoch first hears a
 //! majority and proposes the newest value it met again, so nothing committed gets lost. A member whose disk
 //! was lost learns from a majority of others before it votes, under a new incarnation that ends its older votes.
@@ -9,19 +9,19 @@
 mod cluster;
 mod disk;
 mod election;
-mod founding;
-mod holder;
+mod leader;
 mod learn;
 mod leave;
 mod membership;
+mod new_cluster;
 mod resume;
 mod types;
 
 use disk::Disk;
 use election::{Asking, Preparing};
-pub use founding::{NotFounded, Standing, SILENCE};
-use holder::Holding;
+use leader::Leading;
 use learn::Learner;
+pub use new_cluster::{NewClusterError, ReplicaStatus, SILENCE_TIMEOUT};
 use resume::Resuming;
 use std::{collections::BTreeMap, rc::Rc};
 pub use types::*;
@@ -30,12 +30,12 @@
 const GAP: f64 = 0.5;
 /// Who was heard less long ago than this counts as live.
 const FRESH: f64 = 1.0;
-/// Callers are sent to a holder that was heard less long ago than this, seconds: three heartbeats.
+/// Callers are sent to a leader that was heard less long ago than this, seconds: three heartbeats.
 const ROUTE: f64 = 0.5;
 const HINTS_MOST: usize = 16;
 const FETCH_PAUSE: f64 = 0.2;
 
-/// A holder as heard of.
+/// A leader as heard of.
 #[derive(Clone, Copy)]
 pub(crate) struct Seen {
     node: Node,
@@ -47,11 +47,11 @@
     Follower,
     Asking(Asking),
     Preparing(Preparing),
-    Holding(Holding),
+    Leading(Leading),
 }
 
 /// One member of the core.
-pub struct Queen {
+pub struct Replica {
     me: Node,
     seeds: Vec<Node>,
     hints: Vec<Node>,
@@ -61,7 +61,7 @@
     committed: Option<(Ballot, Rc<Value>)>,
     /// Highest epoch heard of.
     floor: u64,
-    /// Highest epoch that its holder gave up.
+    /// Highest epoch that its leader gave up.
     over: u64,
     /// When this process began.
     started: f64,
@@ -70,7 +70,7 @@
     /// Last word of each member and joiner.
     heard: BTreeMap<Node, f64>,
     seen: Option<Seen>,
-    /// Since when there was no sign of a holder or of one to come.
+    /// Since when there was no sign of a leader or of one to come.
     calm: f64,
     /// The candidate that was promised an epoch, and until when others are put off.
     patience: Option<(Node, f64)>,
@@ -98,17 +98,16 @@
     next_fetch: f64,
 }
 
-impl Queen {
+impl Replica {
     /// `kept` is what the disk held, None if it was empty.
-    pub fn new(now: f64, settings: Settings, kept: Option<Kept>) -> Queen {
+    pub fn new(now: f64, settings: Settings, kept: Option<PersistentState>) -> Replica {
         let Settings { me, mut seeds, bootstrap, seed, tolerate } = settings;
-        let least =
-            tolerate.saturating_mul(2).saturating_add(1).clamp(membership::MEMBERS_LEAST, MEMBERS_MOST);
+        let least = tolerate.saturating_mul(2).saturating_add(1).clamp(membership::MIN_MEMBERS, MAX_MEMBERS);
         seeds.sort_unstable();
         seeds.dedup();
         // who had a state once founds nothing, whatever became of that
         let founds = kept.is_none() && bootstrap && seeds.contains(&me);
-        let kept = kept.filter(|kept| !kept.amnesiac && (kept.owner == me || kept.owner == 0));
+        let kept = kept.filter(|kept| !kept.stale && (kept.owner == me || kept.owner == 0));
         let mut random = seed ^ (u64::from(me) << 32);
         let learner = (kept.is_none() && !founds).then(|| Learner::new(now, dice(&mut random)));
         let resuming = kept.is_some().then(|| Resuming::new(now, dice(&mut random)));
@@ -118,7 +117,7 @@
             disk.mem.value = Rc::new(Value { members: seeds.clone(), ..Value::default() });
             disk.changed();
         }
-        Queen {
+        Replica {
             me,
             seeds,
             hints: Vec::new(),
@@ -132,7 +131,7 @@
             learning: Vec::new(),
             heard: BTreeMap::new(),
             seen: None,
-            // a holder that is alive is heard within two heartbeats; nobody else is to be waited for
+            // a leader that is alive is heard within two heartbeats; nobody else is to be waited for
             calm: now - election::AT_START,
             patience: None,
             learner,
@@ -152,7 +151,7 @@
     }
 
     /// To be called right after `new`, and no later than `next_wake`.
-    pub fn tick(&mut self, now: f64, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: f64, out: &mut Vec<Output>) {
         self.enter(now);
         self.resume_tick(out);
         if self.learner.is_some() {
@@ -162,7 +161,7 @@
                 Role::Follower => self.follow_tick(out),
                 Role::Asking(_) => self.asking_tick(out),
                 Role::Preparing(_) => self.preparing_tick(out),
-                Role::Holding(_) => self.holding_tick(out),
+                Role::Leading(_) => self.leading_tick(out),
             }
             self.join_tick(out);
         }
@@ -178,7 +177,7 @@
             Role::Follower => self.follow_wake(),
             Role::Asking(asking) => asking.wake(),
             Role::Preparing(preparing) => preparing.wake(),
-            Role::Holding(holding) => holding.wake(),
+            Role::Leading(leading) => leading.wake(),
         };
         let settled = self.learner.is_none() && self.resuming.is_none();
         let joins = settled && self.leaving.is_none() && !self.member() && self.disk.idle();
@@ -187,12 +186,12 @@
     }
 
     /// A message came in.
-    pub fn heard(&mut self, now: f64, from: Node, msg: Msg, out: &mut Vec<Out>) {
+    pub fn handle_message(&mut self, now: f64, from: Node, msg: Msg, out: &mut Vec<Output>) {
         self.enter(now);
         if from == self.me {
             return;
         }
-        if self.heard.contains_key(&from) || self.heard.len() < 4 * MEMBERS_MOST {
+        if self.heard.contains_key(&from) || self.heard.len() < 4 * MAX_MEMBERS {
             self.heard.insert(from, self.now);
         }
         self.note_learner(from, &msg);
@@ -205,10 +204,10 @@
         }
         match msg {
             Msg::Alive => {}
-            Msg::Ask { n, .. } => self.on_ask(from, n, out),
-            Msg::AskOk { n, promised } => self.on_ask_ok(from, n, promised, out),
-            Msg::AskNo { promised, holder, commit, .. } => {
-                self.on_ask_no(from, promised, holder, commit, out)
+            Msg::PreVote { n, .. } => self.on_ask(from, n, out),
+            Msg::PreVoteGranted { n, promised } => self.on_ask_ok(from, n, promised, out),
+            Msg::PreVoteRefused { promised, leader, commit, .. } => {
+                self.on_ask_no(from, promised, leader, commit, out)
             }
             Msg::Prepare { epoch, have, .. } => self.on_prepare(from, epoch, have, out),
             Msg::Promise { epoch, ballot, value, incarnation, incarnations } => {
@@ -226,20 +225,26 @@
             }
             Msg::Heartbeat { epoch, commit, nonce, .. } => self.on_heartbeat(from, epoch, commit, nonce, out),
             Msg::HeartbeatOk { epoch, nonce } => self.on_heartbeat_ok(from, epoch, nonce, out),
-            Msg::Quit { epoch, next } => self.on_quit(from, epoch, next),
+            Msg::StepDown { epoch, next } => self.on_quit(from, epoch, next),
             Msg::Fetch { have } => self.on_fetch(from, have, out),
-            Msg::News { ballot, value } => self.on_news(ballot, value, out),
+            Msg::CommittedValue { ballot, value } => self.on_news(ballot, value, out),
             Msg::Learn { incarnation, nonce, have, cluster } => {
                 self.on_learn(from, (incarnation, nonce), have, cluster, out)
             }
-            Msg::Learnt { incarnation, nonce, promised, ballot, value, incarnations, proposer } => {
-                let held = Kept { promised, ballot, incarnations, proposer, ..Kept::default() };
+            Msg::LearnReply { incarnation, nonce, promised, ballot, value, incarnations, proposer } => {
+                let held = PersistentState {
+                    promised,
+                    ballot,
+                    incarnations,
+                    proposer,
+                    ..PersistentState::default()
+                };
                 self.on_learnt(from, (incarnation, nonce), held, value);
             }
             Msg::NewerIncarnation { incarnation } => self.on_newer_incarnation(incarnation),
             Msg::Resume { nonce, have, cluster } => self.on_resume(from, nonce, have, cluster, out),
-            Msg::Resumed { nonce, promised, ballot, value, incarnations, forgotten } => {
-                let held = Kept { promised, ballot, incarnations, ..Kept::default() };
+            Msg::ResumeReply { nonce, promised, ballot, value, incarnations, forgotten } => {
+                let held = PersistentState { promised, ballot, incarnations, ..PersistentState::default() };
                 self.on_resumed(from, nonce, held, value, forgotten, out);
             }
             Msg::Superseded { .. } => {}
@@ -250,7 +255,7 @@
     }
 
     /// The save with this ticket ended; after a failure the newest state is saved again later.
-    pub fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Vec<Out>) {
+    pub fn save_finished(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Vec<Output>) {
         self.enter(now);
         if self.disk.saved(self.now, ticket, ok, out) {
             self.prepare_if_safe(out);
@@ -259,28 +264,28 @@
         self.disk.flush(self.now, out);
     }
 
-    /// Other core machines known from elsewhere, to be asked as well while this one is no member or knows no holder.
-    pub fn hint(&mut self, nodes: &[Node]) {
+    /// Other core machines known from elsewhere, to be asked as well while this one is no member or knows no leader.
+    pub fn set_hints(&mut self, nodes: &[Node]) {
         self.hints = nodes.iter().copied().take(HINTS_MOST).collect();
     }
 
-    /// Whom this node takes for the holder, and of which epoch.
-    pub fn holder(&self, now: f64) -> Option<(Node, u64)> {
+    /// Whom this node takes for the leader, and of which epoch.
+    pub fn leader(&self, now: f64) -> Option<(Node, u64)> {
         match &self.role {
-            Role::Holding(holding) => Some((self.me, holding.epoch)),
+            Role::Leading(leading) => Some((self.me, leading.epoch)),
             _ => self.seen.filter(|seen| now - seen.at <= FRESH).map(|seen| (seen.node, seen.epoch)),
         }
     }
 
-    /// Where callers are to be sent: to the holder, if it is another node and was heard a moment ago.
-    pub fn route(&self, now: f64) -> Option<Node> {
-        let seen = self.seen.filter(|seen| !matches!(self.role, Role::Holding(_)) && now - seen.at <= ROUTE);
+    /// Where callers are to be sent: to the leader, if it is another node and was heard a moment ago.
+    pub fn redirect_target(&self, now: f64) -> Option<Node> {
+        let seen = self.seen.filter(|seen| !matches!(self.role, Role::Leading(_)) && now - seen.at <= ROUTE);
         seen.map(|seen| seen.node)
     }
 
-    /// Is it by being cut off that nothing is heard of a holder: neither as many members as make a majority with this
+    /// Is it by being cut off that nothing is heard of a leader: neither as many members as make a majority with this
     /// one, nor `node`?
-    pub fn cut_from(&self, now: f64, node: Node) -> bool {
+    pub fn is_isolated_from(&self, now: f64, node: Node) -> bool {
         let heard = |m: Node| self.heard.get(&m).is_some_and(|at| now - at <= FRESH);
         !heard(node) && !self.newest().carried(|m| m == self.me || heard(m))
     }
@@ -301,7 +306,7 @@
     }
 
     /// Was the disk empty, and is nothing learnt yet?
-    pub fn amnesiac(&self) -> bool {
+    pub fn is_learning(&self) -> bool {
         self.learner.is_some()
     }
 
@@ -322,8 +327,8 @@
             }
             self.calm += surplus;
             self.disk.thawed(surplus);
-            if let Role::Holding(holding) = &mut self.role {
-                holding.thawed(now);
+            if let Role::Leading(leading) = &mut self.role {
+                leading.thawed(now);
             }
         }
     }
@@ -338,7 +343,7 @@
         match msg {
             // said by both, to a heartbeat
             Msg::Alive => {}
-            Msg::Learn { .. } if self.learning.contains(&node) || self.learning.len() == MEMBERS_MOST => {}
+            Msg::Learn { .. } if self.learning.contains(&node) || self.learning.len() == MAX_MEMBERS => {}
             Msg::Learn { .. } => self.learning.push(node),
             _ => self.learning.retain(|&known| known != node),
         }
@@ -354,7 +359,7 @@
 
     /// Whether the newest value known here is committed, and no change of the members is under way: until then one more
     /// loss may take the disks that the change rests on.
-    pub fn settled(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         let committed = self.committed.as_ref().is_some_and(|(ballot, _)| *ballot >= self.disk.mem.ballot);
         committed && self.newest().outgoing.is_empty()
     }
@@ -373,15 +378,15 @@
     }
 
     /// Takes a value known to be committed.
-    fn commit(&mut self, ballot: Ballot, value: Rc<Value>, out: &mut Vec<Out>) {
+    fn commit(&mut self, ballot: Ballot, value: Rc<Value>, out: &mut Vec<Output>) {
         if ballot > self.commit_ballot() {
             self.committed = Some((ballot, value.clone()));
-            out.push(Out::Committed(ballot, value));
+            out.push(Output::Committed(ballot, value));
         }
     }
 
     /// Another node says that this ballot is committed: applies it, or asks for it.
-    fn told_commit(&mut self, from: Node, ballot: Ballot, out: &mut Vec<Out>) {
+    fn told_commit(&mut self, from: Node, ballot: Ballot, out: &mut Vec<Output>) {
         if ballot <= self.commit_ballot() {
             return;
         }
@@ -391,7 +396,7 @@
         } else if self.now >= self.next_fetch {
             // what comes will be about as large as what is here
             self.next_fetch = self.now + FETCH_PAUSE.max(self.newest().span());
-            out.push(Out::Send(from, Msg::Fetch { have: self.commit_ballot() }));
+            out.push(Output::Send(from, Msg::Fetch { have: self.commit_ballot() }));
         }
     }
 
@@ -403,7 +408,7 @@
 
 /// Is this left unanswered by a member that doesn't know yet whether its state is the newest?
 fn waits_for_resume(msg: &Msg) -> bool {
-    matches!(msg, Msg::Ask { .. } | Msg::Prepare { .. } | Msg::Accept { .. } | Msg::Learn { .. })
+    matches!(msg, Msg::PreVote { .. } | Msg::Prepare { .. } | Msg::Accept { .. } | Msg::Learn { .. })
 }
 
 /// The next number of a sequence (splitmix64).
--- a/consensus/src/founding.rs
+++ b/consensus/src/new_cluster.rs
@@ -5,18 +5,18 @@
 //! it, and are admitted as newcomers are. So are those that were taken for lost and come back later.
 
 use crate::cluster::founded_anew;
-use crate::{dice, Ballot, Node, Queen, Role, Value};
+use crate::{dice, Ballot, Node, Replica, Role, Value};
 use std::fmt;
 use std::rc::Rc;
 
 /// Members unheard for so long, seconds, can't answer.
-pub const SILENCE: f64 = 3.0;
+pub const SILENCE_TIMEOUT: f64 = 3.0;
 /// So many rounds of epochs are left to a majority of the old members that may still be somewhere.
 const ROUNDS: u64 = 1 << 16;
 
 /// What a member holds, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ReplicaStatus {
     pub cluster: u64,
     pub incarnation: u64,
     pub promised: u64,
@@ -27,43 +27,45 @@
     /// The members before, while they change.
     pub outgoing: Vec<Node>,
     /// It holds nothing, or nothing that counts, and learns from others.
-    pub learns: bool,
+    pub learning: bool,
     /// It hears as many members that can vote as make a majority with it.
-    pub majority: bool,
+    pub majority_reachable: bool,
 }
 
 /// Why the cluster is not founded anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotFounded {
+pub enum NewClusterError {
     /// This member holds nothing that counts.
-    Learns,
-    /// It runs for less than [`SILENCE`]: who is silent is not known yet.
+    NoState,
+    /// It runs for less than [`SILENCE_TIMEOUT`]: who is silent is not known yet.
     TooSoon,
     /// A majority can still answer.
-    Majority,
+    MajorityReachable,
     /// Its newest state is this one, not the one that was named.
-    OtherState(Ballot),
+    StateMismatch(Ballot),
 }
 
-impl fmt::Display for NotFounded {
+impl fmt::Display for NewClusterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NotFounded::Learns => write!(f, "this member holds no state that counts"),
-            NotFounded::TooSoon => write!(f, "this member runs for less than {SILENCE} s: ask again"),
-            NotFounded::Majority => write!(f, "a majority of the members can still answer"),
-            NotFounded::OtherState(held) => {
+            NewClusterError::NoState => write!(f, "this member holds no state that counts"),
+            NewClusterError::TooSoon => {
+                write!(f, "this member runs for less than {SILENCE_TIMEOUT} s: ask again")
+            }
+            NewClusterError::MajorityReachable => write!(f, "a majority of the members can still answer"),
+            NewClusterError::StateMismatch(held) => {
                 write!(f, "newest: this member holds {}.{}", held.epoch, held.index)
             }
         }
     }
 }
 
-impl Queen {
+impl Replica {
     /// What this member holds.
-    pub fn standing(&self, now: f64) -> Standing {
+    pub fn status(&self, now: f64) -> ReplicaStatus {
         let mem = &self.disk.mem;
         let newest = self.newest();
-        Standing {
+        ReplicaStatus {
             cluster: newest.cluster,
             incarnation: mem.incarnation,
             promised: mem.promised,
@@ -71,34 +73,34 @@
             committed: self.commit_ballot(),
             members: newest.members.clone(),
             outgoing: newest.outgoing.clone(),
-            learns: self.learner.is_some(),
-            majority: self.hears_majority(now),
+            learning: self.learner.is_some(),
+            majority_reachable: self.hears_majority(now),
         }
     }
 
     fn hears_majority(&self, now: f64) -> bool {
         let answers = |m: Node| {
-            let heard = self.heard.get(&m).is_some_and(|at| now - at <= SILENCE);
+            let heard = self.heard.get(&m).is_some_and(|at| now - at <= SILENCE_TIMEOUT);
             m == self.me || heard && !self.learning.contains(&m)
         };
         self.learner.is_none() && self.newest().carried(answers)
     }
 
     /// Founds the cluster anew with this member alone. `newest`: the state that it is to begin from, as this member tells.
-    pub fn found_anew(&mut self, now: f64, newest: Ballot) -> Result<(), NotFounded> {
+    pub fn force_new_cluster(&mut self, now: f64, newest: Ballot) -> Result<(), NewClusterError> {
         self.enter(now);
         if self.learner.is_some() {
-            return Err(NotFounded::Learns);
+            return Err(NewClusterError::NoState);
         }
-        if self.now - self.started < SILENCE {
-            return Err(NotFounded::TooSoon);
+        if self.now - self.started < SILENCE_TIMEOUT {
+            return Err(NewClusterError::TooSoon);
         }
         if self.hears_majority(self.now) {
-            return Err(NotFounded::Majority);
+            return Err(NewClusterError::MajorityReachable);
         }
         let held = self.disk.mem.ballot;
         if held != newest {
-            return Err(NotFounded::OtherState(held));
+            return Err(NewClusterError::StateMismatch(held));
         }
         let Value { body, cluster, .. } = Value::clone(&self.disk.mem.value);
         let cluster = founded_anew(cluster, dice(&mut self.random));
--- a/consensus/src/resume.rs
+++ b/consensus/src/resume.rs
@@ -10,7 +10,7 @@
 //! or that meets members of another cluster, learns anew as one with an empty disk does.
 
 use crate::learn::{merge_incarnations, Learner};
-use crate::{dice, Ballot, Kept, Msg, Node, Out, Queen, Role, Value};
+use crate::{dice, Ballot, Msg, Node, Output, PersistentState, Replica, Role, Value};
 use std::rc::Rc;
 
 /// Others are waited for so long, seconds: after a loss of power everywhere all are back within one.
@@ -32,13 +32,13 @@
     }
 }
 
-impl Queen {
+impl Replica {
     /// Does this node still ask whether its state is the newest?
-    pub fn resuming(&self) -> bool {
+    pub fn is_resuming(&self) -> bool {
         self.resuming.is_some()
     }
 
-    pub(crate) fn resume_tick(&mut self, out: &mut Vec<Out>) {
+    pub(crate) fn resume_tick(&mut self, out: &mut Vec<Output>) {
         self.end_resume_if_known();
         let others = self.newest().others(self.me);
         let (have, cluster) = (self.disk.mem.ballot, self.disk.mem.value.cluster);
@@ -51,7 +51,7 @@
             // the order in which members stand is of those that were heard lately
             let answered = resuming.answered.contains(&node);
             let msg = if answered { Msg::Alive } else { Msg::Resume { nonce, have, cluster } };
-            out.push(Out::Send(node, msg));
+            out.push(Output::Send(node, msg));
         }
     }
 
@@ -67,14 +67,18 @@
         nonce: u64,
         have: Ballot,
         cluster: u64,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         let forgotten = self.told.get(&from).is_some_and(|told| *told > have);
         let other = self.of_another(cluster);
-        let Kept { promised, ballot, value, incarnations, .. } = &self.disk.mem;
+        let PersistentState { promised, ballot, value, incarnations, .. } = &self.disk.mem;
         let value = (*ballot > have || other).then(|| value.clone());
         let (promised, ballot, incarnations) = (*promised, *ballot, incarnations.clone());
-        self.disk.tell(from, Msg::Resumed { nonce, promised, ballot, value, incarnations, forgotten }, out);
+        self.disk.tell(
+            from,
+            Msg::ResumeReply { nonce, promised, ballot, value, incarnations, forgotten },
+            out,
+        );
     }
 
     /// `held`: the promise, the ballot and the incarnations of the one that answers.
@@ -82,10 +86,10 @@
         &mut self,
         from: Node,
         nonce: u64,
-        held: Kept,
+        held: PersistentState,
         value: Option<Rc<Value>>,
         forgotten: bool,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) {
         let other = value.as_ref().is_some_and(|value| self.of_another(value.cluster));
         let Some(resuming) = self.resuming.as_mut().filter(|resuming| resuming.nonce == nonce) else {
@@ -113,7 +117,7 @@
     }
 
     /// Takes over what another one holds beyond the own state.
-    fn adopt(&mut self, held: Kept, value: Option<Rc<Value>>) {
+    fn adopt(&mut self, held: PersistentState, value: Option<Rc<Value>>) {
         let me = self.me;
         self.floor = self.floor.max(held.promised);
         let mem = &mut self.disk.mem;
@@ -153,14 +157,14 @@
     }
 
     /// The state is not the newest that this node had: it learns anew, after that incarnation.
-    pub(crate) fn forget(&mut self, incarnation: u64, out: &mut Vec<Out>) {
+    pub(crate) fn forget(&mut self, incarnation: u64, out: &mut Vec<Output>) {
         self.lose(out);
         self.hints = self.newest().others(self.me);
         self.learner = Some(Learner::after(self.now, dice(&mut self.random), incarnation));
         self.resuming = None;
         self.committed = None;
         self.role = Role::Follower;
-        self.disk.mem = Kept { amnesiac: true, owner: self.me, ..Kept::default() };
+        self.disk.mem = PersistentState { stale: true, owner: self.me, ..PersistentState::default() };
         self.disk.changed();
     }
 }
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -7,11 +7,11 @@
 pub type Node = u32;
 
 /// Most members that may count.
-pub const MEMBERS_MOST: usize = 7;
+pub const MAX_MEMBERS: usize = 7;
 
 /// Place of a value: the epoch it was proposed under, and how many values came before it.
 ///
-/// A new holder proposes the value it found again: the epoch grows and the index stays.
+/// A new leader proposes the value it found again: the epoch grows and the index stays.
 /// Two committed values never share an index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
@@ -35,13 +35,13 @@
 
 /// State of a member that must outlive power loss. The driver writes it whole and atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PersistentState {
     /// Nothing below this epoch is accepted.
     pub promised: u64,
     pub ballot: Ballot,
     pub value: Rc<Value>,
     /// What was held is known to be out of date: a state read back with true counts as no disk.
-    pub amnesiac: bool,
+    pub stale: bool,
     /// How often this node lost its disk. Votes of an earlier incarnation don't count.
     pub incarnation: u64,
     /// Lives of others whose disks were lost, as they told: node, incarnation, nonce.
@@ -49,7 +49,7 @@
     /// Whose state this is; 0 in states of older builds.
     #[serde(default)]
     pub owner: Node,
-    /// The incarnation, plus one, of the holder that proposed the value under this ballot; 0: not known.
+    /// The incarnation, plus one, of the leader that proposed the value under this ballot; 0: not known.
     #[serde(default)]
     pub proposer: u64,
 }
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub me: Node,
-    /// The founding members; sorted by `Queen::new`.
+    /// The founding members; sorted by `Replica::new`.
     pub seeds: Vec<Node>,
     /// True at the first start of the whole system only.
     pub bootstrap: bool,
@@ -74,19 +74,22 @@
     /// I live.
     Alive,
     /// Would you promise me an epoch? Binds nobody.
-    Ask {
+    #[serde(rename = "Ask")]
+    PreVote {
         n: u64,
         cluster: u64,
     },
-    AskOk {
+    #[serde(rename = "AskOk")]
+    PreVoteGranted {
         n: u64,
         promised: u64,
     },
-    /// There is a holder: who, its epoch, and what I know to be committed.
-    AskNo {
+    /// There is a leader: who, its epoch, and what I know to be committed.
+    #[serde(rename = "AskNo")]
+    PreVoteRefused {
         n: u64,
         promised: u64,
-        holder: Node,
+        leader: Node,
         commit: Ballot,
     },
     /// Promise me this epoch; `have` is what I hold already.
@@ -121,7 +124,7 @@
         /// Newest committed ballot that I know of: who was struck without knowing it learns so.
         commit: Ballot,
     },
-    /// The holder is alive; `commit` is the newest committed ballot (zero: none yet).
+    /// The leader is alive; `commit` is the newest committed ballot (zero: none yet).
     Heartbeat {
         epoch: u64,
         commit: Ballot,
@@ -132,8 +135,9 @@
         epoch: u64,
         nonce: u64,
     },
-    /// The holder gives its epoch up; `next` is to stand at once (0: whoever comes first).
-    Quit {
+    /// The leader gives its epoch up; `next` is to stand at once (0: whoever comes first).
+    #[serde(rename = "Quit")]
+    StepDown {
         epoch: u64,
         next: Node,
     },
@@ -141,7 +145,8 @@
     Fetch {
         have: Ballot,
     },
-    News {
+    #[serde(rename = "News")]
+    CommittedValue {
         ballot: Ballot,
         value: Rc<Value>,
     },
@@ -152,7 +157,8 @@
         have: Ballot,
         cluster: u64,
     },
-    Learnt {
+    #[serde(rename = "Learnt")]
+    LearnReply {
         incarnation: u64,
         nonce: u64,
         promised: u64,
@@ -172,7 +178,8 @@
         cluster: u64,
     },
     /// What is held here; `value` is there if `ballot` is above what was told, or of another cluster.
-    Resumed {
+    #[serde(rename = "Resumed")]
+    ResumeReply {
         nonce: u64,
         promised: u64,
         ballot: Ballot,
@@ -200,27 +207,27 @@
     Confirmed,
     /// The epoch was lost midway: the proposal may or may not come into force.
     Unknown,
-    /// Nothing was done: not the holder, or no majority in time.
-    NotHolder,
+    /// Nothing was done: not the leader, or no majority in time.
+    NotLeader,
     /// Nothing was done: another proposal is on its way, or too many wait.
     Busy,
 }
 
 /// Orders and news to the driver, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Output {
     Send(Node, Msg),
     /// Sync this to disk, then call `saved` with the ticket. One at a time.
-    Save(u64, Kept),
+    Save(u64, PersistentState),
     /// News to apply. The same index may come again under a later epoch: the same value.
     Committed(Ballot, Rc<Value>),
     /// This node holds that epoch, and all older doubts are settled.
-    Won(u64),
-    /// The epoch told by `Won` is over.
-    Lost,
+    BecameLeader(u64),
+    /// The epoch told by `BecameLeader` is over.
+    LostLeadership,
     Done {
         ticket: u64,
-        how: Outcome,
+        outcome: Outcome,
     },
 }
 
--- a/consensus/tests/faults/cases.rs
+++ b/consensus/tests/faults/cases.rs
@@ -93,11 +93,11 @@
     world.start(a);
     // Only the stale one and the empty one are left: they must not go on.
     assert!(!world.run_until(20.0, |world| !world.leaders().is_empty()));
-    assert!(world.process(a).is_some_and(|member| member.queen.amnesiac()));
+    assert!(world.process(a).is_some_and(|member| member.queen.is_learning()));
     world.start(b);
     assert_eq!(world.acknowledge(), acks + 1);
     assert!(world.run_until(3.0, |world| world.agreed()));
-    assert!(!world.process(a).is_some_and(|member| member.queen.amnesiac()));
+    assert!(!world.process(a).is_some_and(|member| member.queen.is_learning()));
 }
 
 #[test]
--- a/consensus/tests/faults/changes.rs
+++ b/consensus/tests/faults/changes.rs
@@ -129,7 +129,7 @@
     let holder = change.holder;
     change.world.wipe(holder);
     change.world.start(holder);
-    let learnt = |world: &mut World| world.process(holder).is_some_and(|m| !m.queen.amnesiac());
+    let learnt = |world: &mut World| world.process(holder).is_some_and(|m| !m.queen.is_learning());
     change.world.run_until(1.0, learnt).then(|| change.end())?
 }
 
--- a/consensus/tests/faults/copies.rs
+++ b/consensus/tests/faults/copies.rs
@@ -1,7 +1,7 @@
 //! Members that come back with an older copy of their folder: a restored backup, or a disk that lost its last writes.
 
 use crate::world::World;
-use lupinledge_consensus::{Kept, Node};
+use lupinledge_consensus::{Node, PersistentState};
 
 const SEEDS: u64 = 300;
 /// All processes are back this soon after a loss of power everywhere.
@@ -16,7 +16,7 @@
     world.rng.shuffle(&mut order);
     let (restored, stale) = (order[..count].to_vec(), order[count..2 * count].to_vec());
     world.acknowledge();
-    let copies: Vec<(Node, Kept)> = restored
+    let copies: Vec<(Node, PersistentState)> = restored
         .iter()
         .map(|node| (*node, world.machines[node].disk.kept.clone().expect("it has a state")))
         .collect();
@@ -52,13 +52,13 @@
 }
 
 /// Puts that state on a member's disk while the others serve on, and starts it again.
-fn put_back(world: &mut World, node: Node, kept: Kept) {
+fn put_back(world: &mut World, node: Node, kept: PersistentState) {
     world.kill(node);
     world.machines.entry(node).and_modify(|machine| machine.disk.kept = Some(kept));
     world.start(node);
 }
 
-fn kept(world: &World, node: Node) -> Kept {
+fn kept(world: &World, node: Node) -> PersistentState {
     world.machines[&node].disk.kept.clone().expect("it has a state")
 }
 
@@ -72,7 +72,7 @@
     world.acknowledge();
     world.run(0.5);
     put_back(&mut world, other, older);
-    let amnesiac = |world: &mut World| world.process(other).is_some_and(|m| m.queen.amnesiac());
+    let amnesiac = |world: &mut World| world.process(other).is_some_and(|m| m.queen.is_learning());
     assert!(world.run_until(2.0, amnesiac), "nobody told it");
     assert!(world.run_until(3.0, |world| world.agreed()));
     assert!(!amnesiac(&mut world));
--- a/consensus/tests/faults/days.rs
+++ b/consensus/tests/faults/days.rs
@@ -177,7 +177,7 @@
         for (node, machine) in &self.world.machines {
             if let Some(Member { queen, leads, .. }) = &machine.life {
                 let ballot = queen.committed().map(|(ballot, _)| ballot.index);
-                let (members, amnesiac) = (queen.members(), queen.amnesiac());
+                let (members, amnesiac) = (queen.members(), queen.is_learning());
                 told += &format!("\n  {node}: {ballot:?} {members:?} amnesiac {amnesiac} leads {leads:?}");
                 told += &format!("\n     {:?}", machine.disk.kept);
             }
@@ -228,7 +228,7 @@
             let queen = world.process(node).map(|member| &member.queen);
             let ballot = queen.and_then(|queen| queen.committed()).map(|(ballot, _)| ballot.index);
             ballot == newest
-                && queen.is_some_and(|queen| !queen.amnesiac() && queen.members().contains(&node))
+                && queen.is_some_and(|queen| !queen.is_learning() && queen.members().contains(&node))
         });
         agreed && world.leaders().len() == 1 && world.unanswered() == 0
     });
--- a/consensus/tests/faults/founding.rs
+++ b/consensus/tests/faults/founding.rs
@@ -1,7 +1,7 @@
 //! The cluster is founded anew by an operator, after losses beyond what is borne.
 
 use crate::world::World;
-use lupinledge_consensus::{Ballot, Node, NotFounded};
+use lupinledge_consensus::{Ballot, NewClusterError, Node};
 
 const THREE: [Node; 3] = [10, 20, 30];
 
@@ -64,19 +64,23 @@
     world.acknowledge();
     world.run(4.0);
     let held = newest(&world, 10);
-    assert_eq!(world.found_anew(10, held), Err(NotFounded::Majority));
+    assert_eq!(world.found_anew(10, held), Err(NewClusterError::MajorityReachable));
     world.kill(20);
     world.kill(30);
     world.run(1.0);
-    assert_eq!(world.found_anew(10, held), Err(NotFounded::Majority), "they may be back at once");
+    assert_eq!(
+        world.found_anew(10, held),
+        Err(NewClusterError::MajorityReachable),
+        "they may be back at once"
+    );
     world.run(3.0);
     let other = Ballot { index: held.index + 1, ..held };
-    assert_eq!(world.found_anew(10, other), Err(NotFounded::OtherState(held)));
+    assert_eq!(world.found_anew(10, other), Err(NewClusterError::StateMismatch(held)));
     world.kill(10);
     world.start(10);
-    assert_eq!(world.found_anew(10, held), Err(NotFounded::TooSoon));
+    assert_eq!(world.found_anew(10, held), Err(NewClusterError::TooSoon));
     world.wipe(10);
     world.start(10);
     world.run(4.0);
-    assert_eq!(world.found_anew(10, held), Err(NotFounded::Learns));
+    assert_eq!(world.found_anew(10, held), Err(NewClusterError::NoState));
 }
--- a/consensus/tests/faults/leaving.rs
+++ b/consensus/tests/faults/leaving.rs
@@ -13,7 +13,7 @@
     }
 
     fn left(&self, node: Node) -> bool {
-        self.process(node).is_none_or(|member| member.queen.left())
+        self.process(node).is_none_or(|member| member.queen.can_stop())
     }
 
     fn held(&mut self) -> Node {
@@ -214,7 +214,7 @@
         world.start(50);
         assert!(world.run_until(3.0, |world| world.left(leaver)), "seed {seed}");
         world.kill(leaver);
-        let learnt = |world: &mut World| world.process(50).is_some_and(|member| !member.queen.amnesiac());
+        let learnt = |world: &mut World| world.process(50).is_some_and(|member| !member.queen.is_learning());
         assert!(world.run_until(1.0, learnt), "seed {seed}: it waits for {frozen}");
     }
 }
@@ -275,7 +275,7 @@
         world.held();
         world.run(0.5);
         world.start(40);
-        let learnt = |world: &mut World| world.process(40).is_some_and(|member| !member.queen.amnesiac());
+        let learnt = |world: &mut World| world.process(40).is_some_and(|member| !member.queen.is_learning());
         assert!(world.run_until(3.0, learnt), "seed {seed}");
         world.run((seed % 10) as f64 * 0.02);
         assert!(world.ends(40) < 2.5, "seed {seed}");
@@ -294,7 +294,7 @@
     for seed in 0..20 {
         let mut world = World::new(seed, &THREE);
         let holder = world.held();
-        let settled = |world: &World, node: Node| world.process(node).is_some_and(|m| m.queen.settled());
+        let settled = |world: &World, node: Node| world.process(node).is_some_and(|m| m.queen.is_settled());
         assert!(world.run_until(2.0, |world| THREE.iter().all(|&node| settled(world, node))), "seed {seed}");
         world.start(40);
         // it counts by its own word as soon as it was told of the change
--- a/consensus/tests/faults/losses.rs
+++ b/consensus/tests/faults/losses.rs
@@ -261,7 +261,7 @@
         let end = self.world.now + span;
         while self.world.now < end && self.wrong.is_none() {
             let now = self.world.now;
-            let left = |node: Node| self.world.process(node).is_none_or(|member| member.queen.left());
+            let left = |node: Node| self.world.process(node).is_none_or(|member| member.queen.can_stop());
             let ready = |due: &(f64, Due)| match due {
                 (at, Due::Ended(node, _)) => *at <= now || left(*node),
                 (at, _) => *at <= now,
--- a/consensus/tests/faults/steps.rs
+++ b/consensus/tests/faults/steps.rs
@@ -1,7 +1,7 @@
 //! Single steps of one member, the others played by hand.
 
 use crate::common::resume;
-use lupinledge_consensus::{Ballot, Kept, Msg, Node, Out, Outcome, Queen, Settings, Value};
+use lupinledge_consensus::{Ballot, Msg, Node, Outcome, Output, PersistentState, Replica, Settings, Value};
 use std::rc::Rc;
 
 const THREE: [Node; 3] = [10, 20, 30];
@@ -10,13 +10,16 @@
     round << 32 | u64::from(node)
 }
 
-fn kept(members: &[Node]) -> Kept {
-    Kept { value: Rc::new(Value { members: members.to_vec(), ..Value::default() }), ..Kept::default() }
+fn kept(members: &[Node]) -> PersistentState {
+    PersistentState {
+        value: Rc::new(Value { members: members.to_vec(), ..Value::default() }),
+        ..PersistentState::default()
+    }
 }
 
 /// One member, with its orders as they come; saves end when told.
 struct One {
-    queen: Queen,
+    queen: Replica,
     now: f64,
     saving: Option<u64>,
     sent: Vec<(Node, Msg)>,
@@ -25,10 +28,10 @@
 }
 
 impl One {
-    fn new(me: Node, kept: Option<Kept>) -> One {
+    fn new(me: Node, kept: Option<PersistentState>) -> One {
         let settings = Settings { me, seeds: THREE.to_vec(), bootstrap: false, seed: 1, tolerate: 1 };
         let starts = kept.is_some();
-        let mut queen = Queen::new(0.0, settings, kept);
+        let mut queen = Replica::new(0.0, settings, kept);
         if starts {
             resume(&mut queen, 0.0);
         }
@@ -36,29 +39,29 @@
     }
 
     /// One call; returns what it sent.
-    fn call(&mut self, call: impl FnOnce(&mut Queen, f64, &mut Vec<Out>)) -> Vec<(Node, Msg)> {
+    fn call(&mut self, call: impl FnOnce(&mut Replica, f64, &mut Vec<Output>)) -> Vec<(Node, Msg)> {
         let mut out = Vec::new();
         self.sent.clear();
         call(&mut self.queen, self.now, &mut out);
         for order in out {
             match order {
-                Out::Send(to, msg) => self.sent.push((to, msg)),
-                Out::Save(ticket, _) => self.saving = Some(ticket),
-                Out::Done { how, .. } => self.done.push(how),
-                Out::Won(epoch) => self.won = Some(epoch),
-                Out::Committed(..) | Out::Lost => {}
+                Output::Send(to, msg) => self.sent.push((to, msg)),
+                Output::Save(ticket, _) => self.saving = Some(ticket),
+                Output::Done { outcome, .. } => self.done.push(outcome),
+                Output::BecameLeader(epoch) => self.won = Some(epoch),
+                Output::Committed(..) | Output::LostLeadership => {}
             }
         }
         std::mem::take(&mut self.sent)
     }
 
     fn heard(&mut self, from: Node, msg: Msg) -> Vec<(Node, Msg)> {
-        self.call(|queen, now, out| queen.heard(now, from, msg, out))
+        self.call(|queen, now, out| queen.handle_message(now, from, msg, out))
     }
 
     fn saved(&mut self) -> Vec<(Node, Msg)> {
         let ticket = self.saving.take().expect("a save is under way");
-        self.call(|queen, now, out| queen.saved(now, ticket, true, out))
+        self.call(|queen, now, out| queen.save_finished(now, ticket, true, out))
     }
 
     /// Ticks for so long, answering nothing.
@@ -75,11 +78,11 @@
     fn stand(&mut self, others: &[Node]) -> Vec<(Node, Msg)> {
         let asked = self.wait(1.0);
         let ask = asked.iter().rev().find_map(|(_, msg)| match msg {
-            Msg::Ask { n, .. } => Some(*n),
+            Msg::PreVote { n, .. } => Some(*n),
             _ => None,
         });
         let n = ask.expect("it stands");
-        others.iter().flat_map(|&node| self.heard(node, Msg::AskOk { n, promised: 0 })).collect()
+        others.iter().flat_map(|&node| self.heard(node, Msg::PreVoteGranted { n, promised: 0 })).collect()
     }
 
     /// Holds epoch 1 of its own with the promises of `others`; what it found is not settled yet.
@@ -117,7 +120,7 @@
 
 #[test]
 fn below_the_promise_all_is_refused() {
-    let mut one = One::new(10, Some(Kept { promised: epoch(5, 20), ..kept(&THREE) }));
+    let mut one = One::new(10, Some(PersistentState { promised: epoch(5, 20), ..kept(&THREE) }));
     let low = epoch(4, 30);
     let refused = vec![(30, Msg::Refused { epoch: low, promised: epoch(5, 20), commit: Ballot::default() })];
     let value = kept(&THREE).value;
@@ -195,7 +198,11 @@
 #[test]
 fn a_change_of_the_roll_needs_both_majorities() {
     let change = Value { members: vec![10, 20, 40], outgoing: THREE.to_vec(), ..Value::default() };
-    let start = Kept { value: Rc::new(change), ballot: ballot(epoch(0, 10), 3), ..Kept::default() };
+    let start = PersistentState {
+        value: Rc::new(change),
+        ballot: ballot(epoch(0, 10), 3),
+        ..PersistentState::default()
+    };
     let mut one = One::new(10, Some(start));
     // 10 and 40 are a majority of the new members alone: neither to hold the epoch nor to settle the value.
     one.stand(&[20]);
@@ -240,17 +247,17 @@
         one.heard(20, Msg::Accept { ballot: ballot(epoch(1, 20), 1), value: value.clone(), incarnation: 0 }),
         []
     );
-    assert_eq!(one.heard(20, Msg::Ask { n: 1, cluster: 0 }), []);
+    assert_eq!(one.heard(20, Msg::PreVote { n: 1, cluster: 0 }), []);
     let beat = Msg::Heartbeat { epoch: epoch(1, 20), commit: Ballot::default(), nonce: 1, cluster: 0 };
     assert_eq!(one.heard(20, beat), [(20, Msg::Alive)]);
     let learnt = |promised, ballot| {
         let (value, incarnations) = (Some(value.clone()), Vec::new());
-        Msg::Learnt { incarnation, nonce, promised, ballot, value, incarnations, proposer: 0 }
+        Msg::LearnReply { incarnation, nonce, promised, ballot, value, incarnations, proposer: 0 }
     };
     one.heard(20, learnt(epoch(7, 30), Ballot::default()));
-    assert!(one.queen.amnesiac() && one.saving.is_none());
+    assert!(one.queen.is_learning() && one.saving.is_none());
     one.heard(30, learnt(epoch(2, 20), ballot(epoch(2, 20), 4)));
-    assert!(!one.queen.amnesiac());
+    assert!(!one.queen.is_learning());
     one.saved();
     assert!(matches!(one.heard(20, prepare(6))[..], [(20, Msg::Refused { .. })]));
 }
@@ -259,9 +266,9 @@
 fn a_proposal_elsewhere_does_nothing() {
     let mut one = One::new(10, Some(kept(&THREE)));
     one.call(|queen, now, out| queen.propose(now, 1, vec![1], out));
-    one.call(|queen, now, out| queen.confirm(now, 2, out));
+    one.call(|queen, now, out| queen.read_barrier(now, 2, out));
     one.hold(10, &[20]);
     one.call(|queen, now, out| queen.propose(now, 3, vec![1], out));
-    one.call(|queen, now, out| queen.confirm(now, 4, out));
-    assert_eq!(one.done, [Outcome::NotHolder; 4]);
+    one.call(|queen, now, out| queen.read_barrier(now, 4, out));
+    assert_eq!(one.done, [Outcome::NotLeader; 4]);
 }
--- a/consensus/tests/faults/world.rs
+++ b/consensus/tests/faults/world.rs
@@ -1,7 +1,9 @@
 //! Members of the core with clients, in the emulated world of `lupinledge-simulation`.
 
 use crate::check::Check;
-use lupinledge_consensus::{Ballot, Kept, Msg, Node, NotFounded, Out, Outcome, Queen, Settings, Value};
+use lupinledge_consensus::{
+    Ballot, Msg, NewClusterError, Node, Outcome, Output, PersistentState, Replica, Settings, Value,
+};
 use lupinledge_simulation::{Begin, Life, Net, Order, Watch, World as Machines};
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
@@ -24,7 +26,7 @@
 
 /// A process, with the requests of its clients.
 pub struct Member {
-    pub queen: Queen,
+    pub queen: Replica,
     asked: BTreeMap<u64, Asked>,
     last_index: u64,
     pub leads: Option<u64>,
@@ -33,30 +35,30 @@
 type Orders = Vec<Order<Member>>;
 
 impl Member {
-    fn new(me: Node, seeds: &[Node], tolerate: usize, begin: Begin<Kept>) -> Member {
+    fn new(me: Node, seeds: &[Node], tolerate: usize, begin: Begin<PersistentState>) -> Member {
         let Begin { now, seed, kept, used, .. } = begin;
         // founders found once
         let settings = Settings { me, seeds: seeds.to_vec(), bootstrap: !used, seed, tolerate };
-        let queen = Queen::new(now, settings, kept);
+        let queen = Replica::new(now, settings, kept);
         Member { queen, asked: BTreeMap::new(), last_index: 0, leads: None }
     }
 
-    fn turn(&mut self, now: f64, orders: &mut Orders, call: impl FnOnce(&mut Queen, &mut Vec<Out>)) {
+    fn turn(&mut self, now: f64, orders: &mut Orders, call: impl FnOnce(&mut Replica, &mut Vec<Output>)) {
         let mut out = Vec::new();
         call(&mut self.queen, &mut out);
-        self.leads = self.queen.leads(now);
+        self.leads = self.queen.leading_epoch(now);
         for order in out {
             match order {
-                Out::Send(to, msg) => orders.push(Order::Cast(to, msg)),
-                Out::Save(ticket, kept) => orders.push(Order::Save(ticket, kept)),
-                Out::Committed(ballot, value) => {
+                Output::Send(to, msg) => orders.push(Order::Cast(to, msg)),
+                Output::Save(ticket, kept) => orders.push(Order::Save(ticket, kept)),
+                Output::Committed(ballot, value) => {
                     assert!(ballot.index >= self.last_index, "back to {ballot:?}");
                     self.last_index = ballot.index;
                     orders.push(Order::Tell(Told::Committed(ballot, value)));
                 }
-                Out::Won(epoch) => orders.push(Order::Tell(Told::Won(epoch))),
-                Out::Lost => {}
-                Out::Done { ticket, how } => self.answered(ticket, how, orders),
+                Output::BecameLeader(epoch) => orders.push(Order::Tell(Told::Won(epoch))),
+                Output::LostLeadership => {}
+                Output::Done { ticket, outcome } => self.answered(ticket, outcome, orders),
             }
         }
     }
@@ -70,8 +72,8 @@
                 let index = self.queen.committed().map_or(0, |(ballot, _)| ballot.index);
                 orders.push(Order::Tell(Told::Confirmed { index, acked }));
             }
-            (Asked::Propose(_), Outcome::Unknown | Outcome::NotHolder | Outcome::Busy) => {}
-            (Asked::Confirm { .. }, Outcome::NotHolder | Outcome::Busy) => {}
+            (Asked::Propose(_), Outcome::Unknown | Outcome::NotLeader | Outcome::Busy) => {}
+            (Asked::Confirm { .. }, Outcome::NotLeader | Outcome::Busy) => {}
             (asked, how) => panic!("{how:?} to {asked:?}"),
         }
     }
@@ -79,7 +81,7 @@
 
 impl Life for Member {
     type Word = Msg;
-    type Kept = Kept;
+    type Kept = PersistentState;
     type Told = Told;
 
     fn tick(&mut self, now: f64, orders: &mut Orders) {
@@ -87,11 +89,11 @@
     }
 
     fn heard(&mut self, now: f64, from: Node, msg: Msg, orders: &mut Orders) {
-        self.turn(now, orders, |queen, out| queen.heard(now, from, msg, out));
+        self.turn(now, orders, |queen, out| queen.handle_message(now, from, msg, out));
     }
 
     fn saved(&mut self, now: f64, ticket: u64, ok: bool, orders: &mut Orders) {
-        self.turn(now, orders, |queen, out| queen.saved(now, ticket, ok, out));
+        self.turn(now, orders, |queen, out| queen.save_finished(now, ticket, ok, out));
     }
 
     fn next_wake(&self) -> f64 {
@@ -178,10 +180,10 @@
     }
 
     /// An operator founds the cluster anew from that member.
-    pub fn found_anew(&mut self, node: Node, newest: Ballot) -> Result<(), NotFounded> {
+    pub fn found_anew(&mut self, node: Node, newest: Ballot) -> Result<(), NewClusterError> {
         let mut founded = Ok(());
         self.call(node, |member, now, orders| {
-            founded = member.queen.found_anew(now, newest);
+            founded = member.queen.force_new_cluster(now, newest);
             member.turn(now, orders, |queen, out| queen.tick(now, out));
         });
         founded
@@ -189,14 +191,14 @@
 
     /// Others are told of from elsewhere.
     pub fn hint(&mut self, node: Node, others: &[Node]) {
-        self.call(node, |member, _, _| member.queen.hint(others));
+        self.call(node, |member, _, _| member.queen.set_hints(others));
     }
 
     pub fn confirm(&mut self, node: Node) {
         let (ticket, acked) = (self.number(), self.watch.acked);
         self.call(node, |member, now, orders| {
             member.asked.insert(ticket, Asked::Confirm { acked });
-            member.turn(now, orders, |queen, out| queen.confirm(now, ticket, out));
+            member.turn(now, orders, |queen, out| queen.read_barrier(now, ticket, out));
         });
     }
 
--- a/consensus/tests/large.rs
+++ b/consensus/tests/large.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::resume;
-use lupinledge_consensus::{Ballot, Kept, Msg, Node, Out, Queen, Settings, Value};
+use lupinledge_consensus::{Ballot, Msg, Node, Output, PersistentState, Replica, Settings, Value};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -13,28 +13,28 @@
 /// How often each member was sent the value in ten seconds, of a holder that nobody votes for.
 fn sent(body: usize) -> BTreeMap<Node, usize> {
     let settings = Settings { me: 1, seeds: vec![1, 2, 3], bootstrap: true, seed: 7, tolerate: 1 };
-    let mut queen = Queen::new(0.0, settings, None);
+    let mut queen = Replica::new(0.0, settings, None);
     let (mut now, mut proposed, mut counts) = (0.0, None, BTreeMap::new());
     while proposed.is_none_or(|at| now < at + 10.0) {
         now += 0.01;
         let mut out = Vec::new();
         queen.tick(now, &mut out);
-        if proposed.is_none() && queen.leads(now).is_some() {
+        if proposed.is_none() && queen.leading_epoch(now).is_some() {
             proposed = Some(now);
             queen.propose(now, 1, vec![0; body], &mut out);
         }
         while let Some(order) = (!out.is_empty()).then(|| out.remove(0)) {
             let (to, msg) = match order {
-                Out::Send(to, msg) if OTHERS.contains(&to) => (to, msg),
-                Out::Save(ticket, _) => {
-                    queen.saved(now, ticket, true, &mut out);
+                Output::Send(to, msg) if OTHERS.contains(&to) => (to, msg),
+                Output::Save(ticket, _) => {
+                    queen.save_finished(now, ticket, true, &mut out);
                     continue;
                 }
                 _ => continue,
             };
             let (ballot, incarnation, incarnations) = (Ballot::default(), 0, Vec::new());
             let answer = match msg {
-                Msg::Ask { n, .. } => Msg::AskOk { n, promised: 0 },
+                Msg::PreVote { n, .. } => Msg::PreVoteGranted { n, promised: 0 },
                 Msg::Prepare { epoch, .. } => {
                     Msg::Promise { epoch, ballot, value: None, incarnation, incarnations }
                 }
@@ -48,7 +48,7 @@
                 }
                 _ => continue,
             };
-            queen.heard(now, to, answer, &mut out);
+            queen.handle_message(now, to, answer, &mut out);
         }
         assert!(now < 60.0, "nobody leads");
     }
@@ -76,15 +76,25 @@
     let (epoch, index) = (1 << 32 | 2, 1);
     let value =
         Rc::new(Value { members: vec![1, 2, 3], outgoing: Vec::new(), body: vec![0; body], cluster: 0 });
-    let kept = Kept { promised: epoch, ballot: Ballot { epoch, index }, value, ..Kept::default() };
+    let kept = PersistentState {
+        promised: epoch,
+        ballot: Ballot { epoch, index },
+        value,
+        ..PersistentState::default()
+    };
     let settings = Settings { me: 1, seeds: vec![1, 2, 3], bootstrap: false, seed: 7, tolerate: 1 };
-    let (mut queen, mut out) = (Queen::new(0.0, settings, Some(kept)), Vec::new());
+    let (mut queen, mut out) = (Replica::new(0.0, settings, Some(kept)), Vec::new());
     resume(&mut queen, 0.0);
     for nth in 1..=100 {
         let commit = Ballot { epoch, index: 1 + nth };
-        queen.heard(nth as f64 * 0.1, 2, Msg::Heartbeat { epoch, commit, nonce: nth, cluster: 0 }, &mut out);
+        queen.handle_message(
+            nth as f64 * 0.1,
+            2,
+            Msg::Heartbeat { epoch, commit, nonce: nth, cluster: 0 },
+            &mut out,
+        );
     }
-    out.iter().filter(|out| matches!(out, Out::Send(2, Msg::Fetch { .. }))).count()
+    out.iter().filter(|out| matches!(out, Output::Send(2, Msg::Fetch { .. }))).count()
 }
 
 #[test]
--- a/consensus/tests/stalled.rs
+++ b/consensus/tests/stalled.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::resume;
-use lupinledge_consensus::{Ballot, Kept, Msg, Node, Out, Queen, Settings, Value};
+use lupinledge_consensus::{Ballot, Msg, Node, Output, PersistentState, Replica, Settings, Value};
 use std::rc::{Rc, Weak};
 
 const ME: Node = 1;
@@ -19,16 +19,22 @@
     })
 }
 
-fn member() -> Queen {
-    let kept = Kept { ballot: Ballot { epoch: 1 << 32 | 2, index: 1 }, value: value(0), ..Kept::default() };
+fn member() -> Replica {
+    let kept = PersistentState {
+        ballot: Ballot { epoch: 1 << 32 | 2, index: 1 },
+        value: value(0),
+        ..PersistentState::default()
+    };
     let settings = Settings { me: ME, seeds: vec![1, 2, 3], bootstrap: false, seed: 7, tolerate: 1 };
-    let mut queen = Queen::new(0.0, settings, Some(kept));
+    let mut queen = Replica::new(0.0, settings, Some(kept));
     resume(&mut queen, 0.0);
     queen
 }
 
-fn saves(out: &[Out]) -> Vec<u64> {
-    out.iter().filter_map(|out| if let Out::Save(ticket, _) = out { Some(*ticket) } else { None }).collect()
+fn saves(out: &[Output]) -> Vec<u64> {
+    out.iter()
+        .filter_map(|out| if let Output::Save(ticket, _) = out { Some(*ticket) } else { None })
+        .collect()
 }
 
 #[test]
@@ -37,12 +43,17 @@
     let epoch = 2 << 32 | u64::from(HOLDER);
     for nth in 0..CHANGES {
         let now = nth as f64 * 0.25;
-        queen.heard(now, HOLDER, Msg::Prepare { epoch, have: Ballot::default(), cluster: 0 }, &mut out);
+        queen.handle_message(
+            now,
+            HOLDER,
+            Msg::Prepare { epoch, have: Ballot::default(), cluster: 0 },
+            &mut out,
+        );
     }
     let [ticket] = saves(&out)[..] else { panic!("one save at a time") };
     out.clear();
-    queen.saved(CHANGES as f64, ticket, true, &mut out);
-    let promises = out.iter().filter(|out| matches!(out, Out::Send(HOLDER, Msg::Promise { .. })));
+    queen.save_finished(CHANGES as f64, ticket, true, &mut out);
+    let promises = out.iter().filter(|out| matches!(out, Output::Send(HOLDER, Msg::Promise { .. })));
     assert_eq!(promises.count(), 1);
 }
 
@@ -53,29 +64,34 @@
     let mut values: Vec<Weak<Value>> = Vec::new();
     for index in 2..CHANGES {
         let now = index as f64 * 0.1;
-        queen.heard(now, HOLDER, Msg::Prepare { epoch, have: Ballot::default(), cluster: 0 }, &mut out);
+        queen.handle_message(
+            now,
+            HOLDER,
+            Msg::Prepare { epoch, have: Ballot::default(), cluster: 0 },
+            &mut out,
+        );
         let value = value(index);
         values.push(Rc::downgrade(&value));
-        queen.heard(
+        queen.handle_message(
             now,
             HOLDER,
             Msg::Accept { ballot: Ballot { epoch, index }, value, incarnation: 0 },
             &mut out,
         );
         // what it ordered is with the disk, which holds one state at the most
-        out.retain(|out| matches!(out, Out::Save(..)));
+        out.retain(|out| matches!(out, Output::Save(..)));
     }
     let [ticket] = saves(&out)[..] else { panic!("one save at a time") };
     let held = values.iter().filter(|value| value.strong_count() > 0).count();
     assert!(held <= 4, "{held} values are held");
     // and the newest of all is what is voted for in the end
     out.clear();
-    queen.saved(CHANGES as f64 * 0.1, ticket, true, &mut out);
+    queen.save_finished(CHANGES as f64 * 0.1, ticket, true, &mut out);
     let [ticket] = saves(&out)[..] else { panic!("the newest is saved next") };
     out.clear();
-    queen.saved(CHANGES as f64 * 0.1, ticket, true, &mut out);
+    queen.save_finished(CHANGES as f64 * 0.1, ticket, true, &mut out);
     let newest = Ballot { epoch, index: CHANGES - 1 };
     let voted =
-        |out: &Out| matches!(out, Out::Send(HOLDER, Msg::Accepted { ballot, .. }) if *ballot == newest);
+        |out: &Output| matches!(out, Output::Send(HOLDER, Msg::Accepted { ballot, .. }) if *ballot == newest);
     assert!(out.iter().any(voted));
 }
--- a/control-plane/src/agree.rs
+++ b/control-plane/src/agree.rs
@@ -2,7 +2,9 @@
 
 use crate::clock::Clock;
 use lupinledge_config::Document;
-use lupinledge_consensus::{Ballot, Kept, Msg, Node, NotFounded, Out, Outcome, Queen, Settings, Value};
+use lupinledge_consensus::{
+    Ballot, Msg, NewClusterError, Node, Outcome, Output, PersistentState, Replica, Settings, Value,
+};
 use lupinledge_invariants::{check, Invariant};
 use lupinledge_messaging::{Post, Word};
 use lupinledge_storage::{Found, Saved, Store};
@@ -42,7 +44,7 @@
 
 pub struct Agree {
     clock: Rc<Clock>,
-    queen: RefCell<Queen>,
+    queen: RefCell<Replica>,
     store: Store,
     post: OnceCell<Rc<Post>>,
     on_value: OnceCell<OnValue>,
@@ -73,7 +75,7 @@
         let bootstrap = settings.bootstrap && found != Found::Spoilt;
         let settings = Settings { bootstrap, ..settings };
         // a state that can't be read is no empty disk: to go on without it could lose what was acknowledged
-        let kept: Option<Kept> = match found {
+        let kept: Option<PersistentState> = match found {
             Found::State(state) => Some(rmp_serde::from_slice(&state)?),
             Found::Empty | Found::Spoilt => None,
         };
@@ -81,7 +83,7 @@
         if other != 0 && other != settings.me {
             tracing::warn!(event = "folder_of_another", owner = %Ipv4Addr::from(other));
         }
-        let queen = Queen::new(clock.now(), settings, kept);
+        let queen = Replica::new(clock.now(), settings, kept);
         Ok(Rc::new(Agree {
             clock,
             queen: RefCell::new(queen),
@@ -110,7 +112,7 @@
         let agree = self.clone();
         tokio::task::spawn_local(async move {
             while let Some((ticket, ok)) = ends.recv().await {
-                agree.turn(|queen, now, out| queen.saved(now, ticket, ok, out));
+                agree.turn(|queen, now, out| queen.save_finished(now, ticket, ok, out));
             }
         });
         let agree = self.clone();
@@ -126,10 +128,10 @@
     }
 
     pub fn heard(&self, from: Node, msg: Msg) {
-        self.turn(|queen, now, out| queen.heard(now, from, msg, out));
+        self.turn(|queen, now, out| queen.handle_message(now, from, msg, out));
     }
 
-    fn turn(&self, step: impl FnOnce(&mut Queen, f64, &mut Vec<Out>)) {
+    fn turn(&self, step: impl FnOnce(&mut Replica, f64, &mut Vec<Output>)) {
         if self.quiet.get() {
             return;
         }
@@ -138,7 +140,7 @@
         let mut news = false;
         for out in out {
             match out {
-                Out::Send(to, msg) => {
+                Output::Send(to, msg) => {
                     if let Some(post) = self.post.get() {
                         let datagram = heartbeat(&msg);
                         let word = Word::Queen(msg);
@@ -149,28 +151,28 @@
                         }
                     }
                 }
-                Out::Save(ticket, kept) => match rmp_serde::to_vec(&kept) {
+                Output::Save(ticket, kept) => match rmp_serde::to_vec(&kept) {
                     Ok(state) => self.store.save(ticket, state),
                     Err(e) => tracing::error!(event = "unsaved", fault = %e),
                 },
-                Out::Committed(ballot, value) => {
+                Output::Committed(ballot, value) => {
                     if let Some(on_value) = self.on_value.get() {
                         on_value(ballot.index, &value);
                     }
                     news |= self.committed(ballot, &value.body);
                 }
-                Out::Won(epoch) => tracing::info!(event = "won", epoch),
-                Out::Lost => tracing::info!(event = "lost"),
-                Out::Done { ticket, how } => {
+                Output::BecameLeader(epoch) => tracing::info!(event = "won", epoch),
+                Output::LostLeadership => tracing::info!(event = "lost"),
+                Output::Done { ticket, outcome } => {
                     if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
-                        let _ = waiting.send(how);
+                        let _ = waiting.send(outcome);
                     }
                 }
             }
         }
         let queen = self.queen.borrow();
         let (led, known, due) =
-            (queen.leads(self.clock.now()), queen.holder(self.clock.now()), queen.next_wake());
+            (queen.leading_epoch(self.clock.now()), queen.leader(self.clock.now()), queen.next_wake());
         drop(queen);
         let counts = Some(self.member());
         if self.counts.replace(counts) != counts {
@@ -236,22 +238,22 @@
         if self.quiet.get() {
             return None;
         }
-        self.queen.borrow().leads(self.clock.now())
+        self.queen.borrow().leading_epoch(self.clock.now())
     }
 
     /// Who holds the duty, as far as is known at the moment.
     pub fn holder(&self) -> Option<(Node, u64)> {
-        self.queen.borrow().holder(self.clock.now())
+        self.queen.borrow().leader(self.clock.now())
     }
 
     /// Where callers are to be sent, by what was heard of the holder itself.
     pub fn route(&self) -> Option<Node> {
-        self.queen.borrow().route(self.clock.now())
+        self.queen.borrow().redirect_target(self.clock.now())
     }
 
     /// Whether neither a majority of the members nor that one was heard lately.
     pub fn cut_from(&self, node: Node) -> bool {
-        self.queen.borrow().cut_from(self.clock.now(), node)
+        self.queen.borrow().is_isolated_from(self.clock.now(), node)
     }
 
     /// The newest epoch and holder heard of, whether it is still there or not.
@@ -262,29 +264,29 @@
     /// Whether this process counts, and knows what it has to know for that.
     pub fn member(&self) -> bool {
         let queen = self.queen.borrow();
-        !queen.amnesiac() && queen.members().contains(&self.me())
+        !queen.is_learning() && queen.members().contains(&self.me())
     }
 
     /// Whether this process has no state that counts, and learns it from the others.
     pub fn amnesiac(&self) -> bool {
-        self.queen.borrow().amnesiac()
+        self.queen.borrow().is_learning()
     }
 
     /// Whether what this process knows of the members is committed, with no change of them under way.
     pub fn settled(&self) -> bool {
-        self.queen.borrow().settled()
+        self.queen.borrow().is_settled()
     }
 
     /// What this member holds.
-    pub fn standing(&self) -> lupinledge_consensus::Standing {
-        self.queen.borrow().standing(self.clock.now())
+    pub fn standing(&self) -> lupinledge_consensus::ReplicaStatus {
+        self.queen.borrow().status(self.clock.now())
     }
 
-    /// Founds the core anew from this member's state, see [`Queen::found_anew`].
-    pub fn found_anew(&self, newest: Ballot) -> Result<(), NotFounded> {
+    /// Founds the core anew from this member's state, see [`Replica::force_new_cluster`].
+    pub fn found_anew(&self, newest: Ballot) -> Result<(), NewClusterError> {
         let mut founded = Ok(());
         self.turn(|queen, now, out| {
-            founded = queen.found_anew(now, newest);
+            founded = queen.force_new_cluster(now, newest);
             queen.tick(now, out);
         });
         founded
@@ -292,7 +294,7 @@
 
     /// Other machines of the core, known from elsewhere.
     pub fn hint(&self, nodes: &[Node]) {
-        self.queen.borrow_mut().hint(nodes);
+        self.queen.borrow_mut().set_hints(nodes);
     }
 
     pub fn members(&self) -> Vec<Node> {
@@ -315,11 +317,11 @@
 
     /// Whether what is committed here is what the whole has committed.
     pub async fn confirm(&self) -> bool {
-        let how = self.ask(|queen, now, ticket, out| queen.confirm(now, ticket, out)).await;
+        let how = self.ask(|queen, now, ticket, out| queen.read_barrier(now, ticket, out)).await;
         matches!(how, Some(Outcome::Confirmed))
     }
 
-    async fn ask(&self, step: impl FnOnce(&mut Queen, f64, u64, &mut Vec<Out>)) -> Option<Outcome> {
+    async fn ask(&self, step: impl FnOnce(&mut Replica, f64, u64, &mut Vec<Output>)) -> Option<Outcome> {
         if self.quiet.get() {
             return None;
         }
@@ -336,7 +338,7 @@
     pub async fn leave(&self, most: Duration) {
         self.turn(|queen, now, out| queen.leave(now, out));
         let left = async {
-            while !self.queen.borrow().left() {
+            while !self.queen.borrow().can_stop() {
                 sleep(LEAVE_LOOK).await;
             }
         };
@@ -349,7 +351,7 @@
         if let (Some(epoch), Some(post)) = (self.leads(), self.post.get()) {
             let next = self.queen.borrow().successor();
             let others = self.members().into_iter().filter(|m| *m != self.me());
-            others.for_each(|other| post.cast(other, &Word::Queen(Msg::Quit { epoch, next })));
+            others.for_each(|other| post.cast(other, &Word::Queen(Msg::StepDown { epoch, next })));
         }
         self.quiet.set(true);
         self.waiting.borrow_mut().clear();
@@ -367,9 +369,9 @@
     matches!(
         msg,
         Msg::Alive
-            | Msg::Ask { .. }
-            | Msg::AskOk { .. }
-            | Msg::AskNo { .. }
+            | Msg::PreVote { .. }
+            | Msg::PreVoteGranted { .. }
+            | Msg::PreVoteRefused { .. }
             | Msg::Heartbeat { .. }
             | Msg::HeartbeatOk { .. }
             | Msg::Resume { .. }
--- a/control-plane/src/founding.rs
+++ b/control-plane/src/founding.rs
@@ -33,9 +33,9 @@
             nodes.iter().map(|&node| Ipv4Addr::from(node).to_string()).collect()
         };
         let state = match () {
-            _ if standing.learns => "learns",
+            _ if standing.learning => "learns",
             _ if self.agree.leads().is_some() => "leads",
-            _ if standing.majority => "majority",
+            _ if standing.majority_reachable => "majority",
             _ => "alone",
         };
         json!({
--- a/control-plane/src/run.rs
+++ b/control-plane/src/run.rs
@@ -190,7 +190,7 @@
                 }
                 Reply::Done
             }
-            Some(Outcome::NotHolder) => self.elsewhere().unwrap_or(Reply::Later),
+            Some(Outcome::NotLeader) => self.elsewhere().unwrap_or(Reply::Later),
             // it may come into force yet
             _ => Reply::Later,
         }
--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -5,7 +5,7 @@
 use crate::{Flaw, Node};
 use lupinledge_config::turns::Caller;
 use lupinledge_config::{Answer, Document, Judged, Turns};
-use lupinledge_consensus::{Ballot, Kept, Msg, Out as Ordered, Outcome, Queen, Settings};
+use lupinledge_consensus::{Ballot, Msg, Outcome, Output as Ordered, PersistentState, Replica, Settings};
 use lupinledge_counters::duty::Duty;
 use lupinledge_membership::{Member, News, Source, Spread, Standing};
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 /// See the module.
 pub struct Core {
     /// The agreement.
-    pub queen: Queen,
+    pub queen: Replica,
     /// Membership and news.
     pub spread: Spread,
     pub(crate) flaw: Flaw,
@@ -50,17 +50,18 @@
     seeds: Vec<Node>,
     me: Node,
     /// For planted faults: the state saved before, and whether it asked for what is committed.
-    before: Option<Kept>,
+    before: Option<PersistentState>,
     fetched: bool,
 }
 
 impl Core {
     /// Begins from what the disk holds; `seeds` found, once.
-    pub fn new(me: Node, begin: Begin<Kept>, seeds: &[Node], tolerate: usize, flaw: Flaw) -> Core {
+    pub fn new(me: Node, begin: Begin<PersistentState>, seeds: &[Node], tolerate: usize, flaw: Flaw) -> Core {
         let Begin { now, run, seed, kept, used, disk } = begin;
         disk.lies = if flaw == Flaw::DiskLies { 0.6 } else { 0.0 };
         let bootstrap = !used || flaw == Flaw::WipedFounds;
-        let queen = Queen::new(now, Settings { me, seeds: seeds.to_vec(), bootstrap, seed, tolerate }, kept);
+        let queen =
+            Replica::new(now, Settings { me, seeds: seeds.to_vec(), bootstrap, seed, tolerate }, kept);
         let swarm = lupinledge_membership::Settings::new(me, run, card(me, true), seeds.to_vec(), seed);
         Core {
             queen,
@@ -115,10 +116,10 @@
         if self.flaw != Flaw::SeedsAlone {
             self.spread.set_seeds(self.seeds.iter().chain(self.queen.members()).copied().collect());
         }
-        if !self.queen.members().contains(&self.me) || self.queen.holder(now).is_none() {
+        if !self.queen.members().contains(&self.me) || self.queen.leader(now).is_none() {
             let cores = self.spread.swarm().members().filter(|m| m.card.core).map(|m| m.node);
             let cores: Vec<Node> = self.seeds.iter().copied().chain(cores).collect();
-            self.queen.hint(&cores);
+            self.queen.set_hints(&cores);
         }
     }
 
@@ -128,7 +129,7 @@
     }
 
     pub(crate) fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Out) {
-        self.turn(now, out, |queen, out| queen.saved(now, ticket, ok, out));
+        self.turn(now, out, |queen, out| queen.save_finished(now, ticket, ok, out));
     }
 
     pub(crate) fn heard(&mut self, now: f64, from: Node, say: Say, out: &mut Out) {
@@ -141,28 +142,30 @@
                 send(sends, out);
             }
             Say::Queen(msg) => {
-                if matches!(msg, Msg::Learnt { .. }) {
+                if matches!(msg, Msg::LearnReply { .. }) {
                     out.push(Order::Tell(Told::Learnt));
                 }
-                self.turn(now, out, |queen, out| queen.heard(now, from, msg, out));
+                self.turn(now, out, |queen, out| queen.handle_message(now, from, msg, out));
             }
             Say::Count { tag, incarnation, calls } => self.count(now, (from, incarnation), tag, &calls, out),
             Say::Told { epoch, incarnation, told } => {
                 self.gather(now, epoch, (from, incarnation), &told, out)
             }
-            Say::Clock if self.queen.leads(now).is_some() => out.push(Order::Cast(from, Say::ClockIs)),
+            Say::Clock if self.queen.leading_epoch(now).is_some() => {
+                out.push(Order::Cast(from, Say::ClockIs))
+            }
             Say::Clock | Say::ClockIs | Say::Hold { .. } | Say::Counted { .. } | Say::Command(..) => {}
         }
     }
 
     /// One step of the agreement, and what it orders.
-    fn turn(&mut self, now: f64, out: &mut Out, step: impl FnOnce(&mut Queen, &mut Vec<Ordered>)) {
+    fn turn(&mut self, now: f64, out: &mut Out, step: impl FnOnce(&mut Replica, &mut Vec<Ordered>)) {
         let mut orders = Vec::new();
         step(&mut self.queen, &mut orders);
         for order in orders {
             match order {
                 Ordered::Send(_, Msg::Fetch { .. }) if self.flaw == Flaw::FetchOnce && self.fetched => {}
-                Ordered::Send(_, Msg::News { .. }) if self.flaw == Flaw::FetchDeaf => {}
+                Ordered::Send(_, Msg::CommittedValue { .. }) if self.flaw == Flaw::FetchDeaf => {}
                 Ordered::Send(to, msg) => {
                     self.fetched |= matches!(msg, Msg::Fetch { .. });
                     let stands = match &msg {
@@ -198,12 +201,12 @@
                     }
                     out.push(Order::Tell(Told::Committed(ballot, value)));
                 }
-                Ordered::Won(epoch) => out.push(Order::Tell(Told::Won(epoch))),
-                Ordered::Lost => {}
-                Ordered::Done { ticket, how } => self.settled(now, ticket, how, out),
+                Ordered::BecameLeader(epoch) => out.push(Order::Tell(Told::Won(epoch))),
+                Ordered::LostLeadership => {}
+                Ordered::Done { ticket, outcome } => self.settled(now, ticket, outcome, out),
             }
         }
-        let led = std::mem::replace(&mut self.leads, self.queen.leads(now));
+        let led = std::mem::replace(&mut self.leads, self.queen.leading_epoch(now));
         if led != self.leads {
             self.counts.1 = now;
         }
@@ -213,7 +216,7 @@
     /// Tells what is known of the duty and the document; the holder as their origin.
     fn news(&mut self, now: f64, out: &mut Out) {
         let known = self.leads.map(|epoch| (epoch, self.me));
-        let known = known.or(self.queen.holder(now).map(|(node, epoch)| (epoch, node)));
+        let known = known.or(self.queen.leader(now).map(|(node, epoch)| (epoch, node)));
         self.known = known.unwrap_or(self.known);
         let held = self.spread.held().newest();
         let newer = self.agreed.as_ref().filter(|(ballot, _)| {
@@ -284,16 +287,17 @@
         let (epoch, told) = self.spread.held().epoch();
         let alive = |m: &Member| m.card.core && m.standing == Standing::Alive;
         let there = told != self.me && self.spread.swarm().member(told).is_some_and(alive);
-        let told = (there && epoch >= self.known.0 && self.queen.cut_from(now, told)).then_some(told);
+        let told = (there && epoch >= self.known.0 && self.queen.is_isolated_from(now, told)).then_some(told);
         let stale = (self.flaw == Flaw::StaleRedirect).then_some(self.known.1);
-        let to = self.queen.route(now).or(told).or(stale).filter(|node| *node != self.me && *node != 0);
+        let to =
+            self.queen.redirect_target(now).or(told).or(stale).filter(|node| *node != self.me && *node != 0);
         to.map_or(Reply::Later, Reply::Elsewhere)
     }
 
     fn settle(&mut self, now: f64, ids: Option<Vec<u64>>, command: &Command, out: &mut Out) {
         let alone =
-            self.queen.holder(now).filter(|(node, _)| self.flaw == Flaw::LeadsAlone && *node == self.me);
-        let leads = alone.map(|(_, epoch)| epoch).or_else(|| self.queen.leads(now));
+            self.queen.leader(now).filter(|(node, _)| self.flaw == Flaw::LeadsAlone && *node == self.me);
+        let leads = alone.map(|(_, epoch)| epoch).or_else(|| self.queen.leading_epoch(now));
         let (Some(epoch), Some((ballot, document))) = (leads, self.agreed.clone()) else {
             let reply = self.elsewhere(now);
             return self.reply(ids, reply, out);
@@ -314,7 +318,7 @@
                 }
                 let (command, said) = (command.clone(), Some((answer, epoch, ballot)));
                 self.asked.insert(ticket, Asked { ids: Some(ids), command, said });
-                self.turn(now, out, |queen, out| queen.confirm(now, ticket, out));
+                self.turn(now, out, |queen, out| queen.read_barrier(now, ticket, out));
             }
             Judged::Take(document) => {
                 let body = rmp_serde::to_vec(&document).expect("a document can be written");
@@ -332,7 +336,7 @@
         let Some(Asked { ids, command, said }) = self.asked.remove(&ticket) else { return };
         let reply = match (said, how) {
             (Some((answer, epoch, ballot)), Outcome::Confirmed) => {
-                let agreed = self.agreed.as_ref().filter(|_| self.queen.leads(now) == Some(epoch));
+                let agreed = self.agreed.as_ref().filter(|_| self.queen.leading_epoch(now) == Some(epoch));
                 match agreed {
                     Some(now) if now.0 == ballot => Reply::Said(answer),
                     Some((_, document)) => match document.judge(command.order(), |z| ZONES.contains(&z)) {
@@ -343,7 +347,7 @@
                 }
             }
             (None, Outcome::Committed(_)) => Reply::Said(Answer::Done),
-            (None, Outcome::NotHolder) | (Some(_), _) => self.elsewhere(now),
+            (None, Outcome::NotLeader) | (Some(_), _) => self.elsewhere(now),
             (None, _) => Reply::Later,
         };
         self.reply(ids, reply, out);
--- a/simulation/src/counts.rs
+++ b/simulation/src/counts.rs
@@ -18,7 +18,7 @@
     /// Turns to the counters of the epoch that is held; `None` where none is.
     fn hold(&mut self, now: f64) -> Option<u64> {
         let unheld = self.counts.0.filter(|_| self.flaw == Flaw::CountsUnheld);
-        let epoch = self.queen.leads(now).or(unheld)?;
+        let epoch = self.queen.leading_epoch(now).or(unheld)?;
         self.duty.hold(now, epoch);
         self.counts.0 = Some(epoch);
         Some(epoch)
--- a/simulation/src/cuts.rs
+++ b/simulation/src/cuts.rs
@@ -193,7 +193,7 @@
     /// Does it hold the duty, or seek it, and is it not cut off from a majority?
     fn holds(&self, node: Node) -> bool {
         let core = self.site.world.process(node).and_then(Process::core);
-        core.and_then(|core| core.queen.holder(0.0)).is_some_and(|(holder, _)| holder == node)
+        core.and_then(|core| core.queen.leader(0.0)).is_some_and(|(holder, _)| holder == node)
             && !self.off(node)
     }
 
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -5,7 +5,7 @@
 use crate::world::{Begin, Order};
 use crate::{Flaw, Node};
 use lupinledge_config::Document;
-use lupinledge_consensus::{Ballot, Kept};
+use lupinledge_consensus::{Ballot, PersistentState};
 use lupinledge_counters::own::Own;
 use lupinledge_counters::Total;
 use lupinledge_membership::{News, Said, Spread};
@@ -56,7 +56,7 @@
 
 impl Edge {
     /// Begins with nothing.
-    pub fn new(me: Node, begin: Begin<Kept>, seeds: &[Node], flaw: Flaw) -> Edge {
+    pub fn new(me: Node, begin: Begin<PersistentState>, seeds: &[Node], flaw: Flaw) -> Edge {
         let Begin { now, run, seed, .. } = begin;
         let swarm = lupinledge_membership::Settings::new(me, run, card(me, false), seeds.to_vec(), seed);
         Edge {
--- a/simulation/src/leaving.rs
+++ b/simulation/src/leaving.rs
@@ -60,12 +60,12 @@
         let now = self.world.now;
         for leaver in std::mem::take(&mut self.leavers) {
             let process = self.world.process(leaver.node).and_then(Process::core);
-            let left = process.is_some_and(|core| core.queen.left());
+            let left = process.is_some_and(|core| core.queen.can_stop());
             let ended = leaver.told && process.is_none();
             // who lost its disk goes at once, as it counts as lost already, and so does who knows of no successor yet
             let newest = self.world.watch.newest().map(|newest| newest.0);
             let knows = process.and_then(|core| core.queen.committed()).map(|(ballot, _)| ballot.index);
-            let knows = knows == newest && process.is_some_and(|core| !core.queen.amnesiac());
+            let knows = knows == newest && process.is_some_and(|core| !core.queen.is_learning());
             if !leaver.told && now >= leaver.at && process.is_some() {
                 self.rough(0.0);
                 if self.flaw != Flaw::LeavesAtOnce {
--- a/simulation/src/play.rs
+++ b/simulation/src/play.rs
@@ -99,7 +99,8 @@
         let index = match site.world.process(node) {
             Some(Process::Core(core)) => {
                 let index = core.queen.committed().map(|(ballot, _)| ballot.index);
-                if core.queen.amnesiac() || !core.queen.members().contains(&node) || core.unanswered() > 0 {
+                if core.queen.is_learning() || !core.queen.members().contains(&node) || core.unanswered() > 0
+                {
                     return Some(format!("{node} does not count, or owes replies"));
                 }
                 index
--- a/simulation/src/process.rs
+++ b/simulation/src/process.rs
@@ -5,7 +5,7 @@
 use crate::world::{Life as Lives, Order};
 use crate::Node;
 use lupinledge_config::{Answer, Document};
-use lupinledge_consensus::{Ballot, Kept, Msg, Value};
+use lupinledge_consensus::{Ballot, Msg, PersistentState, Value};
 use lupinledge_counters::{told::Told as Sum, Incarnation};
 use lupinledge_membership::{Card, Said, Sends};
 use std::rc::Rc;
@@ -145,7 +145,7 @@
 
 impl Lives for Process {
     type Word = Say;
-    type Kept = Kept;
+    type Kept = PersistentState;
     type Told = Told;
 
     fn tick(&mut self, now: f64, out: &mut Out) {
