--- a/control-plane/src/agree.rs
+++ b/control-plane/src/agree.rs
@@ -5,7 +5,7 @@
 use lupinledge_consensus::{Ballot, Kept, Msg, Node, NotFounded, Out, Outcome, Queen, Settings, Value};
 use lupinledge_invariants::{check, Invariant};
 use lupinledge_messaging::{Post, Word};
-use lupinledge_storage::{Found, Saved, Store};
+use lupinledge_storage::{SaveResult, Store, Stored};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -66,16 +66,16 @@
     pub fn start(
         clock: Rc<Clock>,
         settings: Settings,
-        found: Found,
+        found: Stored,
         store: Store,
     ) -> eyre::Result<Rc<Agree>> {
         // what was there once is not there for the first time
-        let bootstrap = settings.bootstrap && found != Found::Spoilt;
+        let bootstrap = settings.bootstrap && found != Stored::Corrupt;
         let settings = Settings { bootstrap, ..settings };
         // a state that can't be read is no empty disk: to go on without it could lose what was acknowledged
         let kept: Option<Kept> = match found {
-            Found::State(state) => Some(rmp_serde::from_slice(&state)?),
-            Found::Empty | Found::Spoilt => None,
+            Stored::State(state) => Some(rmp_serde::from_slice(&state)?),
+            Stored::Empty | Stored::Corrupt => None,
         };
         let other = kept.as_ref().map_or(0, |kept| kept.owner);
         if other != 0 && other != settings.me {
@@ -104,7 +104,7 @@
     }
 
     /// From here on words go out, and what is due is done.
-    pub fn run(self: &Rc<Agree>, post: Rc<Post>, mut ends: UnboundedReceiver<Saved>, on_value: OnValue) {
+    pub fn run(self: &Rc<Agree>, post: Rc<Post>, mut ends: UnboundedReceiver<SaveResult>, on_value: OnValue) {
         let _ = self.post.set(post);
         let _ = self.on_value.set(on_value);
         let agree = self.clone();
--- a/control-plane/src/hive.rs
+++ b/control-plane/src/hive.rs
@@ -18,7 +18,7 @@
 use lupinledge_membership::{Card, Member, Standing};
 use lupinledge_messaging::list::List;
 use lupinledge_messaging::{decode, Word};
-use lupinledge_storage::{DataDir, FolderLock, Found, Opened, Store};
+use lupinledge_storage::{DataDir, FolderLock, OpenedStore, Store, Stored};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -69,10 +69,10 @@
         let folder = settings.data_dir.clone().ok_or_else(|| eyre!("`data_dir`: the core needs a disk"))?;
         let platform = platform_of(&settings)?;
         let owner = format!("{} (process {})", settings.ip, std::process::id());
-        let lock = FolderLock::take(folder.clone(), owner, FOLDER_WAIT).await.wrap_err("`data_dir`")?;
-        let Opened { store, found, ends } = Store::open(DataDir(folder.clone()))?;
-        let found = found.await.wrap_err("`data_dir`")?;
-        let empty = !matches!(found, Found::State(_));
+        let lock = FolderLock::acquire(folder.clone(), owner, FOLDER_WAIT).await.wrap_err("`data_dir`")?;
+        let OpenedStore { store, content, results } = Store::open(DataDir(folder.clone()))?;
+        let found = content.await.wrap_err("`data_dir`")?;
+        let empty = !matches!(found, Stored::State(_));
 
         let seeds = seeds_of(&settings);
         let seed = clock.incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(clock.me);
@@ -128,7 +128,7 @@
         tokio::task::spawn_local(gossip.clone().run());
         operations.run(gossip.post().clone());
         let on_value = move |index, value: &_| operations.committed(index, value);
-        agree.run(gossip.post().clone(), ends, Box::new(on_value));
+        agree.run(gossip.post().clone(), results, Box::new(on_value));
         tokio::task::spawn_local(hive.clone().tell());
         tokio::task::spawn_local(hive.clone().upkeep());
         tracing::info!(event = "started", node = %hive.settings.borrow().ip, port, empty);
--- a/control-plane/src/operations.rs
+++ b/control-plane/src/operations.rs
@@ -10,7 +10,7 @@
 use lupinledge_consensus::{Node, Value};
 use lupinledge_gossip::metrics;
 use lupinledge_messaging::{Post, Word};
-use lupinledge_operations::voter::{Out, Settings, Voter};
+use lupinledge_operations::voter::{Action, Settings, Voter};
 use lupinledge_operations::{Entry, Message};
 use lupinledge_storage::{Journal, OpenedJournal, Replayed};
 use recorder::Recorder;
@@ -66,12 +66,12 @@
     pub async fn start(clock: Rc<Clock>, beginning: Beginning) -> eyre::Result<Rc<Operations>> {
         let Beginning { folder, limits, seed, learns } = beginning;
         let bounds = Bounds::of(&limits);
-        let OpenedJournal { journal, found, saved } = Journal::open(folder, bounds.journal())?;
-        let replayed = found.await.wrap_err("the journal's thread ended")?;
+        let OpenedJournal { journal, replayed, saved } = Journal::open(folder, bounds.journal())?;
+        let replayed = replayed.await.wrap_err("the journal's thread ended")?;
         let empty = replayed.entries.is_empty() && !replayed.damaged;
-        let founds = empty && !learns;
-        let (me, records_most, answer_bytes_most) = (clock.me, bounds.records, bounds.answer_bytes);
-        let settings = Settings { me, seed, founds, records_most, answer_bytes_most };
+        let founder = empty && !learns;
+        let (me, max_records, max_answer_bytes) = (clock.me, bounds.records, bounds.answer_bytes);
+        let settings = Settings { me, seed, founder, max_records, max_answer_bytes };
         let mut out = Vec::new();
         let voter = Voter::new(clock.now(), settings, entries(replayed, learns), &mut out);
         let operations = Rc::new(Operations {
@@ -141,18 +141,18 @@
 
     fn saved(&self, number: u64) {
         self.recorder.retry();
-        self.turn(|voter, now, out| voter.saved(now, number, out));
+        self.turn(|voter, now, out| voter.on_saved(now, number, out));
     }
 
     /// A message of a gateway or of another voter.
     pub fn heard(&self, from: Node, message: Message) {
-        self.turn(|voter, now, out| voter.heard(now, from, message, out));
+        self.turn(|voter, now, out| voter.on_message(now, from, message, out));
     }
 
     /// The agreement has committed this value under that index.
     pub fn committed(&self, index: u64, value: &Value) {
         let Value { members, outgoing, .. } = value;
-        self.turn(|voter, now, out| voter.members(now, index, members, outgoing, out));
+        self.turn(|voter, now, out| voter.set_members(now, index, members, outgoing, out));
     }
 
     /// Figures of the voter.
@@ -161,10 +161,10 @@
         line("operations.records", voter.records() as u64);
         line("operations.answer_bytes", voter.answer_bytes() as u64);
         line("operations.journal_bytes", self.recorder.bytes());
-        line("operations.votes", u64::from(voter.votes()));
+        line("operations.votes", u64::from(voter.can_vote()));
     }
 
-    fn turn(&self, step: impl FnOnce(&mut Voter, f64, &mut Vec<Out>)) {
+    fn turn(&self, step: impl FnOnce(&mut Voter, f64, &mut Vec<Action>)) {
         let mut out = Vec::new();
         let mut voter = self.voter.borrow_mut();
         voter.set_room(self.recorder.has_room());
@@ -173,18 +173,18 @@
         self.carry_out(out);
     }
 
-    fn carry_out(&self, out: Vec<Out>) {
+    fn carry_out(&self, out: Vec<Action>) {
         let mut head_changed = false;
         for order in out {
             match order {
-                Out::Send(to, message) => {
+                Action::Send(to, message) => {
                     if let Some(post) = self.post.get() {
                         post.send(to, &Word::Operation(message));
                     }
                 }
-                Out::Append { number, entry, keep, urgent } => {
+                Action::Append { number, entry, keep_s, urgent } => {
                     head_changed |= matches!(entry, Entry::Electorate(_));
-                    self.recorder.append(number, &entry, keep, urgent);
+                    self.recorder.append(number, &entry, keep_s, urgent);
                 }
             }
         }
@@ -201,8 +201,8 @@
     fn standing_changed(&self) -> bool {
         let voter = self.voter.borrow();
         let standing = match () {
-            _ if voter.learns() => Standing::Learns,
-            _ if voter.votes() => Standing::Votes,
+            _ if voter.is_learning() => Standing::Learns,
+            _ if voter.can_vote() => Standing::Votes,
             _ => Standing::NoMember,
         };
         let changed = self.standing.replace(Some(standing)) != Some(standing);
--- a/control-plane/src/operations/bounds.rs
+++ b/control-plane/src/operations/bounds.rs
@@ -41,7 +41,7 @@
         JournalBounds {
             segment_bytes: SEGMENT_BYTES,
             segment_seconds: SEGMENT_SECONDS,
-            bytes_most: self.journal_bytes,
+            max_bytes: self.journal_bytes,
         }
     }
 }
--- a/control-plane/tests/catch_up.rs
+++ b/control-plane/tests/catch_up.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{config, until, Members, CONFIG};
-use lupinledge_storage::{DataDir, Disk, Found, LOG_MOST};
+use lupinledge_storage::{DataDir, Disk, Stored, MAX_LOG_BYTES};
 use serde_json::json;
 use std::fs;
 use std::path::Path;
@@ -85,7 +85,7 @@
         let _ = fs::remove_dir_all(&copy);
         copied(&self.data(i), &copy).ok()?;
         // it goes on writing: what is copied may be torn, and is looked at again then
-        let (_, Found::State(state)) = Disk::open(DataDir(copy), LOG_MOST).ok()? else { return None };
+        let (_, Stored::State(state)) = Disk::open(DataDir(copy), MAX_LOG_BYTES).ok()? else { return None };
         let newest = self.newest();
         state.windows(newest.len()).any(|part| part == newest).then_some(())
     }
--- a/control-plane/tests/operations.rs
+++ b/control-plane/tests/operations.rs
@@ -67,7 +67,7 @@
                 sent = Some(Instant::now());
                 let (key, fingerprint) = (Key(key, 0), Fingerprint(key));
                 let electorate = ElectorateId::default();
-                self.send(i, Message::Claim { key, claim, fingerprint, keep: KEEP, electorate });
+                self.send(i, Message::Claim { key, claim, fingerprint, keep_s: KEEP, electorate });
             }
             self.votes.lock().unwrap().get(&(self.voters[i], claim)).copied()
         })
@@ -386,7 +386,7 @@
             while ((gateway.sequence - first) as f64) < rate * elapsed.as_secs_f64() {
                 let claim = gateway.next();
                 let (key, fingerprint) = (Key(claim.sequence, 1), Fingerprint(1));
-                let message = Message::Claim { key, claim, fingerprint, keep: KEEP, electorate };
+                let message = Message::Claim { key, claim, fingerprint, keep_s: KEEP, electorate };
                 ALL.into_iter().for_each(|i| gateway.send(i, message.clone()));
             }
         });
--- a/data-plane/src/door.rs
+++ b/data-plane/src/door.rs
@@ -164,8 +164,8 @@
         };
         let operation = operation_key.map(|key| {
             let path = head.uri.path_and_query().map_or("", |path| path.as_str());
-            let fingerprint = Fingerprint::of(head.method.as_str(), path, &body);
-            (Key::of(tenant.map_or("", |t| &t.name), &key), fingerprint)
+            let fingerprint = Fingerprint::of_request(head.method.as_str(), path, &body);
+            (Key::derive(tenant.map_or("", |t| &t.name), &key), fingerprint)
         });
         let once = once(route, tenant, &head.headers);
         let named = tenant.and_then(|t| HeaderValue::from_str(&t.name).ok());
--- a/data-plane/src/operations.rs
+++ b/data-plane/src/operations.rs
@@ -21,9 +21,9 @@
 use lupinledge_gossip::metrics::Line;
 use lupinledge_gossip::Gossip;
 use lupinledge_messaging::{Node, Word};
-use lupinledge_operations::claims::{Claims, Out};
-use lupinledge_operations::memory::Memory;
+use lupinledge_operations::claims::{Action, Claims};
 use lupinledge_operations::message::{Message, Progress};
+use lupinledge_operations::operation_table::OperationTable;
 use lupinledge_operations::record::ClaimId;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -52,7 +52,7 @@
     copies: RefCell<Allowance>,
     place: Place,
     claims: RefCell<Claims>,
-    memory: RefCell<Memory>,
+    memory: RefCell<OperationTable>,
     /// Claims whose requests wait for votes.
     pending: RefCell<HashMap<ClaimId, Rc<Claim>>>,
     asks: Asks,
@@ -80,7 +80,7 @@
             start,
             copies: RefCell::new(Allowance::new(link_bytes * COPY_SHARE)),
             place,
-            memory: RefCell::new(Memory::new(OPERATIONS_MOST, answer_bytes)),
+            memory: RefCell::new(OperationTable::new(OPERATIONS_MOST, answer_bytes)),
             pending: RefCell::default(),
             asks: Asks::new(start),
             figures: Figures::default(),
@@ -98,20 +98,20 @@
     pub fn heard(&self, from: Node, message: Message) {
         match message {
             Message::Vote { .. } => {
-                self.with_claims(|claims, now, out| claims.heard(now, from, message, out))
+                self.with_claims(|claims, now, out| claims.on_message(now, from, message, out))
             }
-            Message::Ask { key, claim, tag } => {
+            Message::AskProgress { key, claim, tag } => {
                 let progress = match claim.start == self.start {
                     true => self.memory.borrow_mut().progress(self.gossip.now(), key, claim),
-                    false => Progress::NotKnown,
+                    false => Progress::Unknown,
                 };
-                self.send(from, Message::Told { tag, progress });
+                self.send(from, Message::ProgressReply { tag, progress });
             }
-            Message::Told { tag, progress } => self.asks.told(from, tag, progress),
+            Message::ProgressReply { tag, progress } => self.asks.told(from, tag, progress),
             // for voters only
             Message::Claim { .. } | Message::Release { .. } | Message::Store { .. } => {}
-            Message::Learn { .. } | Message::Learnt { .. } => {}
-            Message::Ended { .. } | Message::Known(_) => {}
+            Message::RequestRecords { .. } | Message::Records { .. } => {}
+            Message::IncarnationEnded { .. } | Message::ElectorateUpdate(_) => {}
         }
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Lets the claims decide something, and carries it out.
-    fn with_claims<T>(&self, decide: impl FnOnce(&mut Claims, f64, &mut Vec<Out>) -> T) -> T {
+    fn with_claims<T>(&self, decide: impl FnOnce(&mut Claims, f64, &mut Vec<Action>) -> T) -> T {
         let mut out = Vec::new();
         let decided = decide(&mut self.claims.borrow_mut(), self.gossip.now(), &mut out);
         out.into_iter().for_each(|order| self.carry_out(order));
@@ -163,15 +163,15 @@
         decided
     }
 
-    fn carry_out(&self, order: Out) {
+    fn carry_out(&self, order: Action) {
         let pending = |claim: ClaimId| self.pending.borrow().get(&claim).cloned();
         match order {
-            Out::Send(to, message) => self.send(to, message),
-            Out::Granted(claim) => pending(claim).into_iter().for_each(|claim| claim.grant()),
-            Out::Held { claim, by, fingerprint, answered_at } => {
+            Action::Send(to, message) => self.send(to, message),
+            Action::Granted(claim) => pending(claim).into_iter().for_each(|claim| claim.grant()),
+            Action::Held { claim, by, fingerprint, answered_at } => {
                 pending(claim).into_iter().for_each(|claim| claim.held(by, fingerprint, answered_at))
             }
-            Out::Unavailable(claim) => pending(claim).into_iter().for_each(|claim| claim.withdraw()),
+            Action::Unavailable(claim) => pending(claim).into_iter().for_each(|claim| claim.withdraw()),
         }
     }
 
--- a/data-plane/src/operations/asks.rs
+++ b/data-plane/src/operations/asks.rs
@@ -55,14 +55,14 @@
 }
 
 impl Ask<'_> {
-    /// The first answer that says anything; [`Progress::NotKnown`] once all that were asked say so.
+    /// The first answer that says anything; [`Progress::Unknown`] once all that were asked say so.
     pub async fn answer(&mut self) -> Progress {
         while let Some(progress) = self.answers.recv().await {
-            if progress != Progress::NotKnown {
+            if progress != Progress::Unknown {
                 return progress;
             }
         }
-        Progress::NotKnown
+        Progress::Unknown
     }
 }
 
--- a/data-plane/src/operations/asks/tests.rs
+++ b/data-plane/src/operations/asks/tests.rs
@@ -15,7 +15,7 @@
     let mut ask = asks.open(&[1, 2]);
     asks.told(3, ask.tag, Progress::Running);
     asks.told(1, ask.tag + 1, Progress::Running);
-    asks.told(1, ask.tag, Progress::NotKnown);
+    asks.told(1, ask.tag, Progress::Unknown);
     asks.told(1, ask.tag, Progress::Running);
     assert_eq!(poll(&mut ask), Poll::Pending);
     asks.told(2, ask.tag, Progress::Lost);
@@ -27,10 +27,10 @@
 fn nobody_knows() {
     let asks = Asks::new(7);
     let mut ask = asks.open(&[1, 2]);
-    asks.told(2, ask.tag, Progress::NotKnown);
+    asks.told(2, ask.tag, Progress::Unknown);
     assert_eq!(poll(&mut ask), Poll::Pending);
-    asks.told(1, ask.tag, Progress::NotKnown);
-    assert_eq!(poll(&mut ask), Poll::Ready(Progress::NotKnown));
+    asks.told(1, ask.tag, Progress::Unknown);
+    assert_eq!(poll(&mut ask), Poll::Ready(Progress::Unknown));
     drop((asks.open(&[3]), ask));
     assert!(asks.open.borrow().is_empty());
 }
--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -8,8 +8,8 @@
 use crate::wire::Trail;
 use lupinledge_messaging::Node;
 use lupinledge_operations::claims;
-use lupinledge_operations::memory::State;
 use lupinledge_operations::message::{Message, Progress};
+use lupinledge_operations::operation_table::State;
 use lupinledge_operations::record::{ClaimId, Fingerprint, Key};
 use lupinledge_proxy::exchange::{Answer, Attempt, Ticket};
 use serde_bytes::ByteBuf;
@@ -149,7 +149,7 @@
         match &operation.state {
             State::Running => Known::Running,
             State::Lost => Known::Ended(Ended::Lost),
-            State::Dropped => Known::Nothing,
+            State::AnswerDropped => Known::Nothing,
             State::Answered(answer) => {
                 up(&self.figures.repeated);
                 Known::Ended(Ended::Repeated(answer.clone()))
@@ -170,7 +170,7 @@
             let mut memory = self.memory.borrow_mut();
             if let Settled::Answered(answer) = &settled {
                 // the next repeat finds it here
-                memory.answer(request.key, claim.id, answer.clone());
+                memory.record_answer(request.key, claim.id, answer.clone());
             } else {
                 memory.withdraw(request.key, claim.id);
             }
@@ -203,9 +203,9 @@
             return None;
         }
         let id = self.with_claims(|claims, now, out| {
-            let until = now + (left * CLAIM_PART).min(CLAIM_MOST);
+            let deadline = now + (left * CLAIM_PART).min(CLAIM_MOST);
             let Request { key, fingerprint, keep, .. } = *request;
-            let claimed = claims::Request { key, fingerprint, keep: keep as f32, until };
+            let claimed = claims::ClaimRequest { key, fingerprint, keep_s: keep as f32, deadline };
             claims.begin(now, claimed, &voters, out)
         })?;
         let now = self.gossip.now();
@@ -305,7 +305,7 @@
     async fn look_up_one(&self, key: Key, holder: &Holder) -> Found {
         let gateway = Some(holder.by.gateway).filter(|node| self.may_answer(*node));
         let first = holder.answered_at.or(gateway);
-        let mut found = Found::Said(Progress::NotKnown);
+        let mut found = Found::Said(Progress::Unknown);
         if let Some(first) = first {
             found = self.ask(vec![first], key, holder.by).await;
             if found.tells() || found == Found::Said(Progress::Withdrawn) {
@@ -317,7 +317,7 @@
         others.retain(|node| Some(*node) != first);
         match self.ask(others, key, holder.by).await {
             // the gateway may still know what no voter does
-            Found::Said(Progress::NotKnown) if found == Found::Unheard => Found::Unheard,
+            Found::Said(Progress::Unknown) if found == Found::Unheard => Found::Unheard,
             others => others,
         }
     }
@@ -325,11 +325,11 @@
     async fn ask(&self, nodes: Vec<Node>, key: Key, claim: ClaimId) -> Found {
         let nodes: Vec<Node> = nodes.into_iter().filter(|node| *node != self.gossip.me()).collect();
         if nodes.is_empty() {
-            return Found::Said(Progress::NotKnown);
+            return Found::Said(Progress::Unknown);
         }
         let mut ask = self.asks.open(&nodes);
         for node in nodes {
-            self.send(node, Message::Ask { key, claim, tag: ask.tag });
+            self.send(node, Message::AskProgress { key, claim, tag: ask.tag });
         }
         timeout(ASK_WAIT, ask.answer()).await.map_or(Found::Unheard, Found::Said)
     }
@@ -364,14 +364,14 @@
     }
 
     fn lose(&self, key: Key, claim: ClaimId, why: &'static str) {
-        self.memory.borrow_mut().lose(key, claim);
+        self.memory.borrow_mut().mark_lost(key, claim);
         self.claims.borrow_mut().finish(claim);
         self.note_loss(key, why);
     }
 
     /// Remembers an answer, and has the nearest voter that may keep it do so too.
     fn keep(&self, request: &Request, claim: ClaimId, answer: Rc<[u8]>) {
-        self.memory.borrow_mut().answer(request.key, claim, answer.clone());
+        self.memory.borrow_mut().record_answer(request.key, claim, answer.clone());
         let granted = self.claims.borrow_mut().finish(claim);
         let room = || self.copies.borrow_mut().take(self.gossip.now(), answer.len());
         if answer.len() > STORED_MOST || !room() {
--- a/data-plane/tests/rules/hive.rs
+++ b/data-plane/tests/rules/hive.rs
@@ -7,7 +7,7 @@
 use lupinledge_membership::{Card, Source};
 use lupinledge_messaging::list::{List, Row};
 use lupinledge_messaging::{encode, epoch, parts, round, units, CountedName, Node, Word};
-use lupinledge_operations::voter::{self, Out, Voter};
+use lupinledge_operations::voter::{self, Action, Voter};
 use lupinledge_operations::{Key, Message};
 use serde_bytes::ByteBuf;
 use std::cell::{Cell, RefCell};
@@ -100,14 +100,14 @@
 
 impl Holder {
     /// Lets the voter act; what it writes is on disk at once.
-    fn vote(&self, act: impl FnOnce(&mut Voter, f64, &mut Vec<Out>)) {
+    fn vote(&self, act: impl FnOnce(&mut Voter, f64, &mut Vec<Action>)) {
         let (mut voter, now, mut out) = (self.voter.borrow_mut(), self.gossip.now(), Vec::new());
         act(&mut voter, now, &mut out);
         while !out.is_empty() {
             for order in std::mem::take(&mut out) {
                 match order {
-                    Out::Send(to, message) => self.gossip.post().send(to, &Word::Operation(message)),
-                    Out::Append { number, .. } => voter.saved(now, number, &mut out),
+                    Action::Send(to, message) => self.gossip.post().send(to, &Word::Operation(message)),
+                    Action::Append { number, .. } => voter.on_saved(now, number, &mut out),
                 }
             }
         }
@@ -128,7 +128,7 @@
     fn voters(&self, members: &[Node]) {
         let index = self.electorate.get() + 1;
         self.electorate.set(index);
-        self.vote(|voter, now, out| voter.members(now, index, members, &[], out));
+        self.vote(|voter, now, out| voter.set_members(now, index, members, &[], out));
     }
 }
 
@@ -181,7 +181,7 @@
                         return;
                     }
                 }
-                return self.vote(|voter, now, out| voter.heard(now, from, message, out));
+                return self.vote(|voter, now, out| voter.on_message(now, from, message, out));
             }
             _ => return,
         };
@@ -241,7 +241,7 @@
 
 /// A voter that votes from the start.
 fn founder(me: Node) -> voter::Settings {
-    voter::Settings { me, seed: 1, founds: true, records_most: KEYS, answer_bytes_most: ANSWER_BYTES }
+    voter::Settings { me, seed: 1, founder: true, max_records: KEYS, max_answer_bytes: ANSWER_BYTES }
 }
 
 async fn run(
@@ -267,7 +267,7 @@
         preferred: RefCell::default(),
         votes,
     });
-    holder.vote(|voter, now, out| voter.saved(now, 1, out));
+    holder.vote(|voter, now, out| voter.on_saved(now, 1, out));
     holder.voters(&[gossip.me()]);
     let host: Rc<dyn Host> = holder.clone();
     gossip.attend(Rc::downgrade(&host));
--- a/operations/src/claims.rs
+++ b/operations/src/claims.rs
@@ -28,18 +28,18 @@
 
 /// What is claimed.
 #[derive(Clone, Copy, Debug)]
-pub struct Request {
+pub struct ClaimRequest {
     pub key: Key,
     pub fingerprint: Fingerprint,
     /// Seconds for which the key is to stay taken.
-    pub keep: f32,
+    pub keep_s: f32,
     /// When the claim is given up.
-    pub until: f64,
+    pub deadline: f64,
 }
 
 /// Orders and news to the driver, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Action {
     Send(Node, Message),
     /// The operation may be run: it is nobody else's until it expires.
     Granted(ClaimId),
@@ -56,7 +56,7 @@
 }
 
 struct Pending {
-    request: Request,
+    request: ClaimRequest,
     began: f64,
     /// Voters by nearness, those that seem to be there first.
     voters: Vec<Node>,
@@ -120,9 +120,9 @@
     pub fn begin(
         &mut self,
         now: f64,
-        request: Request,
+        request: ClaimRequest,
         voters: &[Node],
-        out: &mut Vec<Out>,
+        out: &mut Vec<Action>,
     ) -> Option<ClaimId> {
         self.enter(now);
         let crowded = self.pending.len() >= CROWD && self.grant_time > SLOW_GRANT;
@@ -148,7 +148,7 @@
     }
 
     /// A vote.
-    pub fn heard(&mut self, now: f64, from: Node, message: Message, out: &mut Vec<Out>) {
+    pub fn on_message(&mut self, now: f64, from: Node, message: Message, out: &mut Vec<Action>) {
         self.enter(now);
         let Message::Vote { claim, electorate, known, verdict } = message else { return };
         known.into_iter().for_each(|known| self.remember(known));
@@ -164,7 +164,7 @@
                 if self.carried(&pending.granted) {
                     self.grant_time += SMOOTHING * (self.now - pending.began - self.grant_time);
                     self.running.insert(claim, pending.carried());
-                    return out.push(Out::Granted(claim));
+                    return out.push(Action::Granted(claim));
                 }
                 self.ask_again_under(claim, &mut pending, electorate, out);
             }
@@ -172,7 +172,7 @@
                 pending.refused.push(from);
                 pending.next_ask = pending.next_ask.max(self.now + HELD_PAUSE);
                 let answered_at = answered.then_some(from);
-                out.push(Out::Held { claim, by, fingerprint, answered_at });
+                out.push(Action::Held { claim, by, fingerprint, answered_at });
             }
             Verdict::Abstained => {
                 pending.refused.push(from);
@@ -183,15 +183,15 @@
     }
 
     /// To be called no later than [`Claims::next_wake`].
-    pub fn tick(&mut self, now: f64, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
         self.enter(now);
         let now = self.now;
-        let over = |pending: &Pending| pending.request.until <= now;
+        let over = |pending: &Pending| pending.request.deadline <= now;
         let due = |pending: &Pending| pending.next_ask <= now;
         let ended: Vec<ClaimId> = self.pending.iter().filter(|(_, p)| over(p)).map(|(id, _)| *id).collect();
         for claim in ended {
             self.release(now, claim, out);
-            out.push(Out::Unavailable(claim));
+            out.push(Action::Unavailable(claim));
         }
         let late: Vec<ClaimId> = self.pending.iter().filter(|(_, p)| due(p)).map(|(id, _)| *id).collect();
         for claim in late {
@@ -210,19 +210,19 @@
 
     /// When it wants to be called next.
     pub fn next_wake(&self) -> f64 {
-        let due = self.pending.values().map(|pending| pending.request.until.min(pending.next_ask));
+        let due = self.pending.values().map(|pending| pending.request.deadline.min(pending.next_ask));
         due.fold(f64::INFINITY, f64::min)
     }
 
     /// The claim has not run and never will: the key is free again.
-    pub fn release(&mut self, now: f64, claim: ClaimId, out: &mut Vec<Out>) {
+    pub fn release(&mut self, now: f64, claim: ClaimId, out: &mut Vec<Action>) {
         self.enter(now);
         let pending = self.pending.remove(&claim).map(Pending::carried);
         let Some(Running { key, asked, .. }) = pending.or_else(|| self.running.remove(&claim)) else {
             return;
         };
         for node in asked {
-            out.push(Out::Send(node, Message::Release { key, claim }));
+            out.push(Action::Send(node, Message::Release { key, claim }));
         }
     }
 
@@ -237,8 +237,8 @@
     }
 
     /// Asks so many more voters.
-    fn ask(&mut self, claim: ClaimId, pending: &mut Pending, more: usize, out: &mut Vec<Out>) {
-        let Request { key, fingerprint, keep, .. } = pending.request;
+    fn ask(&mut self, claim: ClaimId, pending: &mut Pending, more: usize, out: &mut Vec<Action>) {
+        let ClaimRequest { key, fingerprint, keep_s, .. } = pending.request;
         let electorate = self.electorates.last().map_or(ElectorateId::default(), |known| known.0);
         let fresh = |node: &&Node| !pending.asked.contains_key(node) && !pending.refused.contains(node);
         let chosen: Vec<Node> = pending.voters.iter().filter(fresh).take(more).copied().collect();
@@ -247,7 +247,7 @@
             pending.asked.insert(node, self.now);
             let usual = self.vote_times.get(&node).copied().unwrap_or(VOTE_TIME);
             patience = patience.max(PATIENCE * usual);
-            out.push(Out::Send(node, Message::Claim { key, claim, fingerprint, keep, electorate }));
+            out.push(Action::Send(node, Message::Claim { key, claim, fingerprint, keep_s, electorate }));
         }
         pending.next_ask = self.now + patience.min(PATIENCE_MOST) * f64::powi(2.0, pending.rounds);
     }
@@ -258,7 +258,7 @@
         claim: ClaimId,
         pending: &mut Pending,
         electorate: ElectorateId,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Action>,
     ) {
         let other: Vec<Node> =
             pending.granted.iter().filter(|(_, id)| **id != electorate).map(|(node, _)| *node).collect();
--- a/operations/src/lib.rs
+++ b/operations/src/lib.rs
@@ -5,13 +5,13 @@
 //! the voters granted is the only one that may run. A voter that lost its disk learns from the others before it
 //! votes, and votes count together only where they were given under the same [`Electorate`].
 //!
-//! [`voter::Voter`] is the voter's side and [`claims::Claims`] the gateway's; [`memory::Memory`] is what a gateway
+//! [`voter::Voter`] is the voter's side and [`claims::Claims`] the gateway's; [`operation_table::OperationTable`] is what a gateway
 //! knows of its own operations.
 
 pub mod claims;
 pub mod electorate;
-pub mod memory;
 pub mod message;
+pub mod operation_table;
 pub mod record;
 mod strikes;
 pub mod voter;
--- a/operations/src/message.rs
+++ b/operations/src/message.rs
@@ -15,7 +15,7 @@
         claim: ClaimId,
         fingerprint: Fingerprint,
         /// Seconds for which the key stays taken.
-        keep: f32,
+        keep_s: f32,
         /// The electorate that the gateway knows.
         electorate: ElectorateId,
     },
@@ -36,20 +36,20 @@
     Store { key: Key, claim: ClaimId, answer: ByteBuf },
     /// Gateway to a gateway or a voter: how far is the operation that this claim runs?
     #[serde(rename = "a")]
-    Ask { key: Key, claim: ClaimId, tag: u64 },
+    AskProgress { key: Key, claim: ClaimId, tag: u64 },
     /// The answer to that.
     #[serde(rename = "t")]
-    Told { tag: u64, progress: Progress },
+    ProgressReply { tag: u64, progress: Progress },
     /// Voter to voter: my disk is empty, or I was no member for a while; what do you hold?
     #[serde(rename = "l")]
-    Learn { incarnation: Incarnation, electorate: Electorate },
+    RequestRecords { incarnation: Incarnation, electorate: Electorate },
     /// One part of what is held, from number 0; complete when all `parts` of one telling are there.
     #[serde(rename = "h")]
-    Learnt {
+    Records {
         incarnation: Incarnation,
         electorate: Electorate,
         /// Another one for each time that the sender tells what it holds.
-        telling: u64,
+        transfer: u64,
         part: u16,
         parts: u16,
         /// With each record the seconds that are left to it.
@@ -57,10 +57,10 @@
     },
     /// Voter to voter: that incarnation of yours ended; take a later one.
     #[serde(rename = "n")]
-    Ended { number: u64 },
+    IncarnationEnded { number: u64 },
     /// Voter to voter: what I know of whose votes count.
     #[serde(rename = "e")]
-    Known(Electorate),
+    ElectorateUpdate(Electorate),
 }
 
 /// What a voter says to a claim.
@@ -87,7 +87,7 @@
 pub enum Progress {
     /// Nothing is known of it here.
     #[serde(rename = "n")]
-    NotKnown,
+    Unknown,
     /// Its gateway withdrew the claim: it has not run under it.
     #[serde(rename = "w")]
     Withdrawn,
--- a/operations/src/memory.rs
+++ b/operations/src/operation_table.rs
@@ -16,7 +16,7 @@
     /// It may have run, and its answer will not be known.
     Lost,
     /// It has an answer, for which there was no room any more.
-    Dropped,
+    AnswerDropped,
 }
 
 /// One operation.
@@ -30,31 +30,38 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct OperationTable {
     operations: HashMap<Key, Operation>,
     /// Milliseconds at which operations expire.
     expiries: BTreeSet<(u64, Key)>,
     /// Those with an answer, the oldest first.
     answered: VecDeque<(Key, ClaimId)>,
     bytes: usize,
-    bytes_most: usize,
-    operations_most: usize,
+    max_bytes: usize,
+    max_operations: usize,
 }
 
-impl Memory {
+impl OperationTable {
     /// Bounds: operations, and bytes of their answers.
-    pub fn new(operations_most: usize, bytes_most: usize) -> Memory {
-        Memory { operations_most, bytes_most, ..Memory::default() }
+    pub fn new(max_operations: usize, max_bytes: usize) -> OperationTable {
+        OperationTable { max_operations, max_bytes, ..OperationTable::default() }
     }
 
-    /// A key is claimed here; `keep`: seconds from now for which it is known. False: there is no room.
-    pub fn begin(&mut self, now: f64, key: Key, claim: ClaimId, fingerprint: Fingerprint, keep: f64) -> bool {
+    /// A key is claimed here; `keep_s`: seconds from now for which it is known. False: there is no room.
+    pub fn begin(
+        &mut self,
+        now: f64,
+        key: Key,
+        claim: ClaimId,
+        fingerprint: Fingerprint,
+        keep_s: f64,
+    ) -> bool {
         self.expire(now);
-        if self.operations.len() >= self.operations_most {
+        if self.operations.len() >= self.max_operations {
             return false;
         }
         self.forget(key);
-        let expires = ((now + keep) * 1e3) as u64;
+        let expires = ((now + keep_s) * 1e3) as u64;
         self.expiries.insert((expires, key));
         self.operations.insert(key, Operation { claim, fingerprint, state: State::Running, expires });
         true
@@ -67,14 +74,14 @@
     }
 
     /// The operation ended with this answer.
-    pub fn answer(&mut self, key: Key, claim: ClaimId, answer: Rc<[u8]>) {
+    pub fn record_answer(&mut self, key: Key, claim: ClaimId, answer: Rc<[u8]>) {
         let Some(operation) = self.operations.get_mut(&key).filter(|o| o.claim == claim) else { return };
         if operation.state == State::Running {
             self.bytes += answer.len();
             operation.state = State::Answered(answer);
             self.answered.push_back((key, claim));
         }
-        while self.bytes > self.bytes_most {
+        while self.bytes > self.max_bytes {
             let Some((key, claim)) = self.answered.pop_front() else { break };
             self.drop_answer(key, claim);
         }
@@ -82,13 +89,13 @@
 
     fn drop_answer(&mut self, key: Key, claim: ClaimId) {
         let Some(operation) = self.operations.get_mut(&key).filter(|o| o.claim == claim) else { return };
-        if let State::Answered(answer) = std::mem::replace(&mut operation.state, State::Dropped) {
+        if let State::Answered(answer) = std::mem::replace(&mut operation.state, State::AnswerDropped) {
             self.bytes -= answer.len();
         }
     }
 
     /// The operation may have run, and nothing more will be known of it.
-    pub fn lose(&mut self, key: Key, claim: ClaimId) {
+    pub fn mark_lost(&mut self, key: Key, claim: ClaimId) {
         if let Some(operation) = self.operations.get_mut(&key).filter(|o| o.claim == claim) {
             operation.state = State::Lost;
         }
@@ -105,7 +112,7 @@
     pub fn progress(&mut self, now: f64, key: Key, claim: ClaimId) -> Progress {
         match self.find(now, key).filter(|operation| operation.claim == claim).map(|o| &o.state) {
             None => Progress::Withdrawn,
-            Some(State::Dropped) => Progress::NotKnown,
+            Some(State::AnswerDropped) => Progress::Unknown,
             Some(State::Running) => Progress::Running,
             Some(State::Answered(answer)) => Progress::Answered(ByteBuf::from(answer.to_vec())),
             Some(State::Lost) => Progress::Lost,
--- a/operations/src/record.rs
+++ b/operations/src/record.rs
@@ -31,7 +31,7 @@
     pub claim: ClaimId,
     pub fingerprint: Fingerprint,
     /// Seconds for which the key stays taken.
-    pub keep: f32,
+    pub keep_s: f32,
     /// Claims of two gateways were found for the key: it is granted to nobody until it expires.
     pub contested: bool,
 }
@@ -62,7 +62,7 @@
 
 impl Key {
     /// The operation of this key of a tenant.
-    pub fn of(tenant: &str, key: &[u8]) -> Key {
+    pub fn derive(tenant: &str, key: &[u8]) -> Key {
         let hash = Sha256::new()
             .chain_update((tenant.len() as u64).to_le_bytes())
             .chain_update(tenant.as_bytes())
@@ -74,7 +74,7 @@
 
 impl Fingerprint {
     /// Of a request's method, path with query, and body.
-    pub fn of(method: &str, path: &str, body: &[u8]) -> Fingerprint {
+    pub fn of_request(method: &str, path: &str, body: &[u8]) -> Fingerprint {
         let hash = Sha256::new()
             .chain_update((method.len() as u64).to_le_bytes())
             .chain_update(method.as_bytes())
--- a/operations/src/strikes.rs
+++ b/operations/src/strikes.rs
@@ -21,15 +21,15 @@
         Strikes { uneven: even.then_some(now), rests_until: f64::NEG_INFINITY }
     }
 
-    /// The members changed; `keep`: the longest that claims are kept, seconds.
-    pub(crate) fn changed(&mut self, now: f64, keep: f64, before: &Electorate, after: &Electorate) {
+    /// The members changed; `keep_s`: the longest that claims are kept, seconds.
+    pub(crate) fn changed(&mut self, now: f64, keep_s: f64, before: &Electorate, after: &Electorate) {
         if before.members == after.members || before.members.is_empty() {
             return;
         }
         let struck = before.members.iter().filter(|node| !after.members.contains(node)).count();
-        let recent = self.uneven.is_some_and(|at| now - at < keep);
+        let recent = self.uneven.is_some_and(|at| now - at < keep_s);
         if struck > 1 || recent {
-            self.rests_until = now + keep;
+            self.rests_until = now + keep_s;
         }
         if struck > 0 && after.members.len() < before.members.len() && after.members.len().is_multiple_of(2) {
             self.uneven = Some(now);
--- a/operations/src/voter.rs
+++ b/operations/src/voter.rs
@@ -26,11 +26,11 @@
     /// Must differ from start to start.
     pub seed: u64,
     /// Whether a voter with an empty journal votes without learning: it founds the system, or its journal is the first.
-    pub founds: bool,
+    pub founder: bool,
     /// The most keys that are held at once.
-    pub records_most: usize,
+    pub max_records: usize,
     /// The most bytes of answers that are held at once.
-    pub answer_bytes_most: usize,
+    pub max_answer_bytes: usize,
 }
 
 /// What is sent once the journal is on disk up to some number.
@@ -48,14 +48,14 @@
 
 /// What the driver has to do, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Action {
     Send(Node, Message),
-    /// Append this to the journal and sync it; then call [`Voter::saved`] with the number.
+    /// Append this to the journal and sync it; then call [`Voter::on_saved`] with the number.
     Append {
         number: u64,
         entry: Entry,
         /// Seconds for which the entry is needed; none: until a later one of its kind is on disk.
-        keep: Option<f64>,
+        keep_s: Option<f64>,
         /// False: nobody waits for it, it may go with the next one that is urgent.
         urgent: bool,
     },
@@ -73,7 +73,7 @@
 #[derive(Default)]
 struct Lesson {
     electorate: Electorate,
-    telling: u64,
+    transfer: u64,
     parts: BTreeMap<u16, Vec<Record>>,
     whole: bool,
 }
@@ -119,7 +119,7 @@
 
 impl Voter {
     /// `entries`: what the journal held, in order.
-    pub fn new(now: f64, settings: Settings, entries: Vec<Entry>, out: &mut Vec<Out>) -> Voter {
+    pub fn new(now: f64, settings: Settings, entries: Vec<Entry>, out: &mut Vec<Action>) -> Voter {
         let empty = entries.is_empty();
         let mut voter = Voter {
             settings,
@@ -141,7 +141,7 @@
         };
         let ready = voter.replay(entries);
         voter.strikes = Strikes::at_start(now, &voter.electorate);
-        if empty && settings.founds {
+        if empty && settings.founder {
             voter.append(Entry::Ready { incarnation: 0, nonce: 0 }, None, true, out);
         } else if !ready {
             voter.begin_learning(1);
@@ -191,13 +191,13 @@
     }
 
     /// Whether it takes part in votes.
-    pub fn votes(&self) -> bool {
+    pub fn can_vote(&self) -> bool {
         let member = self.electorate.has(self.settings.me);
         matches!(self.role, Role::Ready) && member && !self.strikes.rest(self.now)
     }
 
     /// Whether it learns what the other voters hold, or records that.
-    pub fn learns(&self) -> bool {
+    pub fn is_learning(&self) -> bool {
         !matches!(self.role, Role::Ready)
     }
 
@@ -222,7 +222,14 @@
     }
 
     /// The newest agreed members, and those before while they change.
-    pub fn members(&mut self, now: f64, index: u64, members: &[Node], outgoing: &[Node], out: &mut Vec<Out>) {
+    pub fn set_members(
+        &mut self,
+        now: f64,
+        index: u64,
+        members: &[Node],
+        outgoing: &[Node],
+        out: &mut Vec<Action>,
+    ) {
         self.enter(now);
         let before = self.electorate.clone();
         if self.electorate.follow(index, members, outgoing) {
@@ -231,7 +238,7 @@
     }
 
     /// The journal is on disk up to this number.
-    pub fn saved(&mut self, now: f64, number: u64, out: &mut Vec<Out>) {
+    pub fn on_saved(&mut self, now: f64, number: u64, out: &mut Vec<Action>) {
         self.enter(now);
         self.saved = self.saved.max(number);
         if matches!(self.role, Role::Recording(ready) if ready <= self.saved) {
@@ -239,19 +246,19 @@
         }
         let later = self.waiting.split_off(&(self.saved + 1));
         for (to, later) in std::mem::replace(&mut self.waiting, later).into_values().flatten() {
-            out.push(Out::Send(to, self.now_said(later)));
+            out.push(Action::Send(to, self.now_said(later)));
         }
     }
 
     /// To be called no later than [`Voter::next_wake`].
-    pub fn tick(&mut self, now: f64, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
         self.enter(now);
         self.expire();
         self.ask(out);
         if self.now >= self.next_known {
             self.next_known = self.now + KNOWN_PAUSE;
             for node in self.electorate.others(self.settings.me) {
-                out.push(Out::Send(node, Message::Known(self.electorate.clone())));
+                out.push(Action::Send(node, Message::ElectorateUpdate(self.electorate.clone())));
             }
         }
     }
@@ -265,48 +272,50 @@
     }
 
     /// A message of a gateway or of another voter.
-    pub fn heard(&mut self, now: f64, from: Node, message: Message, out: &mut Vec<Out>) {
+    pub fn on_message(&mut self, now: f64, from: Node, message: Message, out: &mut Vec<Action>) {
         self.enter(now);
         match message {
-            Message::Claim { key, claim, fingerprint, keep, electorate } if claim.gateway == from => {
-                let record = Record { key, claim, fingerprint, keep, contested: false };
+            Message::Claim { key, claim, fingerprint, keep_s, electorate } if claim.gateway == from => {
+                let record = Record { key, claim, fingerprint, keep_s, contested: false };
                 match self.claim(record, out) {
                     Verdict::Granted => {
                         let number = self.held.get(&key).map_or(0, |held| held.number);
                         self.send_after(number, from, Later::Granted(claim, electorate), out);
                     }
-                    verdict => out.push(Out::Send(from, self.vote(claim, electorate, verdict))),
+                    verdict => out.push(Action::Send(from, self.vote(claim, electorate, verdict))),
                 }
             }
             Message::Release { key, claim } if claim.gateway == from => self.release(key, claim, out),
             Message::Store { key, claim, answer } if claim.gateway == from => {
                 self.store(key, claim, answer.into_vec(), out)
             }
-            Message::Ask { key, claim, tag } => {
+            Message::AskProgress { key, claim, tag } => {
                 let held = self.held.get(&key).filter(|held| held.record.claim == claim);
                 let answer = held.and_then(|held| held.answer.as_ref());
-                let progress = answer.map_or(Progress::NotKnown, |answer| {
+                let progress = answer.map_or(Progress::Unknown, |answer| {
                     Progress::Answered(serde_bytes::ByteBuf::from(answer.to_vec()))
                 });
-                out.push(Out::Send(from, Message::Told { tag, progress }));
+                out.push(Action::Send(from, Message::ProgressReply { tag, progress }));
+            }
+            Message::RequestRecords { incarnation, electorate } => {
+                self.teach(from, incarnation, &electorate, out)
             }
-            Message::Learn { incarnation, electorate } => self.teach(from, incarnation, &electorate, out),
-            Message::Learnt { incarnation, electorate, telling, part, parts, records } => {
-                self.learn(from, incarnation, (electorate, telling), (part, parts), records, out)
+            Message::Records { incarnation, electorate, transfer, part, parts, records } => {
+                self.learn(from, incarnation, (electorate, transfer), (part, parts), records, out)
             }
-            Message::Ended { number } => {
+            Message::IncarnationEnded { number } => {
                 if matches!(&self.role, Role::Learning(learner) if learner.incarnation.number <= number) {
                     self.begin_learning(number + 1);
                 }
             }
-            Message::Known(electorate) => self.merge(&electorate, out),
+            Message::ElectorateUpdate(electorate) => self.merge(&electorate, out),
             Message::Claim { .. } | Message::Release { .. } | Message::Store { .. } => {}
-            Message::Vote { .. } | Message::Told { .. } => {}
+            Message::Vote { .. } | Message::ProgressReply { .. } => {}
         }
     }
 
-    fn claim(&mut self, record: Record, out: &mut Vec<Out>) -> Verdict {
-        if !self.votes() {
+    fn claim(&mut self, record: Record, out: &mut Vec<Action>) -> Verdict {
+        if !self.can_vote() {
             return Verdict::Abstained;
         }
         self.expire();
@@ -317,11 +326,11 @@
             let Record { claim: by, fingerprint, .. } = held.record;
             return Verdict::Held { by, fingerprint, answered: held.answer.is_some() };
         }
-        let sound = record.keep.is_finite() && record.keep > 0.0 && f64::from(record.keep) <= KEEP_MOST;
-        if !sound || !self.room || self.held.len() >= self.settings.records_most {
+        let sound = record.keep_s.is_finite() && record.keep_s > 0.0 && f64::from(record.keep_s) <= KEEP_MOST;
+        if !sound || !self.room || self.held.len() >= self.settings.max_records {
             return Verdict::Abstained;
         }
-        let number = self.append(Entry::Granted(record), Some(f64::from(record.keep)), true, out);
+        let number = self.append(Entry::Granted(record), Some(f64::from(record.keep_s)), true, out);
         self.hold(record);
         if let Some(held) = self.held.get_mut(&record.key) {
             held.number = number;
@@ -329,22 +338,22 @@
         Verdict::Granted
     }
 
-    fn release(&mut self, key: Key, claim: ClaimId, out: &mut Vec<Out>) {
+    fn release(&mut self, key: Key, claim: ClaimId, out: &mut Vec<Action>) {
         let held = self.held.get(&key).map(|held| held.record);
         let Some(record) = held.filter(|record| record.claim == claim && !record.contested) else { return };
         self.drop_record(key);
-        self.append(Entry::Released { key, claim }, Some(f64::from(record.keep)), false, out);
+        self.append(Entry::Released { key, claim }, Some(f64::from(record.keep_s)), false, out);
     }
 
-    fn store(&mut self, key: Key, claim: ClaimId, answer: Vec<u8>, out: &mut Vec<Out>) {
+    fn store(&mut self, key: Key, claim: ClaimId, answer: Vec<u8>, out: &mut Vec<Action>) {
         let held = self.held.get(&key);
         let Some(held) = held.filter(|h| h.record.claim == claim && h.answer.is_none()) else { return };
-        if !self.room || self.answer_bytes + answer.len() > self.settings.answer_bytes_most {
+        if !self.room || self.answer_bytes + answer.len() > self.settings.max_answer_bytes {
             return;
         }
-        let keep = held.expires - self.now;
+        let keep_s = held.expires - self.now;
         self.keep_answer(key, claim, answer.as_slice().into());
-        self.append(Entry::Answer { key, claim, answer }, Some(keep), false, out);
+        self.append(Entry::Answer { key, claim, answer }, Some(keep_s), false, out);
     }
 
     fn keep_answer(&mut self, key: Key, claim: ClaimId, answer: Rc<[u8]>) {
@@ -357,10 +366,10 @@
 
     /// Another voter's disk was empty: its incarnation is kept first, so that its earlier votes count no more with those
     /// given here from now on.
-    fn teach(&mut self, from: Node, incarnation: Incarnation, told: &Electorate, out: &mut Vec<Out>) {
+    fn teach(&mut self, from: Node, incarnation: Incarnation, told: &Electorate, out: &mut Vec<Action>) {
         let known = self.electorate.incarnation(from);
         if incarnation < known {
-            return out.push(Out::Send(from, Message::Ended { number: known.number }));
+            return out.push(Action::Send(from, Message::IncarnationEnded { number: known.number }));
         }
         let before = self.electorate.clone();
         let mut changed = self.electorate.merge(told);
@@ -373,7 +382,7 @@
         }
         self.expire();
         let now = self.now;
-        let left = |held: &Held| Record { keep: (held.expires - now) as f32, ..held.record };
+        let left = |held: &Held| Record { keep_s: (held.expires - now) as f32, ..held.record };
         let mut records: Vec<Record> = self.held.values().map(left).collect();
         records.sort_unstable_by_key(|record| record.key);
         let parts = records.len().div_ceil(RECORDS_IN_PART).max(1) as u16;
@@ -381,12 +390,12 @@
         self.waiting
             .values_mut()
             .for_each(|waiting| waiting.retain(|(to, later)| *to != from || later.is_vote()));
-        let telling = self.dice();
+        let transfer = self.dice();
         for part in 0..parts {
             let rest = records.split_off(records.len().min(RECORDS_IN_PART));
             let records = std::mem::replace(&mut records, rest);
             let electorate = self.electorate.clone();
-            let lesson = Message::Learnt { incarnation, electorate, telling, part, parts, records };
+            let lesson = Message::Records { incarnation, electorate, transfer, part, parts, records };
             self.send_after(self.appended, from, Later::Message(lesson), out);
         }
     }
@@ -395,18 +404,18 @@
         &mut self,
         from: Node,
         incarnation: Incarnation,
-        (electorate, telling): (Electorate, u64),
+        (electorate, transfer): (Electorate, u64),
         (part, parts): (u16, u16),
         records: Vec<Record>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Action>,
     ) {
         let Role::Learning(learner) = &mut self.role else { return };
         if learner.incarnation != incarnation || part >= parts {
             return;
         }
         let lesson = learner.lessons.entry(from).or_default();
-        if lesson.electorate != electorate || lesson.telling != telling {
-            *lesson = Lesson { electorate: electorate.clone(), telling, ..Lesson::default() };
+        if lesson.electorate != electorate || lesson.transfer != transfer {
+            *lesson = Lesson { electorate: electorate.clone(), transfer, ..Lesson::default() };
         }
         lesson.parts.insert(part, records);
         lesson.whole = lesson.parts.len() == usize::from(parts);
@@ -415,7 +424,7 @@
     }
 
     /// Ends learning if enough voters that go by one electorate have told all that they hold.
-    fn learnt(&mut self, out: &mut Vec<Out>) {
+    fn learnt(&mut self, out: &mut Vec<Action>) {
         let me = self.settings.me;
         let Role::Learning(learner) = &mut self.role else { return };
         let id = self.electorate.id();
@@ -436,7 +445,7 @@
     }
 
     /// A record of another voter. Where two of them differ, either may be the one that a majority granted.
-    fn take_over(&mut self, record: Record, out: &mut Vec<Out>) {
+    fn take_over(&mut self, record: Record, out: &mut Vec<Action>) {
         let contested = match self.held.get(&record.key) {
             None => record,
             Some(held) if held.record.claim == record.claim && held.record.contested == record.contested => {
@@ -445,11 +454,11 @@
             Some(_) => Record { contested: true, ..record },
         };
         self.drop_record(record.key);
-        self.append(Entry::Granted(contested), Some(f64::from(record.keep)), false, out);
+        self.append(Entry::Granted(contested), Some(f64::from(record.keep_s)), false, out);
         self.hold(contested);
     }
 
-    fn merge(&mut self, told: &Electorate, out: &mut Vec<Out>) {
+    fn merge(&mut self, told: &Electorate, out: &mut Vec<Action>) {
         let before = self.electorate.clone();
         if self.electorate.merge(told) {
             self.electorate_changed(&before, out);
@@ -457,7 +466,7 @@
     }
 
     /// Keeps the electorate; who finds that its own incarnation has ended learns anew.
-    fn electorate_changed(&mut self, before: &Electorate, out: &mut Vec<Out>) {
+    fn electorate_changed(&mut self, before: &Electorate, out: &mut Vec<Action>) {
         self.strikes.changed(self.now, self.longest_keep, before, &self.electorate);
         self.append(Entry::Electorate(self.electorate.clone()), None, true, out);
         let ended = self.electorate.incarnation(self.settings.me);
@@ -481,7 +490,7 @@
     }
 
     /// Asks those that have not told all under the electorate in force.
-    fn ask(&mut self, out: &mut Vec<Out>) {
+    fn ask(&mut self, out: &mut Vec<Action>) {
         let Role::Learning(learner) = &mut self.role else { return };
         if self.now < learner.next_ask {
             return;
@@ -492,21 +501,21 @@
             let lesson = learner.lessons.get(&node);
             if !lesson.is_some_and(|lesson| lesson.whole && lesson.electorate.id() == id) {
                 let electorate = self.electorate.clone();
-                out.push(Out::Send(node, Message::Learn { incarnation, electorate }));
+                out.push(Action::Send(node, Message::RequestRecords { incarnation, electorate }));
             }
         }
     }
 
-    fn append(&mut self, entry: Entry, keep: Option<f64>, urgent: bool, out: &mut Vec<Out>) -> u64 {
+    fn append(&mut self, entry: Entry, keep_s: Option<f64>, urgent: bool, out: &mut Vec<Action>) -> u64 {
         self.appended += 1;
-        out.push(Out::Append { number: self.appended, entry, keep, urgent });
+        out.push(Action::Append { number: self.appended, entry, keep_s, urgent });
         self.appended
     }
 
     /// Sends once that number of the journal is on disk.
-    fn send_after(&mut self, number: u64, to: Node, later: Later, out: &mut Vec<Out>) {
+    fn send_after(&mut self, number: u64, to: Node, later: Later, out: &mut Vec<Action>) {
         if number <= self.saved {
-            out.push(Out::Send(to, self.now_said(later)));
+            out.push(Action::Send(to, self.now_said(later)));
         } else {
             let waiting = self.waiting.entry(number).or_default();
             // a claim that is repeated while it waits gets one vote
@@ -519,7 +528,7 @@
     fn now_said(&self, later: Later) -> Message {
         match later {
             Later::Granted(claim, told) => {
-                let verdict = if self.votes() { Verdict::Granted } else { Verdict::Abstained };
+                let verdict = if self.can_vote() { Verdict::Granted } else { Verdict::Abstained };
                 self.vote(claim, told, verdict)
             }
             Later::Message(message) => message,
@@ -534,8 +543,8 @@
     }
 
     fn hold(&mut self, record: Record) {
-        self.longest_keep = self.longest_keep.max(f64::from(record.keep).min(KEEP_MOST));
-        let expires = self.now + f64::from(record.keep).clamp(0.0, KEEP_MOST);
+        self.longest_keep = self.longest_keep.max(f64::from(record.keep_s).min(KEEP_MOST));
+        let expires = self.now + f64::from(record.keep_s).clamp(0.0, KEEP_MOST);
         self.expiries.insert((milliseconds(expires), record.key));
         self.held.insert(record.key, Held { record, expires, number: 0, answer: None });
     }
--- a/operations/tests/bounds.rs
+++ b/operations/tests/bounds.rs
@@ -1,6 +1,6 @@
 //! What a voter holds back or refuses while its journal is behind or full, and how the founders begin.
 
-use lupinledge_operations::voter::{Out, Settings, Voter};
+use lupinledge_operations::voter::{Action, Settings, Voter};
 use lupinledge_operations::{ClaimId, Electorate, ElectorateId, Entry, Fingerprint, Incarnation, Key};
 use lupinledge_operations::{Message, Node, Verdict};
 
@@ -8,7 +8,7 @@
 const GATEWAY: Node = 9;
 
 fn settings() -> Settings {
-    Settings { me: ME, seed: 7, founds: true, records_most: 100, answer_bytes_most: 1000 }
+    Settings { me: ME, seed: 7, founder: true, max_records: 100, max_answer_bytes: 1000 }
 }
 
 fn claim_id(sequence: u64) -> ClaimId {
@@ -17,35 +17,35 @@
 
 fn claim(key: u64, sequence: u64) -> Message {
     let (key, claim, fingerprint) = (Key(key, 0), claim_id(sequence), Fingerprint(5));
-    Message::Claim { key, claim, fingerprint, keep: 60.0, electorate: ElectorateId::default() }
+    Message::Claim { key, claim, fingerprint, keep_s: 60.0, electorate: ElectorateId::default() }
 }
 
 /// A voter of three that founded the system, with all that it has journaled so far on disk.
 fn founder() -> Voter {
     let mut out = Vec::new();
     let mut voter = Voter::new(0.0, settings(), Vec::new(), &mut out);
-    voter.members(0.0, 1, &[1, 2, 3], &[], &mut out);
+    voter.set_members(0.0, 1, &[1, 2, 3], &[], &mut out);
     let appended = voter.appended();
-    voter.saved(0.0, appended, &mut out);
+    voter.on_saved(0.0, appended, &mut out);
     voter
 }
 
-fn heard(voter: &mut Voter, from: Node, message: Message) -> Vec<Out> {
+fn heard(voter: &mut Voter, from: Node, message: Message) -> Vec<Action> {
     let mut out = Vec::new();
-    voter.heard(1.0, from, message, &mut out);
+    voter.on_message(1.0, from, message, &mut out);
     out
 }
 
-fn saved(voter: &mut Voter) -> Vec<Out> {
+fn saved(voter: &mut Voter) -> Vec<Action> {
     let mut out = Vec::new();
     let appended = voter.appended();
-    voter.saved(1.0, appended, &mut out);
+    voter.on_saved(1.0, appended, &mut out);
     out
 }
 
-fn verdicts(out: &[Out]) -> Vec<Verdict> {
-    let verdict = |out: &Out| match out {
-        Out::Send(_, Message::Vote { verdict, .. }) => Some(*verdict),
+fn verdicts(out: &[Action]) -> Vec<Verdict> {
+    let verdict = |out: &Action| match out {
+        Action::Send(_, Message::Vote { verdict, .. }) => Some(*verdict),
         _ => None,
     };
     out.iter().filter_map(verdict).collect()
@@ -74,10 +74,10 @@
     let mut voter = founder();
     heard(&mut voter, GATEWAY, claim(1, 1));
     let incarnation = Incarnation { number: 1, nonce: 1 };
-    let learn = Message::Learn { incarnation, electorate: Electorate::default() };
+    let learn = Message::RequestRecords { incarnation, electorate: Electorate::default() };
     (0..50).for_each(|_| drop(heard(&mut voter, 2, learn.clone())));
     let out = saved(&mut voter);
-    let told = out.iter().filter(|out| matches!(out, Out::Send(2, Message::Learnt { .. }))).count();
+    let told = out.iter().filter(|out| matches!(out, Action::Send(2, Message::Records { .. }))).count();
     assert_eq!((told, verdicts(&out)), (1, vec![Verdict::Granted]));
 }
 
@@ -89,7 +89,7 @@
     voter.set_room(false);
     let out = heard(&mut voter, GATEWAY, claim(2, 2));
     assert_eq!(verdicts(&out), [Verdict::Abstained]);
-    assert!(!out.iter().any(|out| matches!(out, Out::Append { .. })));
+    assert!(!out.iter().any(|out| matches!(out, Action::Append { .. })));
     assert_eq!(verdicts(&heard(&mut voter, GATEWAY, claim(1, 1))), [Verdict::Granted]);
     let held = verdicts(&heard(&mut voter, GATEWAY, claim(1, 3)));
     assert!(matches!(held[..], [Verdict::Held { by, .. }] if by == claim_id(1)), "{held:?}");
@@ -98,7 +98,7 @@
     assert_eq!(heard(&mut voter, GATEWAY, store.clone()), []);
     voter.set_room(true);
     let kept = heard(&mut voter, GATEWAY, store);
-    assert!(matches!(kept[..], [Out::Append { entry: Entry::Answer { .. }, .. }]), "{kept:?}");
+    assert!(matches!(kept[..], [Action::Append { entry: Entry::Answer { .. }, .. }]), "{kept:?}");
     assert_eq!(verdicts(&heard(&mut voter, GATEWAY, claim(2, 2))), []);
     assert_eq!(verdicts(&saved(&mut voter)), [Verdict::Granted]);
 }
--- a/operations/tests/electorate_changes.rs
+++ b/operations/tests/electorate_changes.rs
@@ -1,9 +1,10 @@
 //! A gateway's claims while the voters come to another electorate one after the other.
 
-use lupinledge_operations::claims::{Claims, Out, Request};
+use lupinledge_operations::claims::{Action, ClaimRequest, Claims};
 use lupinledge_operations::{ClaimId, Electorate, Fingerprint, Incarnation, Key, Message, Verdict};
 
-const REQUEST: Request = Request { key: Key(1, 2), fingerprint: Fingerprint(3), keep: 60.0, until: 1.5 };
+const REQUEST: ClaimRequest =
+    ClaimRequest { key: Key(1, 2), fingerprint: Fingerprint(3), keep_s: 60.0, deadline: 1.5 };
 
 fn electorate(index: u64, members: &[u32], incarnations: &[(u32, u64)]) -> Electorate {
     let incarnation = |number: u64| Incarnation { number, nonce: 1 };
@@ -20,9 +21,9 @@
 }
 
 /// Whom a claim went to.
-fn asked(out: &[Out]) -> Vec<u32> {
-    let claimed = |order: &Out| match order {
-        Out::Send(node, Message::Claim { .. }) => Some(*node),
+fn asked(out: &[Action]) -> Vec<u32> {
+    let claimed = |order: &Action| match order {
+        Action::Send(node, Message::Claim { .. }) => Some(*node),
         _ => None,
     };
     out.iter().filter_map(claimed).collect()
@@ -37,7 +38,7 @@
 }
 
 /// What the claims say when they want to be called next.
-fn tick(claims: &mut Claims) -> (f64, Vec<Out>) {
+fn tick(claims: &mut Claims) -> (f64, Vec<Action>) {
     let (now, mut out) = (claims.next_wake(), Vec::new());
     claims.tick(now, &mut out);
     (now, out)
@@ -49,15 +50,15 @@
     let (before, after) = (electorate(1, &[1, 2, 3], &[]), electorate(1, &[1, 2, 3], &[(3, 1)]));
     let (mut claims, claim) = begun(&[1, 2, 3]);
     let mut out = Vec::new();
-    claims.heard(0.01, 1, vote(claim, &after, Verdict::Granted), &mut out);
-    claims.heard(0.01, 2, vote(claim, &before, Verdict::Granted), &mut out);
-    claims.heard(0.01, 3, vote(claim, &before, Verdict::Abstained), &mut out);
-    assert!(!out.contains(&Out::Granted(claim)), "no majority under one electorate");
+    claims.on_message(0.01, 1, vote(claim, &after, Verdict::Granted), &mut out);
+    claims.on_message(0.01, 2, vote(claim, &before, Verdict::Granted), &mut out);
+    claims.on_message(0.01, 3, vote(claim, &before, Verdict::Abstained), &mut out);
+    assert!(!out.contains(&Action::Granted(claim)), "no majority under one electorate");
     let (now, out) = tick(&mut claims);
-    assert!(now < REQUEST.until && asked(&out).contains(&2), "{out:?}");
+    assert!(now < REQUEST.deadline && asked(&out).contains(&2), "{out:?}");
     let mut out = Vec::new();
-    claims.heard(now, 2, vote(claim, &after, Verdict::Granted), &mut out);
-    assert!(out.contains(&Out::Granted(claim)));
+    claims.on_message(now, 2, vote(claim, &after, Verdict::Granted), &mut out);
+    assert!(out.contains(&Action::Granted(claim)));
 }
 
 /// Where all that are there granted it under an electorate of which too few are there, they are asked again: they may
@@ -67,11 +68,11 @@
     let (before, after) = (electorate(1, &[1, 8, 9], &[]), electorate(2, &[1], &[(8, 1), (9, 1)]));
     let (mut claims, claim) = begun(&[1]);
     let mut out = Vec::new();
-    claims.heard(0.01, 1, vote(claim, &before, Verdict::Granted), &mut out);
-    assert!(!out.contains(&Out::Granted(claim)));
+    claims.on_message(0.01, 1, vote(claim, &before, Verdict::Granted), &mut out);
+    assert!(!out.contains(&Action::Granted(claim)));
     let (now, out) = tick(&mut claims);
-    assert!(now < REQUEST.until && asked(&out) == [1], "{out:?}");
+    assert!(now < REQUEST.deadline && asked(&out) == [1], "{out:?}");
     let mut out = Vec::new();
-    claims.heard(now, 1, vote(claim, &after, Verdict::Granted), &mut out);
-    assert!(out.contains(&Out::Granted(claim)));
+    claims.on_message(now, 1, vote(claim, &after, Verdict::Granted), &mut out);
+    assert!(out.contains(&Action::Granted(claim)));
 }
--- a/operations/tests/lessons.rs
+++ b/operations/tests/lessons.rs
@@ -1,6 +1,6 @@
 //! A learner takes what one voter tells it as a whole, or not at all.
 
-use lupinledge_operations::voter::{Out, Settings, Voter};
+use lupinledge_operations::voter::{Action, Settings, Voter};
 use lupinledge_operations::{ClaimId, ElectorateId, Fingerprint, Key, Message, Node};
 
 const LEARNER: Node = 1;
@@ -11,19 +11,19 @@
 /// The first of these keys expire between two tellings.
 const SHORT_LIVED: u64 = 10;
 
-fn voter(me: Node, founds: bool) -> Voter {
-    let settings = Settings { me, seed: 7, founds, records_most: 10_000, answer_bytes_most: 1000 };
+fn voter(me: Node, founder: bool) -> Voter {
+    let settings = Settings { me, seed: 7, founder, max_records: 10_000, max_answer_bytes: 1000 };
     let mut out = Vec::new();
     let mut voter = Voter::new(0.0, settings, Vec::new(), &mut out);
-    voter.members(0.0, 1, &[LEARNER, TEACHER], &[], &mut out);
+    voter.set_members(0.0, 1, &[LEARNER, TEACHER], &[], &mut out);
     save(&mut voter, 0.0);
     voter
 }
 
-fn save(voter: &mut Voter, now: f64) -> Vec<Out> {
+fn save(voter: &mut Voter, now: f64) -> Vec<Action> {
     let mut out = Vec::new();
     let appended = voter.appended();
-    voter.saved(now, appended, &mut out);
+    voter.on_saved(now, appended, &mut out);
     out
 }
 
@@ -32,10 +32,10 @@
     let mut teacher = voter(TEACHER, true);
     for key in 0..KEYS {
         let claim = ClaimId { gateway: GATEWAY, start: 1, sequence: key };
-        let keep = if key < SHORT_LIVED { 1.0 } else { 60.0 };
+        let keep_s = if key < SHORT_LIVED { 1.0 } else { 60.0 };
         let (key, fingerprint, electorate) = (Key(key, 0), Fingerprint(5), ElectorateId::default());
-        let message = Message::Claim { key, claim, fingerprint, keep, electorate };
-        teacher.heard(0.0, GATEWAY, message, &mut Vec::new());
+        let message = Message::Claim { key, claim, fingerprint, keep_s, electorate };
+        teacher.on_message(0.0, GATEWAY, message, &mut Vec::new());
     }
     save(&mut teacher, 0.0);
     teacher
@@ -46,13 +46,13 @@
     let (mut asked, mut out) = (Vec::new(), Vec::new());
     learner.tick(now, &mut asked);
     for order in asked {
-        if let Out::Send(TEACHER, message @ Message::Learn { .. }) = order {
-            teacher.heard(now, LEARNER, message, &mut out);
+        if let Action::Send(TEACHER, message @ Message::RequestRecords { .. }) = order {
+            teacher.on_message(now, LEARNER, message, &mut out);
         }
     }
     out.extend(save(teacher, now));
     let lesson = |order| match order {
-        Out::Send(LEARNER, message @ Message::Learnt { .. }) => Some(message),
+        Action::Send(LEARNER, message @ Message::Records { .. }) => Some(message),
         _ => None,
     };
     out.into_iter().filter_map(lesson).collect()
@@ -63,22 +63,22 @@
     let (mut learner, mut teacher) = (voter(LEARNER, false), teacher());
     let first = told(&mut learner, &mut teacher, 0.6);
     // the connection is reset behind the first part; keys expire; the first part of the next telling is lost
-    learner.heard(0.6, TEACHER, first[0].clone(), &mut Vec::new());
+    learner.on_message(0.6, TEACHER, first[0].clone(), &mut Vec::new());
     let second = told(&mut learner, &mut teacher, 2.0);
     assert_eq!((first.len(), second.len()), (2, 2));
-    learner.heard(2.0, TEACHER, second[1].clone(), &mut Vec::new());
+    learner.on_message(2.0, TEACHER, second[1].clone(), &mut Vec::new());
     save(&mut learner, 2.0);
     let missing = (SHORT_LIVED..KEYS).filter(|key| learner.holder(Key(*key, 0)).is_none()).count();
-    assert!(!learner.votes() || missing == 0, "it votes without {missing} keys that its teacher granted");
+    assert!(!learner.can_vote() || missing == 0, "it votes without {missing} keys that its teacher granted");
 }
 
 #[test]
 fn a_whole_telling_is_taken() {
     let (mut learner, mut teacher) = (voter(LEARNER, false), teacher());
     for part in told(&mut learner, &mut teacher, 2.0) {
-        learner.heard(2.0, TEACHER, part, &mut Vec::new());
+        learner.on_message(2.0, TEACHER, part, &mut Vec::new());
     }
     save(&mut learner, 2.0);
-    assert!(learner.votes());
+    assert!(learner.can_vote());
     assert_eq!(learner.records() as u64, KEYS - SHORT_LIVED);
 }
--- a/operations/tests/members_struck.rs
+++ b/operations/tests/members_struck.rs
@@ -1,13 +1,13 @@
 //! Members are struck one after the other, none of them replaced: what they granted must still count.
 
-use lupinledge_operations::voter::{Out, Settings, Voter};
+use lupinledge_operations::voter::{Action, Settings, Voter};
 use lupinledge_operations::{ClaimId, Electorate, ElectorateId, Fingerprint, Key, Message, Node, Verdict};
 
 const GATEWAY: Node = 99;
 
 fn voters(count: Node) -> Vec<Voter> {
     let voter = |me| {
-        let settings = Settings { me, seed: 7, founds: true, records_most: 100, answer_bytes_most: 1000 };
+        let settings = Settings { me, seed: 7, founder: true, max_records: 100, max_answer_bytes: 1000 };
         Voter::new(0.0, settings, Vec::new(), &mut Vec::new())
     };
     (1..=count).map(voter).collect()
@@ -16,9 +16,9 @@
 /// All of these hear of the members; what they write is on disk at once.
 fn follow(voters: &mut [Voter], index: u64, members: &[Node], outgoing: &[Node]) {
     for voter in voters {
-        voter.members(0.0, index, members, outgoing, &mut Vec::new());
+        voter.set_members(0.0, index, members, outgoing, &mut Vec::new());
         let appended = voter.appended();
-        voter.saved(0.0, appended, &mut Vec::new());
+        voter.on_saved(0.0, appended, &mut Vec::new());
     }
 }
 
@@ -29,12 +29,12 @@
     let (mut granted, mut under): (Vec<Node>, Vec<Electorate>) = Default::default();
     for &node in asked {
         let (voter, mut out) = (&mut voters[node as usize - 1], Vec::new());
-        let message = Message::Claim { key, claim, fingerprint, keep: 60.0, electorate };
-        voter.heard(0.0, GATEWAY, message, &mut out);
+        let message = Message::Claim { key, claim, fingerprint, keep_s: 60.0, electorate };
+        voter.on_message(0.0, GATEWAY, message, &mut out);
         let appended = voter.appended();
-        voter.saved(0.0, appended, &mut out);
+        voter.on_saved(0.0, appended, &mut out);
         for order in out {
-            if let Out::Send(_, Message::Vote { verdict: Verdict::Granted, known, .. }) = order {
+            if let Action::Send(_, Message::Vote { verdict: Verdict::Granted, known, .. }) = order {
                 granted.push(node);
                 under.extend(known);
             }
--- a/operations/tests/model/world.rs
+++ b/operations/tests/model/world.rs
@@ -1,8 +1,8 @@
 //! Voters, gateways, their disks and the network between them, on virtual time with random faults.
 
 use fastrand::Rng;
-use lupinledge_operations::claims::{Claims, Out as ClaimsOut, Request};
-use lupinledge_operations::voter::{Out as VoterOut, Settings, Voter};
+use lupinledge_operations::claims::{Action as ClaimsAction, ClaimRequest, Claims};
+use lupinledge_operations::voter::{Action as VoterAction, Settings, Voter};
 use lupinledge_operations::{ClaimId, Entry, Fingerprint, Key, Message, Node, Progress};
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -272,7 +272,7 @@
         self.lives
     }
 
-    fn add_core(&mut self, node: Node, founds: bool) {
+    fn add_core(&mut self, node: Node, founder: bool) {
         let life = self.life();
         let core = Core {
             voter: None,
@@ -286,14 +286,14 @@
             removed: false,
         };
         self.cores.insert(node, core);
-        self.start_core(node, founds);
+        self.start_core(node, founder);
     }
 
-    fn start_core(&mut self, node: Node, founds: bool) {
-        let founds = founds || self.plan.flaw == Flaw::NoLearning;
+    fn start_core(&mut self, node: Node, founder: bool) {
+        let founder = founder || self.plan.flaw == Flaw::NoLearning;
         let life = self.life();
         let seed = self.rng.u64(..);
-        let settings = Settings { me: node, seed, founds, records_most: 1 << 20, answer_bytes_most: 1 << 20 };
+        let settings = Settings { me: node, seed, founder, max_records: 1 << 20, max_answer_bytes: 1 << 20 };
         let mut out = Vec::new();
         let Some(core) = self.cores.get_mut(&node) else { return };
         core.life = life;
@@ -337,8 +337,8 @@
     /// What a planted fault makes of a message.
     fn spoilt(&mut self, message: Message) -> Message {
         match (self.plan.flaw, message) {
-            (Flaw::EmptyLessons, Message::Learnt { incarnation, electorate, telling, part, parts, .. }) => {
-                Message::Learnt { incarnation, electorate, telling, part, parts, records: Vec::new() }
+            (Flaw::EmptyLessons, Message::Records { incarnation, electorate, transfer, part, parts, .. }) => {
+                Message::Records { incarnation, electorate, transfer, part, parts, records: Vec::new() }
             }
             (Flaw::MixedElectorates, Message::Vote { claim, verdict, .. }) => {
                 let all = self.steps.last().cloned().unwrap_or_default();
@@ -346,9 +346,9 @@
                     lupinledge_operations::Electorate { index: 1, members: all.0, ..Default::default() };
                 Message::Vote { claim, electorate: one.id(), known: Some(one), verdict }
             }
-            (Flaw::SwappedAnswers, Message::Told { tag, progress: Progress::Answered(answer) }) => {
+            (Flaw::SwappedAnswers, Message::ProgressReply { tag, progress: Progress::Answered(answer) }) => {
                 let other = std::mem::replace(&mut self.last_answer, answer.to_vec());
-                Message::Told { tag, progress: Progress::Answered(ByteBuf::from(other)) }
+                Message::ProgressReply { tag, progress: Progress::Answered(ByteBuf::from(other)) }
             }
             (_, message) => message,
         }
@@ -366,29 +366,29 @@
             }
             let mut out = Vec::new();
             if let Some(voter) = &mut core.voter {
-                voter.heard(self.now, from, message, &mut out);
+                voter.on_message(self.now, from, message, &mut out);
             }
             self.carry_out(to, out);
         } else if let Some(gateway) = self.gateways.get_mut(&to) {
             if gateway.frozen {
                 return self.at(0.5, Event::Deliver { from, to, message, life });
             }
-            if let Message::Told { tag, progress } = message {
+            if let Message::ProgressReply { tag, progress } = message {
                 return self.told(tag, progress);
             }
             let mut out = Vec::new();
             if gateway.up {
-                gateway.claims.heard(self.now, from, message, &mut out);
+                gateway.claims.on_message(self.now, from, message, &mut out);
             }
             self.decide(to, out);
         }
     }
 
-    fn carry_out(&mut self, node: Node, out: Vec<VoterOut>) {
+    fn carry_out(&mut self, node: Node, out: Vec<VoterAction>) {
         for out in out {
             match out {
-                VoterOut::Send(to, message) => self.send(node, to, message),
-                VoterOut::Append { number, entry, .. } => {
+                VoterAction::Send(to, message) => self.send(node, to, message),
+                VoterAction::Append { number, entry, .. } => {
                     let span = 0.002 + self.rng.f64() * if self.rng.f64() < 0.05 { 0.8 } else { 0.01 };
                     let Some(core) = self.cores.get_mut(&node) else { continue };
                     core.journal.push(entry);
@@ -415,7 +415,7 @@
         }
         let mut out = Vec::new();
         if let Some(voter) = &mut core.voter {
-            voter.saved(self.now, number, &mut out);
+            voter.on_saved(self.now, number, &mut out);
         }
         self.carry_out(node, out);
     }
@@ -428,7 +428,7 @@
         }
         let mut out = Vec::new();
         if let Some(voter) = &mut core.voter {
-            voter.members(self.now, step as u64 + 1, &members, &outgoing, &mut out);
+            voter.set_members(self.now, step as u64 + 1, &members, &outgoing, &mut out);
             core.step = core.step.max(step);
         }
         self.carry_out(node, out);
@@ -489,9 +489,9 @@
             self.cores.iter().filter(|(_, core)| !core.removed).map(|(node, _)| *node).collect();
         self.rng.shuffle(&mut voters);
         let now = self.now;
-        let keep = if self.plan.flaw == Flaw::ShortKeep { 2.0 } else { KEEP as f32 };
+        let keep_s = if self.plan.flaw == Flaw::ShortKeep { 2.0 } else { KEEP as f32 };
         let gateway = self.gateways.get_mut(&at).filter(|g| g.up && !g.frozen)?;
-        let request = Request { key, fingerprint: Fingerprint(key.0), keep, until: now + PATIENCE };
+        let request = ClaimRequest { key, fingerprint: Fingerprint(key.0), keep_s, deadline: now + PATIENCE };
         let mut out = Vec::new();
         let claim = gateway.claims.begin(now, request, &voters, &mut out)?;
         gateway.requests.insert(claim, (key, now));
@@ -499,12 +499,12 @@
         Some(claim)
     }
 
-    fn decide(&mut self, node: Node, out: Vec<ClaimsOut>) {
+    fn decide(&mut self, node: Node, out: Vec<ClaimsAction>) {
         for out in out {
             match out {
-                ClaimsOut::Send(to, message) => self.send(node, to, message),
-                ClaimsOut::Granted(claim) => self.granted(node, claim),
-                ClaimsOut::Held { claim, by, answered_at, .. } => {
+                ClaimsAction::Send(to, message) => self.send(node, to, message),
+                ClaimsAction::Granted(claim) => self.granted(node, claim),
+                ClaimsAction::Held { claim, by, answered_at, .. } => {
                     if let Some(voter) = answered_at {
                         self.ask(node, voter, claim, by);
                     }
@@ -513,7 +513,7 @@
                         self.release(node, claim);
                     }
                 }
-                ClaimsOut::Unavailable(claim) => {
+                ClaimsAction::Unavailable(claim) => {
                     if let Some(gateway) = self.gateways.get_mut(&node) {
                         gateway.requests.remove(&claim);
                     }
@@ -567,7 +567,7 @@
         let Some(&(key, _)) = key else { return };
         let tag = self.order;
         self.asked.insert(tag, key);
-        self.send(node, voter, Message::Ask { key, claim: by, tag });
+        self.send(node, voter, Message::AskProgress { key, claim: by, tag });
     }
 
     /// A gateway hears how far an operation is.
@@ -605,7 +605,11 @@
         self.cores
             .get(&node)
             .is_none_or(|core| core.voter.is_none() || core.frozen || self.now < core.lost_until)
-            || self.cores.get(&node).and_then(|core| core.voter.as_ref()).is_some_and(|voter| !voter.votes())
+            || self
+                .cores
+                .get(&node)
+                .and_then(|core| core.voter.as_ref())
+                .is_some_and(|voter| !voter.can_vote())
     }
 
     fn fault(&mut self) {
@@ -821,7 +825,7 @@
     pub fn describe(&self) -> String {
         let row = |(node, core): (&Node, &Core)| {
             let voter = core.voter.as_ref();
-            let (votes, head) = (voter.map(Voter::votes), voter.map(Voter::head));
+            let (votes, head) = (voter.map(Voter::can_vote), voter.map(Voter::head));
             format!("{node} removed {} votes {votes:?} {head:?}", core.removed)
         };
         self.cores.iter().map(row).collect::<Vec<_>>().join("\n")
--- a/operations/tests/overload.rs
+++ b/operations/tests/overload.rs
@@ -1,20 +1,20 @@
 //! A gateway's claims while voters answer late or not at all.
 
-use lupinledge_operations::claims::{Claims, Out, Request};
+use lupinledge_operations::claims::{Action, ClaimRequest, Claims};
 use lupinledge_operations::{Electorate, Fingerprint, Key, Message, Verdict};
 
 const VOTERS: [u32; 5] = [1, 2, 3, 4, 5];
 const UNTIL: f64 = 3.0;
 
-fn claim_messages(out: &[Out]) -> usize {
-    out.iter().filter(|order| matches!(order, Out::Send(_, Message::Claim { .. }))).count()
+fn claim_messages(out: &[Action]) -> usize {
+    out.iter().filter(|order| matches!(order, Action::Send(_, Message::Claim { .. }))).count()
 }
 
 /// Claims that know who votes.
 fn informed() -> Claims {
     let mut claims = Claims::new(0.0, 100, 1);
     let mut out = Vec::new();
-    let request = Request { key: Key(9, 9), fingerprint: Fingerprint(1), keep: 60.0, until: 0.5 };
+    let request = ClaimRequest { key: Key(9, 9), fingerprint: Fingerprint(1), keep_s: 60.0, deadline: 0.5 };
     let claim = claims.begin(0.0, request, &VOTERS, &mut out).expect("room");
     let known = Electorate { index: 1, members: VOTERS.to_vec(), ..Electorate::default() };
     for voter in VOTERS {
@@ -24,9 +24,9 @@
             known: Some(known.clone()),
             verdict: Verdict::Granted,
         };
-        claims.heard(0.1, voter, vote, &mut out);
+        claims.on_message(0.1, voter, vote, &mut out);
     }
-    assert!(out.contains(&Out::Granted(claim)));
+    assert!(out.contains(&Action::Granted(claim)));
     claims
 }
 
@@ -35,7 +35,7 @@
 fn a_claim_without_votes_is_not_repeated_all_the_time() {
     let mut claims = informed();
     let mut out = Vec::new();
-    let request = Request { key: Key(1, 1), fingerprint: Fingerprint(1), keep: 60.0, until: UNTIL };
+    let request = ClaimRequest { key: Key(1, 1), fingerprint: Fingerprint(1), keep_s: 60.0, deadline: UNTIL };
     claims.begin(1.0, request, &VOTERS, &mut out).expect("room");
     assert_eq!(claim_messages(&out), 3, "a majority");
     while claims.next_wake() < UNTIL {
@@ -53,7 +53,7 @@
     let known = Electorate { index: 1, members: VOTERS.to_vec(), ..Electorate::default() };
     let begin = |claims: &mut Claims, now: f64, key: u64| {
         let key = Key(key, 1);
-        let request = Request { key, fingerprint: Fingerprint(1), keep: 60.0, until: now + UNTIL };
+        let request = ClaimRequest { key, fingerprint: Fingerprint(1), keep_s: 60.0, deadline: now + UNTIL };
         claims.begin(now, request, &VOTERS, &mut Vec::new())
     };
     // each is granted after two seconds
@@ -63,7 +63,7 @@
         for voter in VOTERS {
             let (electorate, known) = (known.id(), Some(known.clone()));
             let vote = Message::Vote { claim, electorate, known, verdict: Verdict::Granted };
-            claims.heard(3.0, voter, vote, &mut out);
+            claims.on_message(3.0, voter, vote, &mut out);
         }
     }
     let begun = (100..200).filter(|key| begin(&mut claims, 3.0, *key).is_some()).count();
--- a/operations/tests/voter_head.rs
+++ b/operations/tests/voter_head.rs
@@ -1,27 +1,27 @@
 //! The head of a voter's journal replaces entries, so it must say all that they said.
 
-use lupinledge_operations::voter::{Out, Settings, Voter};
+use lupinledge_operations::voter::{Action, Settings, Voter};
 use lupinledge_operations::{Electorate, Entry, Incarnation, Message, Node};
 
 const MEMBERS: [Node; 3] = [1, 2, 3];
 
-fn settings(founds: bool) -> Settings {
-    Settings { me: 1, seed: 7, founds, records_most: 10, answer_bytes_most: 1_000 }
+fn settings(founder: bool) -> Settings {
+    Settings { me: 1, seed: 7, founder, max_records: 10, max_answer_bytes: 1_000 }
 }
 
 /// Who was asked to teach, and for which incarnation.
-fn learns(out: &[Out]) -> Vec<(Node, Incarnation)> {
+fn learns(out: &[Action]) -> Vec<(Node, Incarnation)> {
     let asked = out.iter().filter_map(|out| match out {
-        Out::Send(node, Message::Learn { incarnation, .. }) => Some((*node, *incarnation)),
+        Action::Send(node, Message::RequestRecords { incarnation, .. }) => Some((*node, *incarnation)),
         _ => None,
     });
     asked.collect()
 }
 
 /// The number of the last entry that was appended.
-fn appended(out: &[Out]) -> u64 {
+fn appended(out: &[Action]) -> u64 {
     let numbers = out.iter().filter_map(|out| match out {
-        Out::Append { number, .. } => Some(*number),
+        Action::Append { number, .. } => Some(*number),
         _ => None,
     });
     numbers.max().expect("entries")
@@ -30,14 +30,14 @@
 /// A start from the head alone, as if all before it were deleted.
 fn votes_from(head: Vec<Entry>) -> bool {
     let mut out = Vec::new();
-    Voter::new(0.0, settings(false), head, &mut out).votes()
+    Voter::new(0.0, settings(false), head, &mut out).can_vote()
 }
 
 #[test]
 fn a_voter_that_learnt_gives_no_head_before_its_readiness_is_on_disk() {
     let mut out = Vec::new();
     let mut voter = Voter::new(0.0, settings(false), Vec::new(), &mut out);
-    voter.members(0.0, 1, &MEMBERS, &[], &mut out);
+    voter.set_members(0.0, 1, &MEMBERS, &[], &mut out);
     assert!(!votes_from(voter.head().expect("a learner's head")));
     voter.tick(1.0, &mut out);
     let asked = learns(&out);
@@ -49,12 +49,12 @@
     for node in [2, 3] {
         let electorate = electorate.clone();
         let lesson =
-            Message::Learnt { incarnation, electorate, telling: 1, part: 0, parts: 1, records: Vec::new() };
-        voter.heard(1.0, node, lesson, &mut out);
+            Message::Records { incarnation, electorate, transfer: 1, part: 0, parts: 1, records: Vec::new() };
+        voter.on_message(1.0, node, lesson, &mut out);
     }
     assert_eq!(voter.head(), None, "it would replace the entry that says that it is ready");
-    voter.saved(1.0, appended(&out), &mut out);
-    assert!(voter.votes());
+    voter.on_saved(1.0, appended(&out), &mut out);
+    assert!(voter.can_vote());
     assert!(votes_from(voter.head().expect("a voter's head")));
 }
 
@@ -62,6 +62,6 @@
 fn a_founder_votes_again_from_its_head() {
     let mut out = Vec::new();
     let mut voter = Voter::new(0.0, settings(true), Vec::new(), &mut out);
-    voter.members(0.0, 1, &MEMBERS, &[], &mut out);
+    voter.set_members(0.0, 1, &MEMBERS, &[], &mut out);
     assert!(votes_from(voter.head().expect("a founder's head")));
 }
--- a/storage/src/disk.rs
+++ b/storage/src/disk.rs
@@ -12,23 +12,23 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// So many bytes of the log at most are kept before it is begun anew.
-pub const LOG_MOST: u64 = 1 << 20;
+pub const MAX_LOG_BYTES: u64 = 1 << 20;
 /// No state is larger, bytes.
-pub const STATE_MOST: usize = 48 << 20;
+pub const MAX_STATE_BYTES: usize = 48 << 20;
 const SNAPSHOT: &str = "snapshot";
 const FRESH: &str = "snapshot.new";
 const ASIDE: &str = "snapshot.spoilt";
 
 /// What a disk turned out to hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum Stored {
     /// It was never saved to.
     Empty,
     /// The newest state that is whole: the last one whose save ended well, or one that was begun after it.
     State(Vec<u8>),
     /// It was saved to, and what it held can't be told. No empty disk: who takes it for one might found a new core,
     /// or vote again on what it has forgotten.
-    Spoilt,
+    Corrupt,
 }
 
 /// See the module. Blocks.
@@ -43,20 +43,20 @@
 }
 
 impl<F: Folder> Disk<F> {
-    /// Reads what is there. `log_most`: see [`LOG_MOST`]. Errors are of the machine's disk, which may be asked again.
-    pub fn open(folder: F, log_most: u64) -> eyre::Result<(Disk<F>, Found)> {
+    /// Reads what is there. `log_most`: see [`MAX_LOG_BYTES`]. Errors are of the machine's disk, which may be asked again.
+    pub fn open(folder: F, log_most: u64) -> eyre::Result<(Disk<F>, Stored)> {
         let snapshot = snapshot::read(&folder.path().join(SNAPSHOT))?;
         let (serial, found) = match snapshot {
             Snapshot::Whole(snapshot) => {
                 let logged = log::read(&folder)?.filter(|logged| logged.0 > snapshot.0);
                 let (serial, state) = logged.unwrap_or(snapshot);
-                (serial, Found::State(state))
+                (serial, Stored::State(state))
             }
-            Snapshot::None if log::segments(folder.path())?.is_empty() => (0, Found::Empty),
+            Snapshot::None if log::segments(folder.path())?.is_empty() => (0, Stored::Empty),
             // no log is begun but behind a snapshot
-            Snapshot::None | Snapshot::Spoilt => (0, Found::Spoilt),
+            Snapshot::None | Snapshot::Corrupt => (0, Stored::Corrupt),
         };
-        let spoilt = found == Found::Spoilt;
+        let spoilt = found == Stored::Corrupt;
         Ok((Disk { folder, log_most, serial, based: false, log: None, spoilt }, found))
     }
 
@@ -71,7 +71,7 @@
     }
 
     fn put(&mut self, state: &[u8]) -> eyre::Result<()> {
-        ensure!(state.len() <= STATE_MOST, "a state of {} bytes", state.len());
+        ensure!(state.len() <= MAX_STATE_BYTES, "a state of {} bytes", state.len());
         self.serial += 1;
         let full = self.log.as_ref().is_some_and(|log| log.written >= self.log_most);
         if state.len() > ENTRY_MOST || full || !self.based {
--- a/storage/src/journal.rs
+++ b/storage/src/journal.rs
@@ -28,7 +28,7 @@
     /// Age past which a segment takes no more batches, seconds.
     pub segment_seconds: f64,
     /// Size of all segments together, bytes.
-    pub bytes_most: u64,
+    pub max_bytes: u64,
 }
 
 /// What was on the disk.
@@ -45,7 +45,7 @@
 pub struct OpenedJournal {
     pub journal: Journal,
     /// What was on the disk.
-    pub found: oneshot::Receiver<Replayed>,
+    pub replayed: oneshot::Receiver<Replayed>,
     /// Numbers: every entry up to and including it is on disk.
     pub saved: UnboundedReceiver<u64>,
 }
@@ -67,13 +67,13 @@
         folder: impl Folder + Clone + Send + 'static,
         bounds: JournalBounds,
     ) -> eyre::Result<OpenedJournal> {
-        let (tell_found, found) = oneshot::channel();
+        let (tell_found, replayed) = oneshot::channel();
         let (tell_saved, saved) = unbounded_channel();
-        let queue = Arc::new(Queue::new(bounds.bytes_most));
+        let queue = Arc::new(Queue::new(bounds.max_bytes));
         let journal = Journal { queue: queue.clone() };
         let run = move || writer::run(folder, bounds, &queue, tell_found, tell_saved);
         std::thread::Builder::new().name("journal".into()).stack_size(256 << 10).spawn(run)?;
-        Ok(OpenedJournal { journal, found, saved })
+        Ok(OpenedJournal { journal, replayed, saved })
     }
 
     /// Hands an entry over. The first number after open is 1, and numbers rise by one.
--- a/storage/src/journal/queue.rs
+++ b/storage/src/journal/queue.rs
@@ -15,7 +15,7 @@
 /// See the module.
 pub(super) struct Queue {
     started: Instant,
-    bytes_most: u64,
+    max_bytes: u64,
     state: Mutex<State>,
     wake: Condvar,
 }
@@ -47,7 +47,7 @@
 }
 
 impl Queue {
-    pub(super) fn new(bytes_most: u64) -> Queue {
+    pub(super) fn new(max_bytes: u64) -> Queue {
         let started = Instant::now();
         let state = State {
             waiting: Batch::default(),
@@ -59,7 +59,7 @@
             on_disk: None,
             closed: false,
         };
-        Queue { started, bytes_most, state: Mutex::new(state), wake: Condvar::new() }
+        Queue { started, max_bytes, state: Mutex::new(state), wake: Condvar::new() }
     }
 
     /// Seconds since it was made.
@@ -70,7 +70,7 @@
     pub(super) fn append(&self, number: u64, entry: &[u8], keep_s: Option<f64>, urgent: bool) -> bool {
         let now = self.now();
         let mut state = self.lock();
-        if number != state.taken + 1 || !state.has_room(FRAME + entry.len(), self.bytes_most) {
+        if number != state.taken + 1 || !state.has_room(FRAME + entry.len(), self.max_bytes) {
             return false;
         }
         if state.waiting.is_empty() {
@@ -152,11 +152,11 @@
 }
 
 impl State {
-    fn has_room(&self, bytes: usize, bytes_most: u64) -> bool {
+    fn has_room(&self, bytes: usize, max_bytes: u64) -> bool {
         let Some(on_disk) = self.on_disk else { return false };
         let memory = self.in_work + self.waiting.bytes.len() + bytes;
         let begun = BEGUN_MOST * (HEADER + self.head.bytes.len()) as u64;
-        memory <= WAITING_MOST && on_disk + memory as u64 + begun <= bytes_most
+        memory <= WAITING_MOST && on_disk + memory as u64 + begun <= max_bytes
     }
 
     /// When what waits is to be written.
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each save has a serial number, and the newest whole one counts. Small states go to a log ([`Disk`]); a state
 //! past the log's buffer, the first one of a process, and one that finds the log full become a snapshot. A disk
-//! whose snapshot was spoilt is told apart from an empty one ([`Found::Spoilt`]): its member has lost its memory
+//! whose snapshot was spoilt is told apart from an empty one ([`Stored::Corrupt`]): its member has lost its memory
 //! and must learn as after the loss of its disk, but it may not found anything.
 //!
 //! A [`Journal`] beside it holds many small entries that are each needed for some time.
@@ -17,11 +17,11 @@
 mod snapshot;
 mod store;
 
-pub use disk::{Disk, Found, LOG_MOST, STATE_MOST};
+pub use disk::{Disk, Stored, MAX_LOG_BYTES, MAX_STATE_BYTES};
 pub use folder::{DataDir, Folder, LogStep};
 pub use journal::{Journal, JournalBounds, OpenedJournal, Replayed};
-pub use lock::{FolderLock, InUse};
-pub use store::{Opened, Saved, Store};
+pub use lock::{FolderInUse, FolderLock};
+pub use store::{OpenedStore, SaveResult, Store};
 
 /// A serial number and the state that was saved under it.
 pub(crate) type Numbered = (u64, Vec<u8>);
--- a/storage/src/lock.rs
+++ b/storage/src/lock.rs
@@ -21,25 +21,25 @@
 
 /// The folder stayed another process's for as long as could be waited.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InUse {
+pub struct FolderInUse {
     pub folder: PathBuf,
     /// What that process says of itself.
     pub owner: String,
 }
 
-impl std::fmt::Display for InUse {
+impl std::fmt::Display for FolderInUse {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} is in use by {}", self.folder.display(), self.owner)
     }
 }
 
-impl std::error::Error for InUse {}
+impl std::error::Error for FolderInUse {}
 
 impl FolderLock {
     /// Takes the lock, waiting for at most `wait` while another process has it, since a restart may overlap with the
     /// end of the process before. `owner` describes this process. A folder that can't be opened is tried again for as
     /// long as it takes: what it holds may count. Runs on a thread of its own, as disks may stall.
-    pub async fn take(folder: PathBuf, owner: String, wait: Duration) -> eyre::Result<FolderLock> {
+    pub async fn acquire(folder: PathBuf, owner: String, wait: Duration) -> eyre::Result<FolderLock> {
         let (done, taken) = oneshot::channel();
         let run = move || drop(done.send(take(&folder, &owner, wait)));
         std::thread::Builder::new().name("lock".into()).stack_size(128 << 10).spawn(run)?;
@@ -58,14 +58,14 @@
     }
 }
 
-fn take(folder: &Path, owner: &str, wait: Duration) -> Result<FolderLock, InUse> {
+fn take(folder: &Path, owner: &str, wait: Duration) -> Result<FolderLock, FolderInUse> {
     let since = Instant::now();
     let (mut told_use, mut told_fault) = (false, false);
     loop {
         match FolderLock::attempt(folder, owner) {
             Ok(lock) => return Ok(lock),
             Err(TryLockError::WouldBlock) => {
-                let in_use = InUse { folder: folder.to_path_buf(), owner: holder(folder) };
+                let in_use = FolderInUse { folder: folder.to_path_buf(), owner: holder(folder) };
                 if since.elapsed() >= wait {
                     return Err(in_use);
                 }
--- a/storage/src/log.rs
+++ b/storage/src/log.rs
@@ -6,7 +6,7 @@
 //! `okaywal` panics where a write past it fails. Nothing is ever appended to a log that was read: behind a torn end
 //! there is no entry that counts.
 
-use crate::{Folder, LogStep, Numbered, STATE_MOST};
+use crate::{Folder, LogStep, Numbered, MAX_STATE_BYTES};
 use eyre::WrapErr;
 use okaywal::{Configuration, Entry, EntryId, LogManager, ReadChunkResult, SegmentReader, WriteAheadLog};
 use std::fs::{self, File};
@@ -118,7 +118,7 @@
     fn chunk(entry: &mut Entry<'_>) -> io::Result<Option<Vec<u8>>> {
         let ReadChunkResult::Chunk(mut chunk) = entry.read_chunk()? else { return Ok(None) };
         // a torn length must not ask for more memory than there is
-        if chunk.bytes_remaining() as usize > STATE_MOST {
+        if chunk.bytes_remaining() as usize > MAX_STATE_BYTES {
             return Ok(None);
         }
         let bytes = chunk.read_all()?;
--- a/storage/src/snapshot.rs
+++ b/storage/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! The bytes of a snapshot: magic, serial, length, checksum, state.
 
-use crate::{Numbered, STATE_MOST};
+use crate::{Numbered, MAX_STATE_BYTES};
 use eyre::WrapErr;
 use fnv::FnvHasher;
 use std::fs::File;
@@ -15,7 +15,7 @@
 pub(crate) enum Snapshot {
     None,
     Whole(Numbered),
-    Spoilt,
+    Corrupt,
 }
 
 /// What stands before the state.
@@ -35,8 +35,8 @@
         Err(e) => return Err(e).wrap_err("snapshot"),
     };
     let mut bytes = Vec::new();
-    file.take((HEAD + STATE_MOST + 1) as u64).read_to_end(&mut bytes).wrap_err("snapshot")?;
-    Ok(parse(bytes).map_or(Snapshot::Spoilt, Snapshot::Whole))
+    file.take((HEAD + MAX_STATE_BYTES + 1) as u64).read_to_end(&mut bytes).wrap_err("snapshot")?;
+    Ok(parse(bytes).map_or(Snapshot::Corrupt, Snapshot::Whole))
 }
 
 /// It was whole before it got its name: what is not whole now is no torn write but a spoilt disk.
@@ -44,7 +44,7 @@
     let number = |at: usize| Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?));
     let (serial, sum) = (number(8)?, number(20)?);
     let length = u32::from_le_bytes(bytes.get(16..20)?.try_into().ok()?) as usize;
-    let whole = bytes.starts_with(MAGIC) && bytes.len() == HEAD + length && length <= STATE_MOST;
+    let whole = bytes.starts_with(MAGIC) && bytes.len() == HEAD + length && length <= MAX_STATE_BYTES;
     if !whole || checksum(serial, &bytes[HEAD..]) != sum {
         return None;
     }
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -1,6 +1,6 @@
 //! The thread that writes, and what waits for it: at most one state, the newest.
 
-use crate::{Disk, Folder, Found, LOG_MOST};
+use crate::{Disk, Folder, Stored, MAX_LOG_BYTES};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
@@ -12,21 +12,21 @@
 const TICKETS_MOST: usize = 64;
 
 /// A save that has come to its end: its ticket, and whether the state, or a later one, is on the disk.
-pub type Saved = (u64, bool);
+pub type SaveResult = (u64, bool);
 
 /// The handle of the thread that writes. The thread ends with it.
 pub struct Store {
     next: Arc<Next>,
-    ends: UnboundedSender<Saved>,
+    results: UnboundedSender<SaveResult>,
 }
 
 /// A store with what it has to tell.
-pub struct Opened {
+pub struct OpenedStore {
     pub store: Store,
     /// What was on the disk.
-    pub found: oneshot::Receiver<Found>,
+    pub content: oneshot::Receiver<Stored>,
     /// The ends of saves; as many as there were saves.
-    pub ends: UnboundedReceiver<Saved>,
+    pub results: UnboundedReceiver<SaveResult>,
 }
 
 /// What is to be written next. Each state stands for all before it: of those that come while the disk is at work,
@@ -53,21 +53,21 @@
 impl Store {
     /// Reads what is there and begins to take states. A disk that can't be read is tried again until it can: what it
     /// holds may count. Errors: no thread.
-    pub fn open(folder: impl Folder + Clone + Send + 'static) -> eyre::Result<Opened> {
-        let (first, found) = oneshot::channel();
-        let (done, ends) = unbounded_channel();
+    pub fn open(folder: impl Folder + Clone + Send + 'static) -> eyre::Result<OpenedStore> {
+        let (first, content) = oneshot::channel();
+        let (done, results) = unbounded_channel();
         let next = Arc::new(Next::default());
-        let store = Store { next: next.clone(), ends: done.clone() };
+        let store = Store { next: next.clone(), results: done.clone() };
         let run = move || run(folder, first, &next, &done);
         std::thread::Builder::new().name("disk".into()).stack_size(256 << 10).spawn(run)?;
-        Ok(Opened { store, found, ends })
+        Ok(OpenedStore { store, content, results })
     }
 
     /// Hands a state over. Its end is told on the channel of ends.
     pub fn save(&self, ticket: u64, state: Vec<u8>) {
         let mut waits = self.next.lock();
         if waits.tickets.len() == TICKETS_MOST {
-            let _ = self.ends.send((waits.tickets.remove(0), false));
+            let _ = self.results.send((waits.tickets.remove(0), false));
         }
         waits.tickets.push(ticket);
         waits.state = state;
@@ -83,10 +83,10 @@
     }
 }
 
-fn open<F: Folder + Clone>(folder: F) -> (Disk<F>, Found) {
+fn open<F: Folder + Clone>(folder: F) -> (Disk<F>, Stored) {
     let mut told = false;
     loop {
-        match Disk::open(folder.clone(), LOG_MOST) {
+        match Disk::open(folder.clone(), MAX_LOG_BYTES) {
             Ok(opened) => return opened,
             Err(e) => {
                 if !std::mem::replace(&mut told, true) {
@@ -100,12 +100,12 @@
 
 fn run(
     folder: impl Folder + Clone,
-    found: oneshot::Sender<Found>,
+    found: oneshot::Sender<Stored>,
     next: &Next,
-    done: &UnboundedSender<Saved>,
+    done: &UnboundedSender<SaveResult>,
 ) {
     let (mut disk, held) = open(folder);
-    if held == Found::Spoilt {
+    if held == Stored::Corrupt {
         tracing::error!(event = "disk_spoilt");
     }
     let _ = found.send(held);
--- a/storage/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -1,6 +1,6 @@
 //! What a disk holds after each way to write, after bytes went wrong, and after saves that failed.
 
-use lupinledge_storage::{DataDir, Disk, Found, Opened, Store, LOG_MOST, STATE_MOST};
+use lupinledge_storage::{DataDir, Disk, OpenedStore, Store, Stored, MAX_LOG_BYTES, MAX_STATE_BYTES};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -15,8 +15,8 @@
         Place(place)
     }
 
-    fn open(&self) -> (Disk<DataDir>, Found) {
-        Disk::open(DataDir(self.0.clone()), LOG_MOST).unwrap()
+    fn open(&self) -> (Disk<DataDir>, Stored) {
+        Disk::open(DataDir(self.0.clone()), MAX_LOG_BYTES).unwrap()
     }
 
     fn disk(&self) -> Disk<DataDir> {
@@ -48,11 +48,11 @@
 }
 
 /// A state's bytes, all alike, and their number; or why there is none.
-type Held = Result<(u8, usize), Found>;
+type Held = Result<(u8, usize), Stored>;
 
-fn brief(found: Found) -> Held {
+fn brief(found: Stored) -> Held {
     match found {
-        Found::State(state) => {
+        Stored::State(state) => {
             let n = state.first().copied().unwrap_or(0);
             assert!(state.iter().all(|byte| *byte == n), "no state that was saved");
             Ok((n, state.len()))
@@ -68,7 +68,7 @@
 #[test]
 fn newest_whole_state_wins_after_each_way_to_write() {
     let place = Place::new("ways");
-    assert_eq!(place.found(), Err(Found::Empty));
+    assert_eq!(place.found(), Err(Stored::Empty));
     // a snapshot, log entries, a state past the buffer, a log past its size
     let lens = [[10, 2_000, 0, 70_000, 10].as_slice(), &[40_000; 40]].concat();
     for (n, len) in lens.into_iter().enumerate() {
@@ -82,7 +82,7 @@
     (0..100).for_each(|n| disk.write(&state(n, 40_000)).unwrap());
     assert_eq!(place.found(), holds(99, 40_000));
     let bytes: u64 = fs::read_dir(&place.0).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum();
-    assert!(bytes < 2 * LOG_MOST, "{bytes}");
+    assert!(bytes < 2 * MAX_LOG_BYTES, "{bytes}");
 }
 
 /// A state past the log's buffer between two that fit.
@@ -148,13 +148,13 @@
         let mut spoilt = whole.clone();
         spoilt[byte] ^= 1;
         fs::write(&at, &spoilt).unwrap();
-        assert_eq!(place.found(), Err(Found::Spoilt), "byte {byte}");
+        assert_eq!(place.found(), Err(Stored::Corrupt), "byte {byte}");
         fs::write(&at, &whole[..byte]).unwrap();
-        assert_eq!(place.found(), Err(Found::Spoilt), "cut at {byte}");
+        assert_eq!(place.found(), Err(Stored::Corrupt), "cut at {byte}");
     }
     // nor one that has grown past all bounds
-    fs::File::create(&at).unwrap().set_len(8 * STATE_MOST as u64).unwrap();
-    assert_eq!(place.found(), Err(Found::Spoilt));
+    fs::File::create(&at).unwrap().set_len(8 * MAX_STATE_BYTES as u64).unwrap();
+    assert_eq!(place.found(), Err(Stored::Corrupt));
     fs::write(&at, &whole).unwrap();
     assert_eq!(place.found(), holds(1, 10));
 
@@ -172,7 +172,7 @@
     (1..=3).for_each(|n| disk.write(&state(n, 700)).unwrap());
     drop(disk);
     fs::remove_file(place.snapshot()).unwrap();
-    assert_eq!(place.found(), Err(Found::Spoilt));
+    assert_eq!(place.found(), Err(Stored::Corrupt));
     place.disk().write(&state(4, 10)).unwrap();
     assert_eq!(place.found(), holds(4, 10));
 }
@@ -198,16 +198,16 @@
 fn a_save_that_failed_is_told_and_a_later_one_stands() {
     let place = Place::new("refuses");
     place.disk().write(&state(1, 10)).unwrap();
-    let Opened { store, found, mut ends } = Store::open(DataDir(place.0.clone())).unwrap();
-    assert_eq!(brief(found.blocking_recv().unwrap()), holds(1, 10));
+    let OpenedStore { store, content, mut results } = Store::open(DataDir(place.0.clone())).unwrap();
+    assert_eq!(brief(content.blocking_recv().unwrap()), holds(1, 10));
     fs::remove_dir_all(&place.0).unwrap();
     store.save(7, state(2, 10));
-    assert_eq!(ends.blocking_recv(), Some((7, false)));
+    assert_eq!(results.blocking_recv(), Some((7, false)));
     fs::create_dir_all(&place.0).unwrap();
     store.save(8, state(3, 10));
-    assert_eq!(ends.blocking_recv(), Some((8, true)));
+    assert_eq!(results.blocking_recv(), Some((8, true)));
     drop(store);
-    assert_eq!(ends.blocking_recv(), None, "the thread ends with its handle");
+    assert_eq!(results.blocking_recv(), None, "the thread ends with its handle");
     assert_eq!(place.found(), holds(3, 10));
 }
 
@@ -216,7 +216,7 @@
     let place = Place::new("bound");
     let mut disk = place.disk();
     disk.write(&state(1, 10)).unwrap();
-    assert!(disk.write(&vec![2; STATE_MOST + 1]).is_err());
+    assert!(disk.write(&vec![2; MAX_STATE_BYTES + 1]).is_err());
     assert_eq!(place.found(), holds(1, 10));
     disk.write(&state(3, 10)).unwrap();
     assert_eq!(place.found(), holds(3, 10));
--- a/storage/tests/journal.rs
+++ b/storage/tests/journal.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 const BOUNDS: JournalBounds =
-    JournalBounds { segment_bytes: 1 << 20, segment_seconds: 3600.0, bytes_most: 64 << 20 };
+    JournalBounds { segment_bytes: 1 << 20, segment_seconds: 3600.0, max_bytes: 64 << 20 };
 /// Who waits longer waits in vain.
 const ENDLESS: Duration = Duration::from_secs(60);
 const HOUR: Option<f64> = Some(3600.0);
@@ -62,8 +62,8 @@
 }
 
 fn opened(opened: OpenedJournal) -> (Journal, Replayed, UnboundedReceiver<u64>) {
-    let OpenedJournal { journal, found, saved } = opened;
-    (journal, found.blocking_recv().unwrap(), saved)
+    let OpenedJournal { journal, replayed, saved } = opened;
+    (journal, replayed.blocking_recv().unwrap(), saved)
 }
 
 /// Waits until this number is told; returns the numbers that were told on the way.
@@ -334,18 +334,18 @@
 fn a_folder_that_can_not_be_read_is_tried_again() {
     let place = Place::new("unread");
     fs::remove_dir_all(&place.0).unwrap();
-    let OpenedJournal { journal, mut found, mut saved } = Journal::open(place.0.clone(), BOUNDS).unwrap();
+    let OpenedJournal { journal, mut replayed, mut saved } = Journal::open(place.0.clone(), BOUNDS).unwrap();
     assert!(!journal.append(1, entry(1), HOUR, true), "not before it is known what there is");
-    assert!(found.try_recv().is_err());
+    assert!(replayed.try_recv().is_err());
     fs::create_dir_all(&place.0).unwrap();
-    assert_eq!(found.blocking_recv().unwrap(), Replayed::default());
+    assert_eq!(replayed.blocking_recv().unwrap(), Replayed::default());
     assert!(journal.append(1, entry(1), HOUR, true));
     wait_saved(&mut saved, 1);
 }
 
 #[test]
 fn a_full_journal_takes_entries_again_once_old_ones_expire() {
-    let bounds = JournalBounds { segment_bytes: 4_000, segment_seconds: 0.1, bytes_most: 20_000 };
+    let bounds = JournalBounds { segment_bytes: 4_000, segment_seconds: 0.1, max_bytes: 20_000 };
     let place = Place::new("full");
     let (journal, _, mut saved) = place.open(bounds);
     journal.set_head(vec![vec![1; 100]]);
@@ -357,14 +357,14 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         let files: u64 = place.files().iter().filter_map(|file| Some(fs::metadata(file).ok()?.len())).sum();
-        assert!(files <= bounds.bytes_most && journal.bytes() <= bounds.bytes_most, "{files}");
+        assert!(files <= bounds.max_bytes && journal.bytes() <= bounds.max_bytes, "{files}");
     }
     wait_saved(&mut saved, 60);
     assert!(refused > 0, "it was never full");
     // nor is one that is full when it is opened full for ever
     drop(journal);
     assert_eq!(saved.blocking_recv(), None);
-    let (journal, _, mut saved) = place.open(JournalBounds { bytes_most: 1_700, ..bounds });
+    let (journal, _, mut saved) = place.open(JournalBounds { max_bytes: 1_700, ..bounds });
     journal.set_head(vec![vec![2; 100]]);
     assert!(!journal.append(1, entry(1), HOUR, true));
     while !journal.append(1, entry(1), HOUR, true) {
@@ -377,7 +377,7 @@
 
 #[test]
 fn segments_begin_with_the_head_and_go_once_all_in_them_has_expired() {
-    let bounds = JournalBounds { segment_bytes: 400, segment_seconds: 10.0, bytes_most: u64::MAX };
+    let bounds = JournalBounds { segment_bytes: 400, segment_seconds: 10.0, max_bytes: u64::MAX };
     let place = Place::new("rotation");
     let (mut segments, _) = place.segments(bounds, 0.0);
     let size = |file: PathBuf| fs::metadata(file).unwrap().len();
--- a/storage/tests/memory.rs
+++ b/storage/tests/memory.rs
@@ -1,6 +1,6 @@
 //! A disk that stalls while changes go on: what waits for it does not grow.
 
-use lupinledge_storage::{DataDir, Folder, LogStep, Opened, Store};
+use lupinledge_storage::{DataDir, Folder, LogStep, OpenedStore, Store};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::fs::File;
 use std::io;
@@ -92,9 +92,9 @@
     let _ = std::fs::remove_dir_all(&place);
     std::fs::create_dir_all(&place).unwrap();
     let gate = Arc::new(Gate::default());
-    let Opened { store, found, mut ends } =
+    let OpenedStore { store, content, mut results } =
         Store::open(Stalls(DataDir(place.clone()), gate.clone())).unwrap();
-    found.blocking_recv().unwrap();
+    content.blocking_recv().unwrap();
     gate.stall(true);
     let before = HELD.load(Relaxed);
     MOST.store(before, Relaxed);
@@ -108,7 +108,7 @@
     let mut told = vec![0; CHANGES as usize + 1];
     let mut last = false;
     for _ in 0..CHANGES {
-        let (ticket, ok) = ends.blocking_recv().unwrap();
+        let (ticket, ok) = results.blocking_recv().unwrap();
         told[ticket as usize] += 1;
         if ticket == CHANGES {
             last = ok;
@@ -119,6 +119,6 @@
     // the one that is written, the one that waits, and the one that is handed over
     assert!(most < 4 * DOCUMENT, "{most} bytes at the most");
     drop(store);
-    assert_eq!(ends.blocking_recv(), None);
+    assert_eq!(results.blocking_recv(), None);
     let _ = std::fs::remove_dir_all(&place);
 }
--- a/storage/tests/power/journal.rs
+++ b/storage/tests/power/journal.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 const BOUNDS: JournalBounds =
-    JournalBounds { segment_bytes: 3_000, segment_seconds: 6.0, bytes_most: u64::MAX };
+    JournalBounds { segment_bytes: 3_000, segment_seconds: 6.0, max_bytes: u64::MAX };
 /// Mixes of what was not synced, at each operation.
 const MIXES: usize = 2;
 /// Losses of power in a row.
--- a/storage/tests/power/main.rs
+++ b/storage/tests/power/main.rs
@@ -5,7 +5,7 @@
 mod shadow;
 
 use fastrand::Rng;
-use lupinledge_storage::{DataDir, Disk, Found};
+use lupinledge_storage::{DataDir, Disk, Stored};
 use shadow::{image, lay, Flaw, Image, Shadow};
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -41,8 +41,8 @@
     state
 }
 
-fn number(found: &Found) -> Option<u32> {
-    let Found::State(state) = found else { return None };
+fn number(found: &Stored) -> Option<u32> {
+    let Stored::State(state) = found else { return None };
     let (head, rest) = state.split_first_chunk::<4>()?;
     let number = u32::from_le_bytes(*head);
     rest.iter().all(|byte| *byte == number as u8).then_some(number)
@@ -63,11 +63,11 @@
 
 impl Seen {
     /// Whether this may be found.
-    fn allows(&self, found: &Found) -> bool {
+    fn allows(&self, found: &Stored) -> bool {
         match found {
-            Found::Empty => self.saved == 0 && !self.spoilt,
-            Found::Spoilt => self.spoilt,
-            Found::State(_) => number(found).is_some_and(|n| (self.saved.max(1)..=self.begun).contains(&n)),
+            Stored::Empty => self.saved == 0 && !self.spoilt,
+            Stored::Corrupt => self.spoilt,
+            Stored::State(_) => number(found).is_some_and(|n| (self.saved.max(1)..=self.begun).contains(&n)),
         }
     }
 }
