--- a/data-plane/tests/rules/hive.rs
+++ b/data-plane/tests/rules/hive.rs
@@ -9,7 +9,7 @@
 use lupinledge_messaging::{
     encode, epoch_of_round, from_fixed, round_of_epoch, to_fixed, NameTotal, Node, WireMessage,
 };
-use lupinledge_operations::voter::{self, Out, Voter};
+use lupinledge_operations::voter::{self, Action, Voter};
 use lupinledge_operations::{Key, Message};
 use serde_bytes::ByteBuf;
 use std::cell::{Cell, RefCell};
@@ -102,14 +102,14 @@
 
 impl Holder {
     /// Lets the voter act; what it writes is on disk at once.
-    fn vote(&self, act: impl FnOnce(&mut Voter, f64, &mut Vec<Out>)) {
+    fn vote(&self, act: impl FnOnce(&mut Voter, f64, &mut Vec<Action>)) {
         let (mut voter, now, mut out) = (self.voter.borrow_mut(), self.gossip.now(), Vec::new());
         act(&mut voter, now, &mut out);
         while !out.is_empty() {
             for order in std::mem::take(&mut out) {
                 match order {
-                    Out::Send(to, message) => self.gossip.post().send(to, &WireMessage::Operation(message)),
-                    Out::Append { number, .. } => voter.saved(now, number, &mut out),
+                    Action::Send(to, message) => self.gossip.post().send(to, &WireMessage::Operation(message)),
+                    Action::Append { number, .. } => voter.on_saved(now, number, &mut out),
                 }
             }
         }
@@ -130,7 +130,7 @@
     fn voters(&self, members: &[Node]) {
         let index = self.electorate.get() + 1;
         self.electorate.set(index);
-        self.vote(|voter, now, out| voter.members(now, index, members, &[], out));
+        self.vote(|voter, now, out| voter.set_members(now, index, members, &[], out));
     }
 }
 
@@ -185,7 +185,7 @@
                         return;
                     }
                 }
-                return self.vote(|voter, now, out| voter.heard(now, from, message, out));
+                return self.vote(|voter, now, out| voter.on_message(now, from, message, out));
             }
             _ => return,
         };
@@ -245,7 +245,7 @@
 
 /// A voter that votes from the start.
 fn founder(me: Node) -> voter::Settings {
-    voter::Settings { me, seed: 1, founds: true, records_most: KEYS, answer_bytes_most: ANSWER_BYTES }
+    voter::Settings { me, seed: 1, founder: true, max_records: KEYS, max_answer_bytes: ANSWER_BYTES }
 }
 
 async fn run(
@@ -280,7 +280,7 @@
         preferred: RefCell::default(),
         votes,
     });
-    holder.vote(|voter, now, out| voter.saved(now, 1, out));
+    holder.vote(|voter, now, out| voter.on_saved(now, 1, out));
     holder.voters(&[gossip.me()]);
     let host: Rc<dyn Host> = holder.clone();
     gossip.set_host(Rc::downgrade(&host));
