--- a/data-plane/src/door.rs
+++ b/data-plane/src/door.rs
@@ -8,8 +8,8 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, AUTHORIZATION, CONNECTION, CONTENT_LENGTH, HOST, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
-use lupinledge::link::NewReq;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::NewRequest;
+use lupinledge::time::{Span, Timestamp};
 use lupinledge_config::config::RouteKind;
 use lupinledge_config::{Route, Tables, Tenant};
 use lupinledge_operations::{Fingerprint, Key};
@@ -70,7 +70,7 @@
 /// What is kept of a request's head until it is handed to a pool.
 #[derive(Clone)]
 struct Asked {
-    came: Point,
+    came: Timestamp,
     /// Seconds that it had then.
     left: f64,
     /// Where it falls between the parts of a split, from 0 to 1.
@@ -362,10 +362,10 @@
     route: &Route,
     tenant: Option<&Tenant>,
     asked: &Asked,
-) -> Option<(Rc<Exchange<Trail>>, NewReq)> {
+) -> Option<(Rc<Exchange<Trail>>, NewRequest)> {
     let service = route.choose(asked.split).and_then(|nth| tables.services().get(nth))?;
     let (pool, frontend, plan) = pools.pool(&service.name, route, tenant)?;
-    let new = NewReq {
+    let new = NewRequest {
         id: 0,
         frontend,
         repeat: false,
@@ -373,7 +373,7 @@
         customer: tenant.map_or(0, |t| t.customer),
         plan,
         spread: pools.spread(),
-        left: Span::from_secs(asked.left) - (pools.clock.now() - asked.came),
+        time_left: Span::from_secs(asked.left) - (pools.clock.now() - asked.came),
         zones: pools.zones(tables, route, tenant),
     };
     Some((pool, new))
@@ -387,7 +387,7 @@
     let tenant = tenant(&tables, route, asked.token.as_deref()).ok()?;
     let same_tenant = tenant.map(|t| &t.name) == before.map(|t| &t.name);
     let (pool, new) = place(pools, &tables, route, tenant, asked)?;
-    let may_go = same_tenant && pools.shut().0.is_none() && new.left > Span::ZERO;
+    let may_go = same_tenant && pools.shut().0.is_none() && new.time_left > Span::ZERO;
     may_go.then(|| pool.take(new, carried))
 }
 
--- a/data-plane/src/failures.rs
+++ b/data-plane/src/failures.rs
@@ -2,7 +2,7 @@
 //! requests fail alike: of each status a few are told a second, and the next line says how many were not.
 
 use hyper::StatusCode;
-use lupinledge::time::{Point, Span};
+use lupinledge::time::{Span, Timestamp};
 use lupinledge_proxy::exchange::Attempt;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
 
 impl Failures {
     /// Writes a line for it, unless enough were written this second.
-    pub fn tell(&self, now: Point, failure: &Failure) {
+    pub fn tell(&self, now: Timestamp, failure: &Failure) {
         let Some(untold) = self.turn(now.secs() as u64, failure.status.as_u16()) else { return };
         let id = String::from_utf8_lossy(&failure.id[..failure.id.len().min(ID_BYTES)]).into_owned();
         let (status, took_ms) = (failure.status.as_u16(), (failure.took.secs() * 1e3) as u64);
--- a/data-plane/src/failures/tests.rs
+++ b/data-plane/src/failures/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use lupinledge::link::Outcome;
+use lupinledge::interface::Outcome;
 
 /// A burst of one status is cut, tells of what was cut in the next second, and leaves other statuses alone.
 #[test]
--- a/data-plane/src/ledger.rs
+++ b/data-plane/src/ledger.rs
@@ -3,7 +3,7 @@
 //! mends one that was lost, and a new holder is told at once what the one before knew from here.
 
 use crate::wire::Trail;
-use lupinledge::link::Outcome;
+use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
 use lupinledge_counters::calls::Calls;
 use lupinledge_counters::own::Own;
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -4,9 +4,9 @@
 use crate::ledger::Ledger;
 use crate::terms::{lines, stray, terms, Lines, Places, World};
 use crate::wire::Trail;
-use lupinledge::link::{ListKind, SrvRow, SrvState};
-use lupinledge::tables::Basis;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::{ListKind, ServerEntry, ServerState};
+use lupinledge::state::Basis;
+use lupinledge::time::{Span, Timestamp};
 use lupinledge_config::{Part, Route, Settings, Tables, Tenant};
 use lupinledge_gossip::metrics::Line;
 use lupinledge_messaging::list::{List, Row};
@@ -54,10 +54,10 @@
     /// Pools of services that are in no configuration any more, until their requests are over.
     retired: Vec<Pool>,
     /// When the warm-up of a server began, of those that were met cold.
-    born: HashMap<String, Point>,
+    born: HashMap<String, Timestamp>,
     /// Zones taken back, the list that was known then, and until when their servers may be cold without a list
     /// having told so.
-    unsure: HashMap<String, ((u64, u64), Point)>,
+    unsure: HashMap<String, ((u64, u64), Timestamp)>,
 }
 
 /// See the module.
@@ -285,7 +285,7 @@
         let ends = now.secs() + f64::from(r.warm_left);
         let known = w.born.get(&r.id).map(|b| b.secs() + whole);
         if known.is_none_or(|k| ends > k + COLD_AGAIN) {
-            w.born.insert(r.id.clone(), Point::from_secs(ends - whole));
+            w.born.insert(r.id.clone(), Timestamp::from_secs(ends - whole));
         }
     }
 
@@ -301,7 +301,7 @@
         }
     }
 
-    fn open(&self, terms: lupinledge::link::Terms) -> Pool {
+    fn open(&self, terms: lupinledge::interface::Terms) -> Pool {
         let exchange: Rc<Exchange<Trail>> = Exchange::new(terms, self.clock, self.counters.clone());
         let bounds = SrvBounds {
             connect_wait: Duration::from_millis(400),
@@ -331,10 +331,11 @@
                     || r.draining
                     || w.tables.evacuated(&r.zone)
                     || w.unsure.contains_key(&r.zone);
-                let state = if shut { SrvState::Draining } else { SrvState::Ready };
+                let state = if shut { ServerState::Draining } else { ServerState::Ready };
                 // one met warm has been so for ever
-                let born = Some(w.born.get(&r.id).copied().unwrap_or(Point::from_secs(0.0)));
-                let row = SrvRow { srv: 0, zone, cell: 0, state, weight: f64::from(r.slots), born };
+                let started_at = Some(w.born.get(&r.id).copied().unwrap_or(Timestamp::from_secs(0.0)));
+                let row =
+                    ServerEntry { server: 0, zone, cell: 0, state, weight: f64::from(r.slots), started_at };
                 Some(Entry { name: r.id.clone(), addr: r.address, row })
             };
             let rows = w.list.rows.iter().filter(|r| r.service == *service);
--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -1,7 +1,7 @@
 //! From the operator's tables and the settings to the terms of the decisions. Frontends are routes and plans are
 //! tenants; each keeps its place for as long as it is in the configuration.
 
-use lupinledge::link::{Effect, Frontend, Group, Plan, Terms};
+use lupinledge::interface::{DedupScope, Effect, Frontend, Plan, Terms};
 use lupinledge::time::Span;
 use lupinledge_config::config::RouteKind;
 use lupinledge_config::{Part, Route, Service, Settings, Tables, Tenant};
@@ -89,7 +89,7 @@
             // a repeat under the same key is claimed before it comes here; each request is sent once
             RouteKind::NonIdempotent | RouteKind::Keyed => Effect::NonReplayable,
         },
-        group: Group::All,
+        group: DedupScope::All,
         memory: Span::ZERO,
         target: Span::from_secs(r.target.min(r.timeout)),
         late_value: 0.3 * value,
@@ -116,7 +116,7 @@
 /// Of a place that no route has.
 const NOWHERE: Frontend = Frontend {
     effect: Effect::NonReplayable,
-    group: Group::All,
+    group: DedupScope::All,
     memory: Span::ZERO,
     target: Span::millis(1000),
     late_value: 0.0,
@@ -171,7 +171,7 @@
     let route = tables.routes().iter().find(|r| same(r).is_none()).map(|r| (Part::Routes, r.name.clone()));
     let tenant =
         || tables.tenants().iter().find(|c| kept(c).is_none()).map(|c| (Part::Tenants, c.name.clone()));
-    let budget = t.further.map(|f| f.0) != Some(0.9 * s.bounds.retry_ratio);
+    let budget = t.retry_budget.map(|f| f.0) != Some(0.9 * s.bounds.retry_ratio);
     route.or_else(tenant).or_else(|| budget.then(|| (Part::Limits, "retry_ratio".into())))
 }
 
@@ -204,7 +204,7 @@
         plans: lines.1.clone(),
         counter: true,
         count_wait: Span::millis(350),
-        largest: 1.0,
+        max_units: 1.0,
         may_duplicate: true,
         may_cancel: true,
         may_hint: true,
@@ -212,10 +212,10 @@
         warm_after: Span::from_secs(service.warmup_s.max(0.001)),
         fall_window: Span::from_secs(4.0),
         regions: w.regions.clone(),
-        start_each: PLACES_PER_SERVER,
-        further: Some((0.9 * b.retry_ratio, 0.45 * b.retry_slack * each)),
-        cold_sends: Some(0.45 * bound * each),
-        patient: true,
+        start_limit: PLACES_PER_SERVER,
+        retry_budget: Some((0.9 * b.retry_ratio, 0.45 * b.retry_slack * each)),
+        cold_send_rate: Some(0.45 * bound * each),
+        awaits_late_answers: true,
         window: Some(WINDOW),
         ..Terms::default()
     }
--- a/data-plane/src/terms/tests.rs
+++ b/data-plane/src/terms/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use lupinledge::control::Control;
-use lupinledge::link::{Action, Ended, Event, ListKind, NewReq, Outcome, SrvRow, SrvState};
-use lupinledge::time::Point;
+use lupinledge::interface::{Action, Ended, Event, ListKind, NewRequest, Outcome, ServerEntry, ServerState};
+use lupinledge::time::Timestamp;
 use std::collections::BTreeMap;
 
 /// What gateways may do by themselves adds up to less than the rules allow all of them, however many there are,
@@ -15,9 +15,9 @@
     let service = Service { name, health_path, max_conns: 9, warmup_s: 3.0, warmup_per_s: 4.0 };
     for gateways in [1, 2, 9, 60] {
         let t = terms(&s, &World::new(&s, 1), (0, &service), gateways, &Lines::default());
-        let (all, (ratio, slack)) = (gateways as f64, t.further.unwrap());
+        let (all, (ratio, slack)) = (gateways as f64, t.retry_budget.unwrap());
         assert!(ratio < s.bounds.retry_ratio && 2.0 * all * slack < s.bounds.retry_slack);
-        assert!(2.0 * all * t.cold_sends.unwrap() < 4.0 * s.bounds.warmup_excess + s.bounds.warmup_slack);
+        assert!(2.0 * all * t.cold_send_rate.unwrap() < 4.0 * s.bounds.warmup_excess + s.bounds.warmup_slack);
     }
     for (rate, burst) in [(1.0, 0.0), (2.0, 2.0), (61.0, 61.0), (900.0, 400.0)] {
         let (name, homes) = ("t".to_string(), Vec::new());
@@ -104,17 +104,25 @@
     }
 
     fn servers(&mut self, at: u64, servers: std::ops::RangeInclusive<u32>) {
-        let row = |srv| SrvRow { srv, zone: 0, cell: 0, state: SrvState::Ready, weight: 4.0, born: None };
+        let row = |server| ServerEntry {
+            server,
+            zone: 0,
+            cell: 0,
+            state: ServerState::Ready,
+            weight: 4.0,
+            started_at: None,
+        };
         self.event(at, Event::List { kind: ListKind::Full, rows: servers.map(row).collect() });
     }
 
     /// A request each so many milliseconds.
     fn requests(&mut self, between: u64, until: u64) {
         for (id, at) in (1..).zip((between..until).step_by(between as usize)) {
-            let left = Span::millis(DEADLINE_MS as i64);
+            let time_left = Span::millis(DEADLINE_MS as i64);
             let (frontend, plan, customer, zones) = (0, 0, 0, u64::MAX);
             let (repeat, units, spread) = (false, 1.0, 1.0);
-            let request = NewReq { id, frontend, repeat, units, customer, plan, spread, left, zones };
+            let request =
+                NewRequest { id, frontend, repeat, units, customer, plan, spread, time_left, zones };
             self.event(at, Event::Req(request));
         }
     }
@@ -125,15 +133,15 @@
         while self.due.first_key_value().is_some_and(|(now, _)| *now < until) {
             let Some((now, events)) = self.due.pop_first() else { break };
             let mut actions = Vec::new();
-            self.control.round(Point::from_secs(now as f64 / 1e3), events, &mut actions);
+            self.control.round(Timestamp::from_secs(now as f64 / 1e3), events, &mut actions);
             for action in actions {
                 match action {
-                    Action::Dispatch { id, srv, .. } => {
+                    Action::Dispatch { id, server, .. } => {
                         outcomes.sent += 1;
-                        *outcomes.sent_to.entry(srv).or_default() += 1;
-                        let answered_after = answered_after(srv);
-                        let (took, how) = (Span::millis(answered_after as i64), Outcome::Passed);
-                        let ended = Ended { id, nth: 0, how, took, closed: true, billed: 0.0 };
+                        *outcomes.sent_to.entry(server).or_default() += 1;
+                        let answered_after = answered_after(server);
+                        let (took, outcome) = (Span::millis(answered_after as i64), Outcome::Passed);
+                        let ended = Ended { id, nth: 0, outcome, took, closed: true, billed: 0.0 };
                         self.event(now + answered_after, Event::Ended(ended, Vec::new()));
                     }
                     Action::Timer { after, token } => {
--- a/data-plane/src/wire.rs
+++ b/data-plane/src/wire.rs
@@ -6,7 +6,7 @@
 use hyper::header::{AUTHORIZATION, CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, EXPECT, TE, TRAILER};
 use hyper::header::{TRANSFER_ENCODING, UPGRADE};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use lupinledge::link::Outcome;
+use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
 use lupinledge_proxy::exchange::{Back, Dispatch, Wire};
 use lupinledge_proxy::srvs::ServerWire;
--- a/gateway-settings/src/lib.rs
+++ b/gateway-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings text of a gateway, decoded into the module's terms and into what a host on sockets needs
 //! beside them. Unknown keys are skipped.
 
-use lupinledge::link::{Effect, Frontend, Group, Plan, Terms};
+use lupinledge::interface::{DedupScope, Effect, Frontend, Plan, Terms};
 use lupinledge::time::Span;
 use serde_json::Value;
 
@@ -41,15 +41,15 @@
 fn frontend(p: &Part, max_dispatches: u32) -> Result<Frontend, String> {
     let effect = match p.word("effect")? {
         "repeatable" => Effect::Replayable,
-        "by_key" => Effect::Uniqued,
+        "by_key" => Effect::Deduplicated,
         "once" => Effect::NonReplayable,
         w => return Err(format!("unknown effect `{w}`")),
     };
-    let uniqued = effect == Effect::Uniqued;
+    let uniqued = effect == Effect::Deduplicated;
     let group = match if uniqued { p.word("group")? } else { "all" } {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
         w => return Err(format!("unknown group `{w}`")),
     };
     Ok(Frontend {
@@ -87,7 +87,7 @@
 
 /// What the module never sees: the names used outside, and figures of the connections.
 #[derive(Clone, Debug)]
-pub struct Outside {
+pub struct HostSettings {
     pub frontends: Vec<String>,
     pub plans: Vec<String>,
     pub zones: Vec<String>,
@@ -100,13 +100,13 @@
     terms(seed, &serde_json::from_slice(text).map_err(|e| e.to_string())?)
 }
 
-pub fn outside(v: &Value) -> Result<Outside, String> {
+pub fn host_settings(v: &Value) -> Result<HostSettings, String> {
     let limits = Part::of(v, "limits")?;
     let names = |key| -> Result<Vec<String>, String> {
         list(v, key)?.iter().map(|p| Ok(p.word("name")?.to_string())).collect()
     };
     let zone = |z: &Value| z.as_str().map(str::to_string).ok_or("`zones` has an entry that is no text");
-    Ok(Outside {
+    Ok(HostSettings {
         frontends: names("classes")?,
         plans: names("packages")?,
         zones: zones(v)?.iter().map(zone).collect::<Result<_, _>>()?,
@@ -142,11 +142,11 @@
         plans: list(v, "packages")?.iter().map(plan).collect::<Result<_, _>>()?,
         counter: fam.flag("sharedCounter")?,
         count_wait: fam.span("countWait")?,
-        largest: fam.num("largest")?,
-        settles: fam.flag("costAfter")?,
+        max_units: fam.num("largest")?,
+        bills_after: fam.flag("costAfter")?,
         peers: limits.flag("peers")?,
         peer_intake: fam.num("peerIntake")?,
-        ask_list: top.word("discovery")? == "on_request",
+        list_on_request: top.word("discovery")? == "on_request",
         may_duplicate: limits.flag("mayDuplicate")?,
         may_cancel: limits.flag("mayCancel")?,
         may_hint: limits.flag("retryAfter")?,
@@ -156,7 +156,7 @@
         fall_multiple: rules.num("fallMultiple")?,
         fall_window: rules.span("tipAfter")?,
         marks_repeats: marks_repeats(v)?,
-        start_each: 3.0,
+        start_limit: 3.0,
         ..Terms::default()
     })
 }
--- a/gateway/src/program/start.rs
+++ b/gateway/src/program/start.rs
@@ -62,7 +62,7 @@
         log::info!("watching for settings to come: decided as before, counted as watch.*");
         exchange.observe(Box::new(Watched::new(to_come, counters.clone())));
     }
-    let wire = Edge { largest: told.terms.largest };
+    let wire = Edge { largest: told.terms.max_units };
     let srvs = Srvs::new(&exchange, wire, srv::bounds(&told.outside), Share::of(srv_places));
     let connect_wait = duration(told.outside.connect_wait);
     let counter = told.counter.map(|a| Counter::start(&exchange, a, told.terms.count_wait, connect_wait));
--- a/gateway/src/program/told.rs
+++ b/gateway/src/program/told.rs
@@ -1,8 +1,8 @@
 //! What the gateway is told at its start: the configuration file named by the environment.
 
 use crate::protocol::discovery::{Members, WireMembers};
-use lupinledge::link::Terms;
-use lupinledge_gateway_settings::Outside;
+use lupinledge::interface::Terms;
+use lupinledge_gateway_settings::HostSettings;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
     pub terms: Terms,
     /// Terms to come, for the program to watch: it decides by those in force and counts where these differ.
     pub watch: Option<Terms>,
-    pub outside: Outside,
+    pub outside: HostSettings,
     pub known: Option<Members>,
 }
 
@@ -46,7 +46,8 @@
     let terms = lupinledge_gateway_settings::terms(seed, settings).map_err(|e| format!("`settings`: {e}"))?;
     let watch = v.get("watch").filter(|w| !w.is_null()).map(|w| to_come(seed, settings, w, &terms));
     let watch = watch.transpose().map_err(|e| format!("`watch`: {e}"))?;
-    let outside = lupinledge_gateway_settings::outside(settings).map_err(|e| format!("`settings`: {e}"))?;
+    let outside =
+        lupinledge_gateway_settings::host_settings(settings).map_err(|e| format!("`settings`: {e}"))?;
     let known = match v.get("known").filter(|k| !k.is_null()) {
         None => None,
         Some(k) => {
--- a/gateway/src/program/watched.rs
+++ b/gateway/src/program/watched.rs
@@ -1,7 +1,7 @@
 //! The watch of terms to come, shown each round, and its counts among the program's.
 
-use lupinledge::link::{Action, Event, Terms};
-use lupinledge::time::Point;
+use lupinledge::interface::{Action, Event, Terms};
+use lupinledge::time::Timestamp;
 use lupinledge_proxy::counters::Counters;
 use lupinledge_proxy::exchange::Observer;
 use lupinledge_shadow::{Kind, Watch};
@@ -24,10 +24,10 @@
 }
 
 impl Observer for Watched {
-    fn events(&mut self, now: Point, events: &[Event]) {
+    fn events(&mut self, now: Timestamp, events: &[Event]) {
         self.watch.events(now, events);
     }
-    fn actions(&mut self, now: Point, actions: &[Action]) {
+    fn actions(&mut self, now: Timestamp, actions: &[Action]) {
         self.watch.actions(now, actions);
         for ((_, n), kind) in self.counters.further.borrow_mut().iter_mut().zip(Kind::ALL) {
             *n = self.watch.count(kind);
--- a/gateway/src/protocol/client.rs
+++ b/gateway/src/protocol/client.rs
@@ -6,9 +6,9 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderName, HeaderValue, ALLOW, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode};
-use lupinledge::link::{Effect, NewReq};
+use lupinledge::interface::{Effect, NewRequest};
 use lupinledge::time::Span;
-use lupinledge_gateway_settings::Outside;
+use lupinledge_gateway_settings::HostSettings;
 use lupinledge_proxy::clients::{bare, say, text, whole, Answering, ClientBounds, Reply, Unread};
 use lupinledge_proxy::exchange::Answer;
 use lupinledge_proxy::transport::heads::Heads;
@@ -44,13 +44,13 @@
 /// Reads clients' reqs and answers them by the exchange.
 pub struct Front {
     exchange: Rc<Exchange>,
-    outside: Outside,
+    outside: HostSettings,
     ready: Cell<bool>,
     closing: Cell<bool>,
 }
 
 impl Front {
-    pub fn new(exchange: Rc<Exchange>, outside: Outside) -> Rc<Front> {
+    pub fn new(exchange: Rc<Exchange>, outside: HostSettings) -> Rc<Front> {
         Rc::new(Front { exchange, outside, ready: Cell::new(false), closing: Cell::new(false) })
     }
 
@@ -59,7 +59,7 @@
         self.ready.set(true);
     }
 
-    async fn read(&self, req: Request<Incoming>, whole_by: Instant) -> Result<(NewReq, Carried), Reply> {
+    async fn read(&self, req: Request<Incoming>, whole_by: Instant) -> Result<(NewRequest, Carried), Reply> {
         let (mut head, body) = req.into_parts();
         let frontend = head.uri.path().split('/').nth(1).unwrap_or_default();
         let known = self.outside.frontends.iter().position(|f| f == frontend);
@@ -76,7 +76,7 @@
         let id = head.headers.get(&REQ_ID).filter(|id| !id.is_empty()).cloned();
         let id = id.ok_or_else(|| malformed("X-Request-Id: missing"))?;
         let key = head.headers.remove(&REQ_KEY).filter(|k| !k.is_empty());
-        if effect == Effect::Uniqued && key.is_none() {
+        if effect == Effect::Deduplicated && key.is_none() {
             return Err(malformed("Idempotency-Key: missing"));
         }
         let customer = head.uri.query().and_then(|q| q.split('&').find_map(|p| p.strip_prefix("client=")));
@@ -93,7 +93,7 @@
         let left = left.min(terms.frontends[frontend].timeout.secs());
         let quota = text(&head.headers, &QUOTA).unwrap_or_default();
         // past what one req can have, it would spoil the count of whose name it bears
-        let units = part(quota, "units").filter(|u| *u > 0.0 && *u <= terms.largest);
+        let units = part(quota, "units").filter(|u| *u > 0.0 && *u <= terms.max_units);
         let units = units.ok_or_else(|| malformed("Quota-Info: no units"))?;
         let gateways = terms.gateways as f64;
         let number = |name| part(quota, name).filter(|n| n.fract() == 0.0);
@@ -108,7 +108,7 @@
             let whole_by = whole_by.min(Instant::now() + Duration::from_secs_f64(left));
             timeout_at(whole_by, whole(body, LARGEST_BODY)).await.map_err(late)?.map_err(refuse)?
         };
-        let new = NewReq {
+        let new = NewRequest {
             id: 0,
             frontend,
             repeat: text(&head.headers, &REPEAT) == Some("1"),
@@ -116,7 +116,7 @@
             customer,
             plan,
             spread,
-            left: Span::from_secs(left),
+            time_left: Span::from_secs(left),
             zones: u64::MAX,
         };
         Ok((new, Carried { method: head.method, uri: head.uri, id, key, body }))
@@ -150,7 +150,7 @@
             }
         };
         let spent = self.exchange.clock.now() - came;
-        let new = NewReq { left: new.left - spent, ..new };
+        let new = NewRequest { time_left: new.time_left - spent, ..new };
         match self.exchange.take(new, carried).answer().await {
             Answer::Passed(made) => {
                 let mut reply = Response::new(Full::new(made.body));
--- a/gateway/src/protocol/counter.rs
+++ b/gateway/src/protocol/counter.rs
@@ -4,7 +4,7 @@
 use super::resp::{read_reply, write_call, Reply};
 use super::srv::Edge;
 use super::Exchange;
-use lupinledge::link::Outcome;
+use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
 use lupinledge_proxy::clock::duration;
 use lupinledge_proxy::exchange::{CounterSide, Meeting};
--- a/gateway/src/protocol/discovery.rs
+++ b/gateway/src/protocol/discovery.rs
@@ -7,8 +7,8 @@
 use hyper::header::{HeaderValue, HOST};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use lupinledge::link::{ListKind, SrvRow, SrvState};
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::{ListKind, ServerEntry, ServerState};
+use lupinledge::time::{Span, Timestamp};
 use lupinledge_proxy::clock::duration;
 use lupinledge_proxy::exchange::Entry;
 use lupinledge_proxy::transport::dial::dial;
@@ -78,22 +78,22 @@
 impl WireMember {
     fn entry(self, zones: &[String]) -> Result<Entry, String> {
         let state = match self.lifecycle.as_str() {
-            "active" => SrvState::Ready,
-            "leaving" => SrvState::Draining,
-            "left" => SrvState::Gone,
-            _ => SrvState::Draining, // whatever it is in, it does not say that it takes new work
+            "active" => ServerState::Ready,
+            "leaving" => ServerState::Draining,
+            "left" => ServerState::Gone,
+            _ => ServerState::Draining, // whatever it is in, it does not say that it takes new work
         };
         let addr = self.host_port.parse::<SocketAddr>();
         let addr = addr.map_err(|_| format!("`hostPort`: `{}` is no address", self.host_port))?;
         let born = self.started_at_ms.filter(|ms| *ms > 0);
         let zone = zones.iter().position(|z| Some(z) == self.zone.as_ref());
-        let row = SrvRow {
-            srv: 0,
+        let row = ServerEntry {
+            server: 0,
             zone: zone.map_or(u16::MAX, |z| z as u16),
             cell: self.cell.unwrap_or_default(),
             state,
             weight: self.weight.unwrap_or(1.0),
-            born: born.map(|ms| Point::default() + Span::millis(ms as i64)),
+            started_at: born.map(|ms| Timestamp::default() + Span::millis(ms as i64)),
         };
         Ok(Entry { name: self.instance_id, addr, row })
     }
--- a/gateway/src/protocol/srv.rs
+++ b/gateway/src/protocol/srv.rs
@@ -5,9 +5,9 @@
 use http_body_util::Full;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_LENGTH, CONTENT_TYPE, HOST};
 use hyper::{Request, Response, StatusCode};
-use lupinledge::link::Outcome;
+use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
-use lupinledge_gateway_settings::Outside;
+use lupinledge_gateway_settings::HostSettings;
 use lupinledge_proxy::clock::duration;
 use lupinledge_proxy::exchange::{Back, Dispatch, Wire};
 use lupinledge_proxy::srvs::{ServerWire, SrvBounds};
@@ -31,7 +31,7 @@
 const REST: Duration = Duration::from_millis(3);
 
 /// The bounds on connections to srvs.
-pub fn bounds(outside: &Outside) -> SrvBounds {
+pub fn bounds(outside: &HostSettings) -> SrvBounds {
     let connect_wait = duration(outside.connect_wait);
     SrvBounds {
         connect_wait,
--- a/proxy/src/clock.rs
+++ b/proxy/src/clock.rs
@@ -1,6 +1,6 @@
 //! Unix time that never goes back: the system's clock read once, then the monotonic one.
 
-use lupinledge::time::{Point, Span};
+use lupinledge::time::{Span, Timestamp};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Copies go on from the same reading.
@@ -21,11 +21,11 @@
         Clock { unix: Duration::from_secs_f64(secs.clamp(0.0, 1e12)), at: Instant::now() }
     }
     /// Unix time.
-    pub fn now(&self) -> Point {
-        Point::from_secs((self.unix + self.at.elapsed()).as_secs_f64())
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_secs((self.unix + self.at.elapsed()).as_secs_f64())
     }
     /// The instant of a point; one that is past is now.
-    pub fn instant(&self, p: Point) -> tokio::time::Instant {
+    pub fn instant(&self, p: Timestamp) -> tokio::time::Instant {
         tokio::time::Instant::now() + duration(p - self.now())
     }
 }
--- a/proxy/src/counters.rs
+++ b/proxy/src/counters.rs
@@ -1,6 +1,6 @@
 //! What was taken in, sent and answered, counted by outcome; printed on SIGUSR1 and at exit.
 
-use lupinledge::link::Outcome;
+use lupinledge::interface::Outcome;
 use std::cell::{Cell, RefCell};
 use std::fmt;
 
--- a/proxy/src/exchange.rs
+++ b/proxy/src/exchange.rs
@@ -8,9 +8,11 @@
 use crate::counters::Counters;
 use crate::ids::Ids;
 use lupinledge::control::Control;
-use lupinledge::link::{Action, Ended, Event, ListKind, NewReq, Outcome, SrvRow, SrvState, Terms};
-use lupinledge::tables::Basis;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::{
+    Action, Ended, Event, ListKind, NewRequest, Outcome, ServerEntry, ServerState, Terms,
+};
+use lupinledge::state::Basis;
+use lupinledge::time::{Span, Timestamp};
 use lupinledge_invariants::{check, Invariant};
 use promises::{may_have_run, Promises};
 use servers::Servers;
@@ -53,7 +55,7 @@
     /// The srv's address by the last list.
     pub addr: SocketAddr,
     /// When it has to be over.
-    pub until: Point,
+    pub until: Timestamp,
     /// Shared with its req's other dispatches.
     pub carried: Rc<W::Carried>,
 }
@@ -100,9 +102,9 @@
 /// Shown the events and actions of each round; changes neither.
 pub trait Observer {
     /// Before the decisions play them.
-    fn events(&mut self, now: Point, events: &[Event]);
+    fn events(&mut self, now: Timestamp, events: &[Event]);
     /// Before they are carried out.
-    fn actions(&mut self, now: Point, actions: &[Action]);
+    fn actions(&mut self, now: Timestamp, actions: &[Action]);
 }
 
 /// A srv's entry in the list, by its outside name.
@@ -112,7 +114,7 @@
     /// Where it takes connections.
     pub addr: SocketAddr,
     /// The rest, for the decisions; the index in it is the exchange's to fill.
-    pub row: SrvRow,
+    pub row: ServerEntry,
 }
 
 /// How one dispatch of a request ended, for the log of a failed request.
@@ -128,7 +130,7 @@
 
 struct Out {
     srv: u32,
-    sent: Point,
+    sent: Timestamp,
     stop: Stop,
     /// Its first byte may have gone to the srv.
     begun: bool,
@@ -139,7 +141,7 @@
     carried: Rc<W::Carried>,
     /// The last srv's own answer that tells of a failure.
     failed: Option<W::Made>,
-    ends: Point,
+    ends: Timestamp,
     tries: Vec<Option<Out>>,
     /// A first byte of it went to a srv.
     begun: bool,
@@ -166,7 +168,7 @@
     unanswered: Cell<usize>,
     srvs: RefCell<Servers>,
     listed: Cell<bool>,
-    timer: Cell<Option<Point>>,
+    timer: Cell<Option<Timestamp>>,
     woken: Notify,
     answered: Notify,
     server_side: RefCell<Option<Rc<dyn ServerSide<W>>>>,
@@ -269,14 +271,14 @@
     }
 
     /// A req from the client side; ids from outside stop here.
-    pub fn take(self: &Rc<Self>, mut req: NewReq, carried: W::Carried) -> Ticket<W> {
+    pub fn take(self: &Rc<Self>, mut req: NewRequest, carried: W::Carried) -> Ticket<W> {
         let id = self.taken.get() + 1;
         self.taken.set(id);
         req.id = id;
         self.counters.taken.up();
         self.unanswered.set(self.unanswered.get() + 1);
         let (answer, wait) = oneshot::channel();
-        let ends = self.clock.now() + req.left;
+        let ends = self.clock.now() + req.time_left;
         let promises = Promises::of(&req, &self.terms.borrow());
         let open = Open {
             answer: Some(answer),
@@ -402,7 +404,7 @@
         }
         let closed = self.open.borrow().get(&req).is_none_or(|o| o.answer.is_none());
         let took = self.clock.now() - out.sent;
-        let end = Ended { id: req, nth, how: back.how, took, closed, billed: back.billed };
+        let end = Ended { id: req, nth, outcome: back.how, took, closed, billed: back.billed };
         self.tell(Event::Ended(end, back.load));
         self.done.borrow_mut().push(req);
     }
@@ -425,9 +427,9 @@
 
     /// The end of a counter's call, from the counter side: with `Passed` the name's new total, and what is left of the
     /// customer's quota where the counter keeps that.
-    pub fn counted(&self, name: u64, total: f64, level: Option<f64>, how: Outcome) {
-        self.counters.counter_call.up(how);
-        self.tell(Event::Counted { name, total, level, how });
+    pub fn counted(&self, name: u64, total: f64, level: Option<f64>, outcome: Outcome) {
+        self.counters.counter_call.up(outcome);
+        self.tell(Event::Counted { name, total, level, outcome });
     }
 
     /// News of the list, from discovery.
@@ -444,9 +446,10 @@
                 if s.addr != e.addr {
                     stale.push(i);
                 }
-                (s.addr, s.born, s.zone) = (e.addr, e.row.born.or(s.born), e.row.zone);
-                (s.takes_new, s.listed) = (e.row.state == SrvState::Ready, e.row.state != SrvState::Gone);
-                rows.push(SrvRow { srv: i, born: s.born, ..e.row });
+                (s.addr, s.born, s.zone) = (e.addr, e.row.started_at.or(s.born), e.row.zone);
+                (s.takes_new, s.listed) =
+                    (e.row.state == ServerState::Ready, e.row.state != ServerState::Gone);
+                rows.push(ServerEntry { server: i, started_at: s.born, ..e.row });
             }
             stale.extend(srvs.by_index.iter().filter(|(_, s)| !s.listed).map(|(i, _)| *i));
             self.listed.set(self.listed.get() || !srvs.by_index.is_empty());
@@ -486,7 +489,7 @@
         }
     }
 
-    fn round(&self, now: Point, events: Vec<Event>) {
+    fn round(&self, now: Timestamp, events: Vec<Event>) {
         self.counters.rounds.up();
         let mut actions = Vec::new();
         if let Some(o) = &mut *self.observer.borrow_mut() {
@@ -498,7 +501,7 @@
         }
         for action in actions {
             match action {
-                Action::Dispatch { id, srv, limit } => self.dispatch(now, id, srv, limit),
+                Action::Dispatch { id, server, limit } => self.dispatch(now, id, server, limit),
                 Action::Deny { id, back_off } => {
                     self.answer(id, Answer::Denied(back_off));
                     self.done.borrow_mut().push(id);
@@ -518,9 +521,9 @@
                 }
                 // one timer, as the decisions keep one: a new one is always the earlier
                 Action::Timer { after, .. } => self.timer.set(Some(now + after)),
-                Action::Close { srv } => {
-                    let server = self.server_side.borrow().clone();
-                    server.iter().for_each(|s| s.close_idle(srv));
+                Action::Close { server } => {
+                    let side = self.server_side.borrow().clone();
+                    side.iter().for_each(|s| s.close_idle(server));
                 }
                 Action::Note { text } => log::info!("note {text}"),
                 // the list is always watched here; probes and talk with peers have no place on these sockets
@@ -531,7 +534,7 @@
         self.forget_done();
     }
 
-    fn dispatch(&self, now: Point, id: u64, srv: u32, limit: Span) {
+    fn dispatch(&self, now: Timestamp, id: u64, srv: u32, limit: Span) {
         self.counters.dispatches.up();
         let mut open = self.open.borrow_mut();
         let Some(o) = open.get_mut(&id) else { return };
@@ -566,7 +569,7 @@
         self.counters.dispatch.up(Outcome::Cancelled);
         let closed = self.open.borrow().get(&id).is_none_or(|o| o.answer.is_none());
         let took = self.clock.now() - out.sent;
-        let end = Ended { id, nth, how: Outcome::Cancelled, took, closed, billed: 0.0 };
+        let end = Ended { id, nth, outcome: Outcome::Cancelled, took, closed, billed: 0.0 };
         log::debug!("cancelled {id}/{nth} at srv {}", out.srv);
         self.tell(Event::Ended(end, Vec::new()));
         self.done.borrow_mut().push(id);
--- a/proxy/src/exchange/promises.rs
+++ b/proxy/src/exchange/promises.rs
@@ -1,6 +1,6 @@
 //! The invariants of one request, checked as its dispatches begin and end.
 
-use lupinledge::link::{Effect, NewReq, Outcome, Terms};
+use lupinledge::interface::{Effect, NewRequest, Outcome, Terms};
 use lupinledge_invariants::{check, Invariant};
 
 /// What has to hold for one request, whatever the decisions say; see [`Invariant`].
@@ -18,7 +18,7 @@
 }
 
 impl Promises {
-    pub fn of(req: &NewReq, terms: &Terms) -> Promises {
+    pub fn of(req: &NewRequest, terms: &Terms) -> Promises {
         let frontend = terms.frontends.get(req.frontend);
         Promises {
             once: frontend.is_some_and(|f| f.effect == Effect::NonReplayable),
--- a/proxy/src/exchange/servers.rs
+++ b/proxy/src/exchange/servers.rs
@@ -1,7 +1,7 @@
 //! The servers of the list by the index that the decisions know them by.
 
 use super::Entry;
-use lupinledge::time::Point;
+use lupinledge::time::Timestamp;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
     pub takes_new: bool,
     pub listed: bool,
     /// Its start as far as the list or its address tells.
-    pub born: Option<Point>,
+    pub born: Option<Timestamp>,
     /// Dispatches that have not ended.
     pub out: usize,
 }
@@ -30,7 +30,7 @@
 
 impl Servers {
     /// A new srv at the address of another one has started since, whatever the list says of its start.
-    pub fn enter(&mut self, e: &Entry, now: Point) -> u32 {
+    pub fn enter(&mut self, e: &Entry, now: Timestamp) -> u32 {
         if let Some(&i) = self.by_name.get(e.name.as_str()) {
             return i;
         }
--- a/proxy/src/exchange/tests.rs
+++ b/proxy/src/exchange/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use lupinledge::link::Effect;
+use lupinledge::interface::Effect;
 
 struct Words;
 
@@ -32,15 +32,15 @@
     x
 }
 
-fn entry(name: &str, port: u16, state: SrvState) -> Entry {
-    let row = SrvRow { srv: 0, zone: 0, cell: 0, state, weight: 1.0, born: None };
+fn entry(name: &str, port: u16, state: ServerState) -> Entry {
+    let row = ServerEntry { server: 0, zone: 0, cell: 0, state, weight: 1.0, started_at: None };
     Entry { name: name.to_string(), addr: ([127, 0, 0, 1], port).into(), row }
 }
 
 fn take(x: &Rc<Exchange<Words>>) -> Ticket<Words> {
-    let left = Span::from_secs(1.0);
+    let time_left = Span::from_secs(1.0);
     let (repeat, units, customer, plan, spread, zones) = (false, 1.0, 1, 2, 1.0, u64::MAX);
-    x.take(NewReq { id: 0, frontend: 0, repeat, units, customer, plan, spread, left, zones }, ())
+    x.take(NewRequest { id: 0, frontend: 0, repeat, units, customer, plan, spread, time_left, zones }, ())
 }
 
 /// Srvs replaced all day by new ones at the same address leave nothing behind, except where a dispatch is
@@ -48,15 +48,17 @@
 #[test]
 fn replaced_srvs_are_forgotten() {
     let x = exchange();
-    x.list(ListKind::Full, vec![entry("0", 1, SrvState::Ready)]);
+    x.list(ListKind::Full, vec![entry("0", 1, ServerState::Ready)]);
     play(&x);
     let ticket = take(&x);
     play(&x);
     for n in 1..200u16 {
-        let old = entry(&(n - 1).to_string(), 1, SrvState::Gone);
-        x.list(ListKind::Delta, vec![old, entry(&n.to_string(), 1, SrvState::Ready)]);
+        let old = entry(&(n - 1).to_string(), 1, ServerState::Gone);
+        x.list(ListKind::Delta, vec![old, entry(&n.to_string(), 1, ServerState::Ready)]);
         let born = match x.events.borrow().last() {
-            Some(Event::List { rows, .. }) => rows.iter().map(|r| (r.srv, r.born.is_some())).collect(),
+            Some(Event::List { rows, .. }) => {
+                rows.iter().map(|r| (r.server, r.started_at.is_some())).collect()
+            }
             _ => Vec::new(),
         };
         assert_eq!(born, [(n as u32, n > 1), (n as u32 + 1, true)]);
@@ -75,7 +77,7 @@
 #[test]
 fn left_in_the_round_of_a_further_dispatch() {
     let x = exchange();
-    x.list(ListKind::Full, vec![entry("a", 1, SrvState::Ready), entry("b", 2, SrvState::Ready)]);
+    x.list(ListKind::Full, vec![entry("a", 1, ServerState::Ready), entry("b", 2, ServerState::Ready)]);
     let ticket = take(&x);
     play(&x);
     x.ended(1, 0, Back::bare(Outcome::Error));
@@ -93,7 +95,7 @@
 fn a_failure_told_is_the_answer() {
     for told in [Some("made no sense"), None] {
         let x = exchange();
-        x.list(ListKind::Full, vec![entry("a", 1, SrvState::Ready)]);
+        x.list(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
         let mut terms = (*x.terms()).clone();
         terms.frontends[0].effect = Effect::NonReplayable;
         x.change(terms);
@@ -115,15 +117,15 @@
 #[test]
 fn turned_away_while_another_is_out() {
     let x = exchange();
-    x.list(ListKind::Full, vec![entry("a", 1, SrvState::Ready)]);
+    x.list(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
     let mut out = take(&x);
     play(&x);
-    x.list(ListKind::Full, vec![entry("a", 1, SrvState::Draining)]);
+    x.list(ListKind::Full, vec![entry("a", 1, ServerState::Draining)]);
     let mut waits = take(&x);
     x.turn_away(Span::from_secs(0.2));
     assert!(matches!(waits.answer.try_recv(), Ok((Answer::Denied(after), _)) if after.secs() == 0.2));
     assert_eq!(x.unanswered(), 1);
-    x.list(ListKind::Full, vec![entry("a", 1, SrvState::Ready)]);
+    x.list(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
     play(&x);
     x.ended(1, 0, Back { made: Some("done"), ..Back::bare(Outcome::Passed) });
     play(&x);
--- a/proxy/src/srvs.rs
+++ b/proxy/src/srvs.rs
@@ -14,7 +14,7 @@
 use hyper::header::{HeaderMap, HeaderName, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use lupinledge::link::Outcome;
+use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/shadow/src/lib.rs
+++ b/shadow/src/lib.rs
@@ -2,8 +2,8 @@
 //! kind, where the terms to come would not have allowed a decision or would have taken it otherwise. It is
 //! shown the events and actions of each round, changes neither, and keeps only reqs that are not over.
 
-use lupinledge::link::{Action, Effect, Event, Frontend, Group, Outcome, SrvRow, Terms};
-use lupinledge::time::Point;
+use lupinledge::interface::{Action, DedupScope, Effect, Event, Frontend, Outcome, ServerEntry, Terms};
+use lupinledge::time::Timestamp;
 use std::collections::HashMap;
 
 /// Kinds of decisions that the terms to come would have taken otherwise.
@@ -50,7 +50,7 @@
 
 struct Sent {
     srv: u32,
-    at: Point,
+    at: Timestamp,
     running: bool,
     ran: bool,
 }
@@ -68,12 +68,12 @@
 /// A part of a hard ceiling: empty at the start, as the decisions keep it.
 struct Slice {
     holds: f64,
-    at: Point,
+    at: Timestamp,
 }
 
 pub struct Watch {
     terms: Terms,
-    began: Option<Point>,
+    began: Option<Timestamp>,
     reqs: HashMap<u64, Seen>,
     places: HashMap<u32, (u16, u16)>,
     slices: HashMap<u64, Slice>,
@@ -88,12 +88,12 @@
     }
 
     /// Shows one round: its events, before the decisions take them.
-    pub fn events(&mut self, now: Point, events: &[Event]) {
+    pub fn events(&mut self, now: Timestamp, events: &[Event]) {
         self.began.get_or_insert(now);
         for e in events {
             match e {
                 Event::List { rows, .. } => self.places.extend(rows.iter().map(place)),
-                Event::Req(n) if self.terms.cover(n) => {
+                Event::Req(n) if self.terms.contains(n) => {
                     if n.repeat && !self.terms.marks_repeats {
                         self.up(Kind::Unmarked);
                     }
@@ -106,7 +106,8 @@
                     let Some(r) = self.reqs.get_mut(&e.id) else { continue };
                     if let Some(t) = r.sent.get_mut(e.nth as usize) {
                         t.running = false;
-                        t.ran = !matches!(e.how, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
+                        t.ran =
+                            !matches!(e.outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
                     }
                     r.over |= e.closed;
                     self.drop_over(e.id);
@@ -118,10 +119,10 @@
     }
 
     /// And the actions that the decisions answered it with.
-    pub fn actions(&mut self, now: Point, actions: &[Action]) {
+    pub fn actions(&mut self, now: Timestamp, actions: &[Action]) {
         for a in actions {
             match *a {
-                Action::Dispatch { id, srv, .. } => self.dispatch(now, id, srv),
+                Action::Dispatch { id, server, .. } => self.dispatch(now, id, server),
                 Action::Deny { id, back_off } => {
                     let longest = if self.terms.may_hint { self.terms.longest_hint.secs() } else { 0.0 };
                     if back_off.secs() > longest + 1e-6 {
@@ -129,7 +130,7 @@
                     }
                     let may = self.reqs.get(&id).is_none_or(|r| {
                         let f = &self.terms.frontends[r.frontend];
-                        let harmless = f.effect == Effect::Uniqued && f.group == Group::All;
+                        let harmless = f.effect == Effect::Deduplicated && f.group == DedupScope::All;
                         f.effect == Effect::Replayable || harmless || !r.sent.iter().any(|t| t.ran)
                     });
                     if !may {
@@ -143,7 +144,7 @@
         }
     }
 
-    fn dispatch(&mut self, now: Point, id: u64, srv: u32) {
+    fn dispatch(&mut self, now: Timestamp, id: u64, srv: u32) {
         let Some(r) = self.reqs.get_mut(&id) else { return };
         let f = self.terms.frontends[r.frontend];
         let (first, running) = (r.sent.is_empty(), r.sent.iter().any(|t| t.running));
@@ -164,7 +165,7 @@
     }
 
     /// Whether the units fit into the customer's slice here; they are taken from it if they do.
-    fn ceiling(&mut self, now: Point, plan: usize, customer: u64, spread: f64, units: f64) -> bool {
+    fn ceiling(&mut self, now: Timestamp, plan: usize, customer: u64, spread: f64, units: f64) -> bool {
         let p = &self.terms.plans[plan];
         if p.ceiling_rate <= 0.0 {
             return true;
@@ -210,22 +211,22 @@
     }
 }
 
-fn place(row: &SrvRow) -> (u32, (u16, u16)) {
-    (row.srv, (row.zone, row.cell))
+fn place(row: &ServerEntry) -> (u32, (u16, u16)) {
+    (row.server, (row.zone, row.cell))
 }
 
 /// Whether a req may go to this srv after a dispatch that may have run.
-fn repeats(f: &Frontend, ran: &Sent, srv: u32, now: Point, places: &HashMap<u32, (u16, u16)>) -> bool {
+fn repeats(f: &Frontend, ran: &Sent, srv: u32, now: Timestamp, places: &HashMap<u32, (u16, u16)>) -> bool {
     let at = |srv| places.get(&srv).copied().unwrap_or_default();
     let same = match f.group {
-        Group::All => true,
-        Group::Zone => at(ran.srv).0 == at(srv).0,
-        Group::Cell => at(ran.srv).1 == at(srv).1,
+        DedupScope::All => true,
+        DedupScope::Zone => at(ran.srv).0 == at(srv).0,
+        DedupScope::Cell => at(ran.srv).1 == at(srv).1,
     };
     match f.effect {
         Effect::Replayable => true,
         Effect::NonReplayable => false,
-        Effect::Uniqued => same && now - ran.at <= f.memory,
+        Effect::Deduplicated => same && now - ran.at <= f.memory,
     }
 }
 
--- a/shadow/tests/kinds.rs
+++ b/shadow/tests/kinds.rs
@@ -1,18 +1,18 @@
 //! One round of events and actions a case: what the terms to come would have decided otherwise is counted.
 
-use lupinledge::link::*;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::*;
+use lupinledge::time::{Span, Timestamp};
 use lupinledge_shadow::{Kind, Watch};
 use Outcome::{Error, NoConnection, Passed};
 
-fn at(secs: f64) -> Point {
-    Point::from_secs(100.0 + secs)
+fn at(secs: f64) -> Timestamp {
+    Timestamp::from_secs(100.0 + secs)
 }
 
 fn terms(effect: Effect, change: impl FnOnce(&mut Terms)) -> Terms {
     let (target, timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
     let memory = Span::from_secs(2.0);
-    let (group, late_value, value, max_dispatches) = (Group::Zone, 0.0, 1.0, 3);
+    let (group, late_value, value, max_dispatches) = (DedupScope::Zone, 0.0, 1.0, 3);
     let f = Frontend { effect, group, memory, target, late_value, value, timeout, max_dispatches };
     let plan = Plan {
         rate: 0.0,
@@ -39,25 +39,32 @@
 
 fn watch(effect: Effect, change: impl FnOnce(&mut Terms)) -> Watch {
     let mut w = Watch::new(terms(effect, change));
-    let row = |srv: u32, zone| SrvRow { srv, zone, cell: 0, state: SrvState::Ready, weight: 1.0, born: None };
+    let row = |server: u32, zone| ServerEntry {
+        server,
+        zone,
+        cell: 0,
+        state: ServerState::Ready,
+        weight: 1.0,
+        started_at: None,
+    };
     let rows = vec![row(1, 0), row(2, 0), row(3, 1)];
     w.events(at(0.0), &[Event::List { kind: ListKind::Full, rows }]);
     w
 }
 
 fn req(id: u64, repeat: bool) -> Event {
-    let left = Span::from_secs(3.0);
+    let time_left = Span::from_secs(3.0);
     let (units, customer, spread, zones) = (2.0, 7, 2.0, u64::MAX);
-    Event::Req(NewReq { id, frontend: 0, repeat, units, customer, plan: 0, spread, left, zones })
+    Event::Req(NewRequest { id, frontend: 0, repeat, units, customer, plan: 0, spread, time_left, zones })
 }
 
-fn ended(id: u64, nth: u16, how: Outcome) -> Event {
-    let closed = how == Passed;
-    Event::Ended(Ended { id, nth, how, took: Span::ZERO, closed, billed: 0.0 }, Vec::new())
+fn ended(id: u64, nth: u16, outcome: Outcome) -> Event {
+    let closed = outcome == Passed;
+    Event::Ended(Ended { id, nth, outcome, took: Span::ZERO, closed, billed: 0.0 }, Vec::new())
 }
 
-fn send(id: u64, srv: u32) -> Action {
-    Action::Dispatch { id, srv, limit: Span::ZERO }
+fn send(id: u64, server: u32) -> Action {
+    Action::Dispatch { id, server, limit: Span::ZERO }
 }
 
 fn counts(w: &Watch) -> Vec<(&'static str, u64)> {
@@ -95,7 +102,7 @@
 
 #[test]
 fn a_uniqued_req_stays_in_its_zone_and_memory() {
-    let mut w = watch(Effect::Uniqued, |t| t.frontends[0].max_dispatches = 9);
+    let mut w = watch(Effect::Deduplicated, |t| t.frontends[0].max_dispatches = 9);
     w.events(at(0.1), &[req(1, false)]);
     w.actions(at(0.1), &[send(1, 1)]);
     w.events(at(0.2), &[ended(1, 0, Error)]);
--- a/sim-adapter/src/main.rs
+++ b/sim-adapter/src/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use lupinledge::control::Control;
-use lupinledge::link::{Action, Event};
+use lupinledge::interface::{Action, Event};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -18,7 +18,7 @@
 fn turn(
     host: &mut BTreeMap<u16, Control>,
     i: u16,
-    now: lupinledge::time::Point,
+    now: lupinledge::time::Timestamp,
     evs: &mut Vec<Event>,
     reply: &mut Reply,
 ) {
@@ -64,7 +64,7 @@
             Record::Event(e) => {
                 let w = who.ok_or_else(|| bad("event", at, "no instance named before it"))?;
                 if let (Event::Req(r), Some(c)) = (&e, host.get(&w)) {
-                    if !c.terms().cover(r) {
+                    if !c.terms().contains(r) {
                         return Err(bad("order", at, "a class or plan that the settings lack"));
                     }
                 }
--- a/sim-adapter/src/wire.rs
+++ b/sim-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The codec of the simulator's wire: frames of records, little-endian.
 
-use lupinledge::link::{Action, Ended, Event, ListKind, NewReq, Outcome, SrvRow, SrvState};
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::{Action, Ended, Event, ListKind, NewRequest, Outcome, ServerEntry, ServerState};
+use lupinledge::time::{Span, Timestamp};
 
 /// What is wrong with the input: the record and the byte position within the frame.
 #[derive(Debug)]
@@ -94,20 +94,20 @@
         let n = self.u8()?;
         (0..n).map(|_| Ok(self.f32()? as f32)).collect()
     }
-    fn row(&mut self) -> Result<SrvRow, Malformed> {
-        let (srv, zone) = (self.u32()?, self.u16()?);
+    fn row(&mut self) -> Result<ServerEntry, Malformed> {
+        let (server, zone) = (self.u32()?, self.u16()?);
         self.u16()?;
         let cell = self.u16()?;
         let state = match self.u8()? {
-            0 => SrvState::Ready,
-            1 => SrvState::Gone,
-            2 => SrvState::Draining,
+            0 => ServerState::Ready,
+            1 => ServerState::Gone,
+            2 => ServerState::Draining,
             v => return self.bad(format!("unknown lifecycle {v}")),
         };
         let weight = self.f32()?;
-        let born = self.f64()?;
-        let born = (born > 0.0).then(|| Point::from_secs(born));
-        Ok(SrvRow { srv, zone, cell, state, weight, born })
+        let started_at = self.f64()?;
+        let started_at = (started_at > 0.0).then(|| Timestamp::from_secs(started_at));
+        Ok(ServerEntry { server, zone, cell, state, weight, started_at })
     }
 }
 
@@ -130,7 +130,7 @@
 }
 
 /// The clock and the records of one batch; `body` is everything after the length.
-pub fn read_batch(body: &[u8]) -> Result<(Point, Vec<(usize, Record)>), Malformed> {
+pub fn read_batch(body: &[u8]) -> Result<(Timestamp, Vec<(usize, Record)>), Malformed> {
     let mut r = Reader { body, pos: 0, end: body.len(), record: "batch header" };
     let clock = r.f64()?;
     let mut records = Vec::new();
@@ -152,7 +152,7 @@
             return r.bad(format!("{} bytes too many", r.end - r.pos));
         }
     }
-    Ok((Point::from_secs(clock), records))
+    Ok((Timestamp::from_secs(clock), records))
 }
 
 fn read_record(r: &mut Reader, code: u16) -> Result<Record, Malformed> {
@@ -183,8 +183,8 @@
             let (units, customer, plan) = (r.f32()?, r.u64()?, r.u32()? as usize);
             let spread = r.f32()?;
             let repeat = flags & 2 != 0;
-            let (left, zones) = (r.span()?, u64::MAX);
-            Event::Req(NewReq { id, frontend, repeat, units, customer, plan, spread, left, zones })
+            let (time_left, zones) = (r.span()?, u64::MAX);
+            Event::Req(NewRequest { id, frontend, repeat, units, customer, plan, spread, time_left, zones })
         }
         259 => {
             let (id, nth) = (r.u64()?, r.u16()?);
@@ -195,18 +195,18 @@
         260 => {
             let (id, nth) = (r.u64()?, r.u16()?);
             r.u32()?;
-            let (how, took) = (r.outcome()?, r.span()?);
+            let (outcome, took) = (r.outcome()?, r.span()?);
             let closed = r.u8()? != 0;
             r.u16()?;
             let billed = r.u16()? as f64;
-            Event::Ended(Ended { id, nth, how, took, closed, billed }, r.load()?)
+            Event::Ended(Ended { id, nth, outcome, took, closed, billed }, r.load()?)
         }
         261 => Event::Left { id: r.u64()? },
         262 => Event::Timer { token: r.u64()? },
         263 => {
-            let how = r.outcome()?;
-            let srv = r.u32()?;
-            Event::Probed { srv, how, took: r.span()?, load: r.load()? }
+            let outcome = r.outcome()?;
+            let server = r.u32()?;
+            Event::Probed { server, outcome, took: r.span()?, load: r.load()? }
         }
         264 => {
             let from = r.u32()?;
@@ -217,7 +217,7 @@
             let total = r.f32()?;
             r.f64()?;
             let name = r.u64()?;
-            Event::Counted { name, total, level: None, how: r.outcome()? }
+            Event::Counted { name, total, level: None, outcome: r.outcome()? }
         }
     }))
 }
@@ -254,13 +254,13 @@
         let secs = |s: Span| s.secs().to_le_bytes();
         match a {
             Action::Deny { id, back_off } => self.record(256, &[&id.to_le_bytes(), &secs(*back_off)]),
-            Action::Probe { srv } => self.record(257, &[&srv.to_le_bytes()]),
+            Action::Probe { server } => self.record(257, &[&server.to_le_bytes()]),
             Action::Abort { id } => self.record(258, &[&id.to_le_bytes()]),
             Action::Cancel { id, nth } => self.record(259, &[&id.to_le_bytes(), &nth.to_le_bytes()]),
-            Action::Close { srv } => self.record(260, &[&srv.to_le_bytes()]),
+            Action::Close { server } => self.record(260, &[&server.to_le_bytes()]),
             Action::Watch { on } => self.record(261, &[&[*on as u8]]),
-            Action::Dispatch { id, srv, limit } => {
-                self.record(262, &[&id.to_le_bytes(), &srv.to_le_bytes(), &secs(*limit)])
+            Action::Dispatch { id, server, limit } => {
+                self.record(262, &[&id.to_le_bytes(), &server.to_le_bytes(), &secs(*limit)])
             }
             Action::Count { name, amount, life } => {
                 self.record(265, &[&name.to_le_bytes(), &(*amount as f32).to_le_bytes(), &secs(*life)])
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,17 +1,17 @@
-//! All decisions of a gateway: `Control::new(terms)`, then `round(now, events, actions)` for each batch, all
-//! defined in `link`. Events change the wanted state (out, held, timed); `settle` alone emits the difference.
+//! All decisions of a gateway: `Control::new(terms)` once, then `round(now, events, actions)` for each batch.
+//! Events change the wanted state of requests, leases and timers; only `settle` emits the actions for it.
 
-pub use crate::tables::Control;
-use crate::{count::*, link::*, tables::*, time::*};
+pub use crate::state::Control;
+use crate::{count::*, interface::*, state::*, time::*};
 
 impl Control {
     pub fn new(terms: Terms) -> Control {
         let part = |of: f64| terms.frontends.iter().map(|f| f.target.secs() * of).collect();
         Control {
             rng: fastrand::Rng::with_seed(terms.seed),
-            asks: terms.ask_list,
+            asks: terms.list_on_request,
             silent: !terms.counter,
-            further: terms.further.map_or(1.0, |(_, most)| most),
+            further: terms.retry_budget.map_or(1.0, |(_, most)| most),
             usual: part(0.2), // first guesses: targets are set some times above the usual time
             tail: part(0.5),
             first_left: vec![Default::default(); terms.frontends.len()],
@@ -23,12 +23,12 @@
         }
     }
 
-    pub fn round(&mut self, now: Point, events: Vec<Event>, acts: &mut Vec<Action>) {
+    pub fn round(&mut self, now: Timestamp, events: Vec<Event>, acts: &mut Vec<Action>) {
         blend(&mut self.used, self.out as f64, 1.0 - (-0.5 * now.since(self.now)).exp());
         (self.gap, self.now) = (now - self.now, now);
         let stood = self.gap > Span::millis(1500); // rounds come each second
         self.customers.iter_mut().for_each(|c| c.quota.missed |= stood);
-        self.began = if self.began == Point::default() { now } else { self.began };
+        self.began = if self.began == Timestamp::default() { now } else { self.began };
         for e in events {
             match e {
                 Event::List { kind, rows } => self.list(kind, &rows),
@@ -36,8 +36,8 @@
                 Event::Begun { id, .. } => self.reqs.of(id).into_iter().for_each(|(_, r)| r.begun = true),
                 Event::Ended(e, _) => self.ended(e),
                 Event::Left { id } => self.close(id),
-                Event::Counted { name, total, level, how } => {
-                    self.counted(name, Reading { total, level }, how)
+                Event::Counted { name, total, level, outcome } => {
+                    self.counted(name, Reading { total, level }, outcome)
                 }
                 Event::Timer { .. } => self.armed = None,
                 Event::Peer { body, .. } => self.heard(&body),
@@ -51,7 +51,7 @@
         if now >= self.second_at {
             self.second();
             // at the point in each second where, each second time, leases go to their next name
-            self.second_at = Point::from_secs((now.secs() + LEAD).floor() + 1.0 - LEAD + 0.001);
+            self.second_at = Timestamp::from_secs((now.secs() + LEAD).floor() + 1.0 - LEAD + 0.001);
         }
         if now.secs() % ROLL > ROLL - LEAD {
             self.refresh();
@@ -73,8 +73,8 @@
             let Some(r) = self.reqs.at_mut(slot) else { continue };
             for t in r.tries.iter_mut().filter(|t| !t.told) {
                 t.told = true;
-                let srv = self.srvs.door.id(t.srv) as u32;
-                acts.push(Action::Dispatch { id: r.id, srv, limit: Span::ZERO });
+                let server = self.srvs.door.id(t.srv) as u32;
+                acts.push(Action::Dispatch { id: r.id, server, limit: Span::ZERO });
                 self.wakes.push(self.now.later(after), slot, r.id);
             }
             if let Some(end) = r.end.clone().filter(|_| r.stage != Stage::Over) {
--- a/src/count.rs
+++ b/src/count.rs
@@ -1,20 +1,20 @@
 //! The shared counter and the peers: what they tell, and what they are told.
 
-use crate::{link::*, tables::*, time::*};
+use crate::{interface::*, state::*, time::*};
 
 pub(crate) const ROLL: f64 = 2.0; // DESIGN: in-flight names roll every two seconds; older totals are stale
 pub(crate) const LEAD: f64 = 0.1; // leases go to the next name this long ahead: several counter round trips
 const SHARE_MEMORY: f64 = 8.0; // seconds of own and total use: the spread of a customer moves within some
 
 impl Control {
-    pub(crate) fn counted(&mut self, name: u64, read: Reading, how: Outcome) {
+    pub(crate) fn counted(&mut self, name: u64, read: Reading, outcome: Outcome) {
         let Some(call) = self.calls.take(name) else { return };
-        let (c, answered) = (call.customer, how == Outcome::Passed);
+        let (c, answered) = (call.customer, outcome == Outcome::Passed);
         let first = self.customers[c].quota.seen.is_none();
         blend(&mut self.slow, self.now.since(call.sent), if answered { 0.1 } else { 0.0 });
         // a crowded counter gets fewer calls; what one stall held up is one sign, a spoilt answer is none
         self.answers += 1.0;
-        let heard = answered || how == Outcome::Reset;
+        let heard = answered || outcome == Outcome::Reset;
         let sign = !heard && self.misses < 6 && self.now.since(self.missed) > self.terms.count_wait.secs();
         let miss = (1.0 / (0.3 + self.answers)).max(0.1) * (1.0 - self.crowd) * sign as u8 as f64;
         self.missed = if sign { self.now } else { self.missed };
@@ -25,7 +25,7 @@
         if std::mem::replace(&mut self.silent, self.misses >= 3) && answered {
             self.refresh();
         }
-        let added = answered || matches!(how, Outcome::TimedOut | Outcome::Reset);
+        let added = answered || matches!(outcome, Outcome::TimedOut | Outcome::Reset);
         let reading = if call.lease { Self::lease_counted } else { Self::quota_counted };
         let mut over = reading(self, &call, read, answered, added);
         if answered {
@@ -68,7 +68,7 @@
             return (-cust.level).max(0.0);
         }
         // a new name, or the counter came back empty: own memory of the store still counts
-        let less = q.total - total + call.amount > (2.0 * self.terms.largest).max(0.5 * q.total);
+        let less = q.total - total + call.amount > (2.0 * self.terms.max_units).max(0.5 * q.total);
         let fell = less && call.epoch == q.epoch && read.level.is_none();
         let first = q.seen.is_none();
         let delta = if call.epoch > q.epoch || first || fell { total } else { total - q.total };
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A customer's adds: only names that its plan needs, corrections with the next add; leases go ahead.
+    /// Adds to the names that the plan needs, leases early. In a silence 100 trial calls/s over all gateways.
     pub(crate) fn put_counts(&mut self, c: usize, acts: &mut Vec<Action>) {
         let (now, share) = (self.now.secs(), self.share(c));
         let cust = &mut self.customers[c];
@@ -155,7 +155,6 @@
                 return;
             }
             self.trial_at = self.now.later((self.terms.gateways as f64 / 100.0).max(0.2));
-            // 100/s over all
         }
         let p = &self.terms.plans[cust.plan];
         let (q, l) = (&mut cust.quota, &mut cust.lease);
@@ -165,10 +164,9 @@
         let lack = q.joins.iter().map(|j| j.2).sum::<f64>() + share * (p.burst - cust.run).max(0.0);
         let back = q.urgent && q.owed.abs() > 1e-6; // a charge that was turned away is no debt
         if p.rate > 0.0 && (!q.joins.is_empty() || back || self.silent || overdue) {
-            let amount =
-                std::mem::take(&mut q.owed).min(if q.fresh(self.now, ROLL) { f64::MAX } else { lack });
-            (q.urgent, q.called, q.flying) = (false, self.now, q.flying + amount);
-            calls.push((false, (now / self.terms.window()) as u64, amount, std::mem::take(&mut q.joins)));
+            let sum = std::mem::take(&mut q.owed).min(if q.fresh(self.now, ROLL) { f64::MAX } else { lack });
+            (q.urgent, q.called, q.flying) = (false, self.now, q.flying + sum);
+            calls.push((false, (now / self.terms.window()) as u64, sum, std::mem::take(&mut q.joins)));
         }
         if p.at_once > 0 {
             let epoch = (now / ROLL) as u64;
--- a/src/flight.rs
+++ b/src/flight.rs
@@ -1,12 +1,12 @@
 //! A req from its first dispatch to its final answer: outcomes, overdue dispatches, further ones.
 
-use crate::{link::*, tables::*, time::*};
+use crate::{interface::*, state::*, time::*};
 
 impl Control {
     pub(crate) fn send(&mut self, slot: usize, srv: usize) {
         self.srvs.tokens[srv] -= 1.0; // counts while it is cold
         let Some(r) = self.reqs.at_mut(slot) else { return };
-        self.further -= (!r.tries.is_empty() && self.terms.further.is_some()) as u8 as f64;
+        self.further -= (!r.tries.is_empty() && self.terms.retry_budget.is_some()) as u8 as f64;
         self.admissions[r.basis as usize] += r.tries.is_empty() as u64;
         if r.stage == Stage::Out {
             self.customers[r.customer].hold(1.0, r.leased); // the first dispatch has the lease of the queue
@@ -64,7 +64,7 @@
             // a fleet-wide slowness makes lateness weak evidence against one srv
             self.evidence(srv, (0.5 / self.late_share.clamp(0.05, 0.5)).ln());
         }
-        let waits = self.terms.patient && self.terms.frontends[f].effect == Effect::NonReplayable;
+        let waits = self.terms.awaits_late_answers && self.terms.frontends[f].effect == Effect::NonReplayable;
         // out at convicted srvs only, and too late for another: given up, so that its client can ask again
         match running > 0 && !sound {
             true if self.now < give_up => self.wakes.push(give_up, slot, id),
@@ -101,9 +101,10 @@
         let (leased, told) = (r.leased, r.charge / units.max(1e-9));
         let Some(t) = r.tries.get_mut(e.nth as usize).filter(|t| t.running) else { return };
         t.running = false;
-        t.ran = !matches!(e.how, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
+        t.ran = !matches!(e.outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
         // what never came to a srv was no further dispatch
-        self.further += (!t.ran && e.how != Outcome::Full && self.terms.further.is_some()) as u8 as f64;
+        self.further +=
+            (!t.ran && e.outcome != Outcome::Full && self.terms.retry_budget.is_some()) as u8 as f64;
         let (srv, was_late, sent) = (t.srv, t.overdue, t.sent);
         (self.srvs.out[srv], self.out) = (self.srvs.out[srv] - 1, self.out - 1);
         self.customers[c].hold(-1.0, -leased);
@@ -111,15 +112,15 @@
         // the pool hears of answers, and of what was not answered in time with nobody to blame
         let took = e.took.secs();
         let sound = self.srvs.distrust[srv] < 0.3 && self.srvs.pace[srv] < 2.5;
-        if sound && (e.how == Outcome::Passed || was_late && e.how == Outcome::Cancelled) {
+        if sound && (e.outcome == Outcome::Passed || was_late && e.outcome == Outcome::Cancelled) {
             self.samples[f].push(took);
         }
-        let (plan, hit) = (self.customers[c].plan, (e.how == Outcome::Full) as u8 as f64);
-        if hit > 0.0 || e.how == Outcome::Passed {
+        let (plan, hit) = (self.customers[c].plan, (e.outcome == Outcome::Full) as u8 as f64);
+        if hit > 0.0 || e.outcome == Outcome::Passed {
             blend(&mut self.full_plan[plan], hit, 0.05);
             blend(&mut self.full_frontend[f], hit, 0.05);
         }
-        match e.how {
+        match e.outcome {
             Outcome::Passed => {
                 blend(&mut self.usual[f], took, if sound { 0.03 } else { 0.0 });
                 blend(&mut self.srvs.pace[srv], (took / self.usual[f].max(1e-3)).min(20.0), 0.05);
@@ -130,7 +131,7 @@
                     self.evidence(srv, -0.64); // half of a sick srv's dispatches would not be answered so
                 }
                 let cust = &mut self.customers[c];
-                if self.terms.settles && e.billed > 0.0 && self.terms.plans[cust.plan].rate > 0.0 {
+                if self.terms.bills_after && e.billed > 0.0 && self.terms.plans[cust.plan].rate > 0.0 {
                     cust.quota.owed += (e.billed - units) * told;
                     cust.run -= e.billed - units;
                 }
@@ -142,7 +143,7 @@
             }
             Outcome::Cancelled | Outcome::NotSent => {}
             // what was sent before a process started anew says nothing of the new one
-            _ if self.srvs.born[srv].is_some_and(|b| sent <= b) => {}
+            _ if self.srvs.started_at[srv].is_some_and(|b| sent <= b) => {}
             _ => {
                 blend(&mut self.bad_share, 1.0, 0.02);
                 self.evidence(srv, (0.6 / self.bad_share.clamp(0.02, 0.1)).ln());
@@ -157,11 +158,11 @@
     /// Gives a req its final answer: a denial where the rules allow one, else an abort.
     pub(crate) fn end(&mut self, slot: usize) {
         self.take_back(slot, true);
-        let part = if self.terms.patient { 0.15 + 0.18 * self.rng.f64() } else { 0.0 };
+        let part = if self.terms.awaits_late_answers { 0.15 + 0.18 * self.rng.f64() } else { 0.0 };
         let open = |r: &&mut Req| r.end.is_none() && r.stage != Stage::Over;
         let Some(r) = self.reqs.at_mut(slot).filter(open) else { return };
         let f = &self.terms.frontends[r.frontend];
-        let harmless = f.effect == Effect::Uniqued && f.group == Group::All;
+        let harmless = f.effect == Effect::Deduplicated && f.group == DedupScope::All;
         let deny = f.effect == Effect::Replayable || harmless || !r.tries.iter().any(|t| t.ran);
         let cust = &self.customers[r.customer];
         let rate = self.terms.plans[cust.plan].rate;
--- a/src/intake.rs
+++ b/src/intake.rs
@@ -1,6 +1,6 @@
 //! A req as it comes: denied, charged to the counter first, or let in without an answer.
 
-use crate::{count::*, link::*, tables::*, time::*};
+use crate::{count::*, interface::*, state::*, time::*};
 
 impl Control {
     pub(crate) fn customer(&mut self, id: u64, plan: usize, spread: f64) -> usize {
@@ -14,33 +14,33 @@
         c
     }
 
-    pub(crate) fn arrive(&mut self, n: NewReq) {
+    pub(crate) fn arrive(&mut self, n: NewRequest) {
         let c = self.customer(n.customer, n.plan, n.spread.max(1.0));
         let (p, f, frontend) = (self.terms.plans[n.plan], self.terms.frontends[n.frontend], n.frontend);
         self.customers[c].follow(n.plan, n.spread.max(1.0), p.burst);
         // A repeat counts from its first try. First tries come with the same time left: where repeats are
         // marked, the most that one without a mark had, else what most come with
         let (first, votes) = &mut self.first_left[frontend];
-        let usual = |first: Span| (first.secs() - n.left.secs()).abs() < 0.01 * f.timeout.secs();
+        let usual = |first: Span| (first.secs() - n.time_left.secs()).abs() < 0.01 * f.timeout.secs();
         if self.terms.marks_repeats {
-            (*first, *votes) = if n.repeat { (*first, *votes) } else { (n.left.max(*first), 10.0) };
+            (*first, *votes) = if n.repeat { (*first, *votes) } else { (n.time_left.max(*first), 10.0) };
         } else {
             *votes = (*votes + if usual(*first) { 1.0 } else { -1.0 }).min(100.0);
-            (*first, *votes) = if *votes < 0.0 { (n.left, 1.0) } else { (*first, *votes) };
+            (*first, *votes) = if *votes < 0.0 { (n.time_left, 1.0) } else { (*first, *votes) };
         }
         let (first, known, usual) = (*first, *votes >= 10.0, usual(*first));
         let cust = &mut self.customers[c];
         cust.usual_left |= usual;
         let cut = known && !usual && (n.repeat || !self.terms.marks_repeats && cust.usual_left);
         // after a standstill of this gateway a first try may be as old as that: its time left tells
-        let aged = if known { (first - n.left).max(Span::ZERO).min(self.gap) } else { Span::ZERO };
-        let target = self.now + f.target - if cut { f.timeout - n.left } else { aged };
+        let aged = if known { (first - n.time_left).max(Span::ZERO).min(self.gap) } else { Span::ZERO };
+        let target = self.now + f.target - if cut { f.timeout - n.time_left } else { aged };
         // a late answer earns too: while nobody waits, what comes back past its target goes on to its end
         let past = target < self.now.later(self.typical(frontend));
-        let late = past && self.terms.patient && f.late_value > 0.0 && self.line.waiting == 0;
-        let ends = self.now + n.left - self.terms.period - Span::millis(2); // ahead of the client timeout
+        let late = past && self.terms.awaits_late_answers && f.late_value > 0.0 && self.line.waiting == 0;
+        let ends = self.now + n.time_left - self.terms.period - Span::millis(2); // before the client timeout
         let (past, target) = if late { (false, ends) } else { (past, target) };
-        self.further = self.terms.further.map_or(1.0, |(ratio, most)| (self.further + ratio).min(most));
+        self.further = self.terms.retry_budget.map_or(1.0, |(ratio, most)| (self.further + ratio).min(most));
         let (id, units, zones) = (n.id, n.units, n.zones);
         let r = Req { id, frontend, customer: c, units, ends, target, zones, ..Default::default() };
         let slot = self.reqs.put(n.id, r);
@@ -56,17 +56,16 @@
         let behind = self.line.waiting as f64 - (self.limit - self.out as f64).max(0.0);
         let hopeless = behind > (answers * patience).max(few) || nowhere;
         let short = rated && self.room(c) < n.units;
-        let (cust, crowd) = (&self.customers[c], self.crowd);
+        let (cust, load) = (&self.customers[c], self.crowd);
         let recent = cust.quota.fresh(self.now, ROLL);
         // those known to be near their quota or cap, or back here soon, are asked for before the calm
-        let keep =
-            if cust.admit < 1.0 || short { 1.0 - crowd.powi(4) } else { (1.0 - crowd).powi(3) }.max(0.1);
+        let keep = if cust.admit < 1.0 || short { 1.0 - load.powi(4) } else { (1.0 - load).powi(3) }.max(0.1);
         // a part cut long ago comes back by itself: the fewer are let through, the fewer totals tell
         let back = cust.steered.map_or(1.0, |s| (0.03 * self.now.since(s)).exp());
         // while places are free, the cheaper an overrun is, the more of the uncertain go through
         let spare = self.line.waiting == 0 && self.used < 0.6 * self.limit;
         let dear = if spare { p.overrun_cost.min(1.0) } else { 1.0 };
-        let through = crowd < 0.1 || self.rng.f64() < cust.admit.powf(dear) * back;
+        let through = load < 0.1 || self.rng.f64() < cust.admit.powf(dear) * back;
         let asks = !self.silent && self.rng.f64() < keep;
         // decided alone, a place needs room beside what the others had lately
         let no_lease = cust.held >= cap || !asks && !self.lease_alone(c, cust.held + 1.0);
--- a/src/link.rs
+++ b/src/interface.rs
@@ -1,18 +1,18 @@
 //! The interface of the decision module: the terms handed at start, events in, actions out.
 //! A host calls `Control::new` once and `Control::round` for each batch of events.
 
-use crate::time::{Point, Span};
+use crate::time::{Span, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Replayable,
-    Uniqued,
+    Deduplicated,
     NonReplayable,
 }
 
 /// The srvs that drop repeats of a uniqued req.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Frontend {
     pub effect: Effect,
-    pub group: Group,
+    pub group: DedupScope,
     pub memory: Span,
     pub target: Span,
     pub late_value: f64,
@@ -55,11 +55,11 @@
     pub plans: Vec<Plan>,
     pub counter: bool,
     pub count_wait: Span,
-    pub largest: f64,
-    pub settles: bool,
+    pub max_units: f64,
+    pub bills_after: bool,
     pub peers: bool,
     pub peer_intake: f64,
-    pub ask_list: bool,
+    pub list_on_request: bool,
     pub may_duplicate: bool,
     pub may_cancel: bool,
     pub may_hint: bool,
@@ -73,13 +73,13 @@
     /// The region of each zone; empty where all are as far.
     pub regions: Vec<u16>,
     /// Where the pool limit starts, for each ready srv and all gateways together.
-    pub start_each: f64,
+    pub start_limit: f64,
     /// Further dispatches: their ratio to reqs, and how many may be past it from here.
-    pub further: Option<(f64, f64)>,
+    pub retry_budget: Option<(f64, f64)>,
     /// Sends a second that one cold srv may get from here; none: by `fall_multiple`.
-    pub cold_sends: Option<f64>,
+    pub cold_send_rate: Option<f64>,
     /// Late answers are waited for, and a req that may have run to its end.
-    pub patient: bool,
+    pub awaits_late_answers: bool,
     /// For how many seconds a name of use stands; none: for half of the longest life that a counter gives one.
     pub window: Option<f64>,
 }
@@ -95,26 +95,26 @@
         (zone != self.zone) as u8 + (region(zone) != region(self.zone)) as u8
     }
     /// Whether the terms have the frontend and the plan that a req names.
-    pub fn cover(&self, req: &NewReq) -> bool {
+    pub fn contains(&self, req: &NewRequest) -> bool {
         req.frontend < self.frontends.len() && req.plan < self.plans.len()
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SrvState {
+pub enum ServerState {
     Ready,
     Draining,
     Gone,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct SrvRow {
-    pub srv: u32,
+pub struct ServerEntry {
+    pub server: u32,
     pub zone: u16,
     pub cell: u16,
-    pub state: SrvState,
+    pub state: ServerState,
     pub weight: f64,
-    pub born: Option<Point>,
+    pub started_at: Option<Timestamp>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -138,7 +138,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct NewReq {
+pub struct NewRequest {
     pub id: u64,
     pub frontend: usize,
     pub repeat: bool,
@@ -146,7 +146,7 @@
     pub customer: u64,
     pub plan: usize,
     pub spread: f64,
-    pub left: Span,
+    pub time_left: Span,
     /// The zones whose srvs may have it, a bit each.
     pub zones: u64,
 }
@@ -155,7 +155,7 @@
 pub struct Ended {
     pub id: u64,
     pub nth: u16,
-    pub how: Outcome,
+    pub outcome: Outcome,
     pub took: Span,
     pub closed: bool,
     pub billed: f64,
@@ -165,9 +165,9 @@
 pub enum Event {
     List {
         kind: ListKind,
-        rows: Vec<SrvRow>,
+        rows: Vec<ServerEntry>,
     },
-    Req(NewReq),
+    Req(NewRequest),
     Begun {
         id: u64,
         nth: u16,
@@ -180,8 +180,8 @@
         token: u64,
     },
     Probed {
-        srv: u32,
-        how: Outcome,
+        server: u32,
+        outcome: Outcome,
         took: Span,
         load: Vec<f32>,
     },
@@ -194,7 +194,7 @@
         total: f64,
         /// What is left of the customer's quota at once with that total, where the counter keeps it.
         level: Option<f64>,
-        how: Outcome,
+        outcome: Outcome,
     },
     /// Other terms from here on; frontends and plans keep their places, new ones come behind.
     Terms(Box<Terms>),
@@ -204,10 +204,10 @@
 pub enum Action {
     Deny { id: u64, back_off: Span },
     Abort { id: u64 },
-    Dispatch { id: u64, srv: u32, limit: Span },
+    Dispatch { id: u64, server: u32, limit: Span },
     Cancel { id: u64, nth: u16 },
-    Probe { srv: u32 },
-    Close { srv: u32 },
+    Probe { server: u32 },
+    Close { server: u32 },
     Watch { on: bool },
     Fetch,
     Tell { to: Option<u32>, body: Vec<u8> },
--- a/src/line.rs
+++ b/src/line.rs
@@ -1,6 +1,6 @@
 //! Waiters for the pool: their line, how long they may wait, and whose turn it is.
 
-use crate::{tables::*, time::*};
+use crate::{state::*, time::*};
 
 impl Control {
     pub(crate) fn admit(&mut self, slot: usize) {
@@ -37,7 +37,8 @@
             };
             let p = &self.terms.plans[self.customers[c].plan];
             // the weight: as many of the largest reqs as the plan lets a customer have at once
-            let weight = if p.rate > 0.0 { p.burst / self.terms.largest } else { p.at_once as f64 }.max(1.0);
+            let weight =
+                if p.rate > 0.0 { p.burst / self.terms.max_units } else { p.at_once as f64 }.max(1.0);
             let deficit = self.line.leave();
             *deficit += if *deficit < 1.0 { weight - 1.0 } else { -1.0 };
             if *deficit < 1.0 {
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,6 +1,6 @@
 //! The pool: its limit, the list of srvs, how sound and warm each is, and the choice of one.
 
-use crate::{link::*, tables::*};
+use crate::{interface::*, state::*};
 
 impl Control {
     pub(crate) fn second(&mut self) {
@@ -13,7 +13,7 @@
         for i in 0..self.srvs.ready.len() {
             let least = 1.0 / self.terms.gateways.max(1) as f64; // where nothing is known
             let rate = (0.5 * self.terms.fall_multiple * self.warmth(i) * each).max(least);
-            let rate = self.terms.cold_sends.unwrap_or(rate);
+            let rate = self.terms.cold_send_rate.unwrap_or(rate);
             let most = (rate * self.terms.fall_window.secs() / 4.0).max(1.0);
             let s = &mut self.srvs;
             s.tokens[i] = (s.tokens[i] + rate).min(most);
@@ -54,8 +54,8 @@
     }
 
     /// Follows the list; the pool limit keeps its figure per ready srv when the fleet shrinks or grows.
-    pub(crate) fn list(&mut self, kind: ListKind, rows: &[SrvRow]) {
-        self.asks |= kind == ListKind::Failed && self.terms.ask_list;
+    pub(crate) fn list(&mut self, kind: ListKind, rows: &[ServerEntry]) {
+        self.asks |= kind == ListKind::Failed && self.terms.list_on_request;
         let (before, s) = (self.srvs.open().count() as f64, &mut self.srvs);
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             s.ready.iter_mut().for_each(|r| *r = false);
@@ -71,13 +71,13 @@
 
     /// DESIGN: a set figure per ready srv, of all gateways together. Two and four: no better beyond noise.
     fn start(&self) -> f64 {
-        self.terms.start_each / self.terms.gateways.max(1) as f64 * self.srvs.open().count().max(1) as f64
+        self.terms.start_limit / self.terms.gateways.max(1) as f64 * self.srvs.open().count().max(1) as f64
     }
 
     /// What a srv can do now as a share of its capacity, going by the slowest warming that the rules allow.
     fn warmth(&self, i: usize) -> f64 {
-        let Some(born) = self.srvs.born[i] else { return 1.0 };
-        let part = self.now.since(born).max(0.0) / self.terms.warm_after.secs().max(1e-3);
+        let Some(started_at) = self.srvs.started_at[i] else { return 1.0 };
+        let part = self.now.since(started_at).max(0.0) / self.terms.warm_after.secs().max(1e-3);
         (self.terms.cold_from + (1.0 - self.terms.cold_from) * part).min(1.0)
     }
 
@@ -144,6 +144,6 @@
         let same = s.same(f.group, first.srv, i);
         // nine tenths of the memory: the srv's may run from before the send is seen
         let known = same && self.now - first.sent < f.memory.times(0.9);
-        f.effect == Effect::Replayable || f.effect == Effect::Uniqued && known
+        f.effect == Effect::Replayable || f.effect == Effect::Deduplicated && known
     }
 }
--- a/src/tables.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! Plain state containers of the decision module.
 
-use crate::link::{Action, Group, Plan, SrvRow, SrvState, Terms};
-use crate::time::{Point, Span};
+use crate::interface::{Action, DedupScope, Plan, ServerEntry, ServerState, Terms};
+use crate::time::{Span, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
@@ -96,7 +96,7 @@
 #[derive(Debug, Default)]
 pub struct Try {
     pub srv: usize,
-    pub sent: Point,
+    pub sent: Timestamp,
     pub told: bool,
     pub running: bool,
     pub ran: bool,
@@ -159,8 +159,8 @@
     /// Units told to the counter for it; more than its own where it stands for others that are not.
     pub charge: f64,
     pub leased: f64,
-    pub ends: Point,
-    pub target: Point,
+    pub ends: Timestamp,
+    pub target: Timestamp,
     /// Where it may go, a bit a zone.
     pub zones: u64,
     pub stage: Stage,
@@ -186,8 +186,8 @@
 pub struct Account {
     pub epoch: u64,
     pub total: f64,
-    pub seen: Option<Point>,
-    pub called: Point,
+    pub seen: Option<Timestamp>,
+    pub called: Timestamp,
     pub put: f64,
     pub put_next: f64,
     pub flying: f64,
@@ -202,7 +202,7 @@
 }
 
 impl Account {
-    pub fn fresh(&self, now: Point, secs: f64) -> bool {
+    pub fn fresh(&self, now: Timestamp, secs: f64) -> bool {
         self.seen.is_some_and(|s| now.since(s) < secs)
     }
     /// Goes to the name of another epoch; what was put there ahead is on it.
@@ -222,21 +222,21 @@
     pub lease: Account,
     /// The store as the last total leaves it, and the same with what went out here since.
     pub level: f64,
-    pub level_at: Point,
+    pub level_at: Timestamp,
     pub run: f64,
-    pub run_at: Point,
+    pub run_at: Timestamp,
     pub own: f64,
     pub all: f64,
     pub held: f64,
     /// Those of them that the counter knows or is to know.
     pub leased: f64,
     pub ceiling: f64,
-    pub ceiling_at: Point,
+    pub ceiling_at: Timestamp,
     /// The part of its reqs let through while the counter is crowded, and when that was last moved.
     pub admit: f64,
-    pub steered: Option<Point>,
+    pub steered: Option<Timestamp>,
     /// When its last req came, and whether one came with the usual time left of first tries.
-    pub seen: Point,
+    pub seen: Timestamp,
     pub usual_left: bool,
 }
 
@@ -256,26 +256,26 @@
         self.spread = spread;
     }
     /// What the store has now, filled at its rate up to its size.
-    pub fn room(&mut self, now: Point, rate: f64, burst: f64) -> f64 {
+    pub fn room(&mut self, now: Timestamp, rate: f64, burst: f64) -> f64 {
         self.run = (self.run + rate * now.since(self.run_at)).min(burst);
         self.run_at = now;
         self.run
     }
     /// This gateway's slice of the hard ceiling, filled likewise.
-    pub fn slice(&mut self, now: Point, rate: f64, depth: f64) -> f64 {
+    pub fn slice(&mut self, now: Timestamp, rate: f64, depth: f64) -> f64 {
         let gained = rate / self.spread * now.since(self.ceiling_at);
         self.ceiling = (self.ceiling + gained).min(depth / self.spread);
         self.ceiling_at = now;
         self.ceiling
     }
     /// Takes units out of that slice, if they fit.
-    pub fn take_slice(&mut self, now: Point, p: &Plan, units: f64) -> bool {
+    pub fn take_slice(&mut self, now: Timestamp, p: &Plan, units: f64) -> bool {
         let fits = self.slice(now, p.ceiling_rate, p.ceiling_burst) >= units;
         self.ceiling -= if fits { units } else { 0.0 };
         fits
     }
     /// Whether it is as one never met: nothing out, waited for or to be told, and its stores full.
-    pub fn settled(&mut self, now: Point, p: &Plan) -> bool {
+    pub fn settled(&mut self, now: Timestamp, p: &Plan) -> bool {
         let q = &self.quota;
         let idle = self.held == 0.0 && self.leased.abs() < 1e-6 && q.flying.abs() < 1e-6 && !q.urgent;
         let (slice, depth) =
@@ -285,14 +285,21 @@
         idle && full && self.quota.joins.is_empty() && self.lease.joins.is_empty()
     }
     /// Whether no total has come for a while though one was asked for: one lost answer is no silence.
-    pub fn in_silence(&self, now: Point) -> bool {
+    pub fn in_silence(&self, now: Timestamp) -> bool {
         self.quota.missed && now.since(self.level_at) > 0.5
     }
     /// Dispatches more out or held here, and leases that the counter is to know of.
     pub fn hold(&mut self, more: f64, leased: f64) {
         (self.held, self.leased) = (self.held + more, self.leased + leased);
     }
-    pub fn new(plan: usize, spread: f64, burst: f64, others: f64, now: Point, began: Point) -> Customer {
+    pub fn new(
+        plan: usize,
+        spread: f64,
+        burst: f64,
+        others: f64,
+        now: Timestamp,
+        began: Timestamp,
+    ) -> Customer {
         Customer {
             plan,
             spread,
@@ -322,14 +329,14 @@
 
 /// When reqs are to be looked at again, by slot and id: a slot is used again by others.
 #[derive(Debug, Default)]
-pub struct Wakes(BinaryHeap<Reverse<(Point, usize, u64)>>);
+pub struct Wakes(BinaryHeap<Reverse<(Timestamp, usize, u64)>>);
 
 impl Wakes {
-    pub fn push(&mut self, at: Point, slot: usize, id: u64) {
+    pub fn push(&mut self, at: Timestamp, slot: usize, id: u64) {
         self.0.push(Reverse((at, slot, id)));
     }
     /// The earliest of those whose req is still there; the others before it are dropped.
-    pub fn first(&mut self, reqs: &Slab<Req>) -> Option<(Point, usize)> {
+    pub fn first(&mut self, reqs: &Slab<Req>) -> Option<(Timestamp, usize)> {
         while let Some(&Reverse((at, slot, id))) = self.0.peek() {
             if reqs.at(slot).is_some_and(|r| r.id == id) {
                 return Some((at, slot));
@@ -435,7 +442,7 @@
     pub amount: f64,
     pub units: f64,
     pub joins: Vec<(usize, u64, f64)>,
-    pub sent: Point,
+    pub sent: Timestamp,
 }
 
 /// Figures about srvs, in parallel arrays under a dense index.
@@ -445,7 +452,7 @@
     pub zone: Vec<u16>,
     pub cell: Vec<u16>,
     pub ready: Vec<bool>,
-    pub born: Vec<Option<Point>>,
+    pub started_at: Vec<Option<Timestamp>>,
     pub out: Vec<u32>,
     /// Time taken over the frontend's usual, smoothed.
     pub pace: Vec<f64>,
@@ -468,7 +475,7 @@
             self.zone.push(0);
             self.cell.push(0);
             self.ready.push(false);
-            self.born.push(None);
+            self.started_at.push(None);
             self.out.push(0);
             for figures in
                 [&mut self.pace, &mut self.evidence, &mut self.distrust, &mut self.passed, &mut self.tokens]
@@ -479,18 +486,18 @@
         (i, new)
     }
     /// An entry of the list; the index of one that is new or started anew.
-    pub fn take(&mut self, row: &SrvRow, plans: usize) -> Option<usize> {
-        let (i, new) = self.enter(row.srv);
-        (self.zone[i], self.cell[i], self.ready[i]) = (row.zone, row.cell, row.state == SrvState::Ready);
-        let anew = new || self.born[i] != row.born;
+    pub fn take(&mut self, row: &ServerEntry, plans: usize) -> Option<usize> {
+        let (i, new) = self.enter(row.server);
+        (self.zone[i], self.cell[i], self.ready[i]) = (row.zone, row.cell, row.state == ServerState::Ready);
+        let anew = new || self.started_at[i] != row.started_at;
         if anew {
-            self.start(i, row.born, plans);
+            self.start(i, row.started_at, plans);
         }
         Some(i).filter(|_| anew)
     }
     /// A process that started anew has nothing of the old one's record.
-    pub fn start(&mut self, i: usize, born: Option<Point>, plans: usize) {
-        (self.born[i], self.pace[i]) = (born, 1.0);
+    pub fn start(&mut self, i: usize, started_at: Option<Timestamp>, plans: usize) {
+        (self.started_at[i], self.pace[i]) = (started_at, 1.0);
         (self.evidence[i], self.distrust[i], self.passed[i]) = (0.0, 0.0, 0.0);
         self.plans = plans;
         self.squeeze.resize(self.ready.len() * plans, 1.0);
@@ -506,11 +513,11 @@
     pub fn squeeze(&mut self, i: usize, plan: usize) -> &mut f64 {
         &mut self.squeeze[i * self.plans + plan]
     }
-    pub fn same(&self, group: Group, a: usize, b: usize) -> bool {
+    pub fn same(&self, group: DedupScope, a: usize, b: usize) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.zone[a] == self.zone[b],
-            Group::Cell => self.cell[a] == self.cell[b],
+            DedupScope::All => true,
+            DedupScope::Zone => self.zone[a] == self.zone[b],
+            DedupScope::Cell => self.cell[a] == self.cell[b],
         }
     }
     /// The part of the srvs that take new work which stand in a zone.
@@ -529,8 +536,8 @@
 pub struct Control {
     pub(crate) terms: Terms,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) now: Point,
-    pub(crate) began: Point,
+    pub(crate) now: Timestamp,
+    pub(crate) began: Timestamp,
     /// Between the last two rounds.
     pub(crate) gap: Span,
     pub(crate) reqs: Slab<Req>,
@@ -542,15 +549,15 @@
     pub(crate) silent: bool,
     pub(crate) crowd: f64,
     /// When a call unanswered last was a sign of a crowd.
-    pub(crate) missed: Point,
+    pub(crate) missed: Timestamp,
     /// Counter calls that have ended.
     pub(crate) answers: f64,
-    pub(crate) trial_at: Point,
+    pub(crate) trial_at: Timestamp,
     /// Customers whose part let through peers are yet to hear of.
     pub(crate) news: Vec<usize>,
-    pub(crate) tell_at: Point,
+    pub(crate) tell_at: Timestamp,
     pub(crate) limit: f64,
-    pub(crate) decided: Point,
+    pub(crate) decided: Timestamp,
     pub(crate) out: u32,
     /// The same, averaged over the last two seconds.
     pub(crate) used: f64,
@@ -576,9 +583,9 @@
     pub(crate) further: f64,
     /// Seconds that a call to the counter takes, smoothed.
     pub(crate) slow: f64,
-    pub(crate) second_at: Point,
+    pub(crate) second_at: Timestamp,
     pub(crate) wakes: Wakes,
-    pub(crate) armed: Option<Point>,
+    pub(crate) armed: Option<Timestamp>,
     pub(crate) touched: Vec<usize>,
     pub(crate) dirty: Vec<usize>,
     pub(crate) asks: bool,
--- a/src/time.rs
+++ b/src/time.rs
@@ -3,24 +3,24 @@
 use std::ops::{Add, Sub};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Point(u64);
+pub struct Timestamp(u64);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
-impl Point {
-    pub fn from_secs(s: f64) -> Point {
-        Point((s * 1e6).round().max(0.0) as u64)
+impl Timestamp {
+    pub fn from_secs(s: f64) -> Timestamp {
+        Timestamp((s * 1e6).round().max(0.0) as u64)
     }
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
     /// Seconds gone by since an earlier point.
-    pub fn since(self, earlier: Point) -> f64 {
+    pub fn since(self, earlier: Timestamp) -> f64 {
         (self - earlier).secs()
     }
     /// The point so many seconds later.
-    pub fn later(self, secs: f64) -> Point {
+    pub fn later(self, secs: f64) -> Timestamp {
         self + Span::from_secs(secs)
     }
 }
@@ -41,23 +41,23 @@
     }
 }
 
-impl Add<Span> for Point {
-    type Output = Point;
-    fn add(self, s: Span) -> Point {
-        Point(self.0.saturating_add_signed(s.0))
+impl Add<Span> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, s: Span) -> Timestamp {
+        Timestamp(self.0.saturating_add_signed(s.0))
     }
 }
 
-impl Sub<Span> for Point {
-    type Output = Point;
-    fn sub(self, s: Span) -> Point {
-        Point(self.0.saturating_add_signed(-s.0))
+impl Sub<Span> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, s: Span) -> Timestamp {
+        Timestamp(self.0.saturating_add_signed(-s.0))
     }
 }
 
-impl Sub<Point> for Point {
+impl Sub<Timestamp> for Timestamp {
     type Output = Span;
-    fn sub(self, o: Point) -> Span {
+    fn sub(self, o: Timestamp) -> Span {
         Span(self.0 as i64 - o.0 as i64)
     }
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -2,9 +2,9 @@
 //! tenant's quota while calls go unanswered, holders change, and gateways stand still, are killed and start again.
 
 use lupinledge::control::Control;
-use lupinledge::link::*;
-use lupinledge::tables::Basis;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::*;
+use lupinledge::state::Basis;
+use lupinledge::time::{Span, Timestamp};
 use lupinledge_counters::duty::{Duty, Look, Seen};
 use lupinledge_counters::own::Own;
 use lupinledge_counters::store::Quota;
@@ -104,7 +104,11 @@
             self.waiting.iter().filter(|(_, call)| call.1 <= now).map(|(tag, _)| *tag).collect();
         for tag in ended {
             let Some(((pool, name, _), _)) = self.waiting.remove(&tag) else { continue };
-            self.hears(pool, now, Event::Counted { name, total: 0.0, level: None, how: Outcome::TimedOut });
+            self.hears(
+                pool,
+                now,
+                Event::Counted { name, total: 0.0, level: None, outcome: Outcome::TimedOut },
+            );
         }
     }
 
@@ -128,7 +132,7 @@
     fn answered(&mut self, at: u64, (pool, name, sum): Call, total: Total) {
         self.own.total(at as f64 / 1e3, name, sum, total);
         let Total { counted, level } = total;
-        self.hears(pool, at, Event::Counted { name, total: counted, level, how: Outcome::Passed });
+        self.hears(pool, at, Event::Counted { name, total: counted, level, outcome: Outcome::Passed });
     }
 }
 
@@ -150,7 +154,7 @@
         gateway.tag += 1;
         let link = if now < self.away { Link::Cut } else { gateway.link.0 };
         let (from, tag) = ((gateway.node, gateway.incarnation), gateway.tag);
-        let late = Event::Counted { name, total: 0.0, level: None, how: Outcome::TimedOut };
+        let late = Event::Counted { name, total: 0.0, level: None, outcome: Outcome::TimedOut };
         if link == Link::Cut {
             return gateway.hears(pool, now + CALL_WAIT, late);
         }
@@ -208,7 +212,7 @@
 fn terms(seed: u64, gateways: usize) -> Terms {
     let frontend = Frontend {
         effect: Effect::Replayable,
-        group: Group::All,
+        group: DedupScope::All,
         memory: Span::ZERO,
         target: Span::millis(1_000),
         late_value: 0.3,
@@ -234,22 +238,29 @@
         plans: vec![plan],
         counter: true,
         count_wait: Span::millis(CALL_WAIT as i64),
-        largest: 1.0,
+        max_units: 1.0,
         may_duplicate: true,
         may_cancel: true,
         may_hint: true,
         longest_hint: Span::from_secs(1.0),
         warm_after: Span::millis(1),
         fall_window: Span::from_secs(4.0),
-        start_each: 4.0,
-        patient: true,
+        start_limit: 4.0,
+        awaits_late_answers: true,
         window: Some(16.0 * 3600.0),
         ..Terms::default()
     }
 }
 
 fn list() -> Event {
-    let row = |srv| SrvRow { srv, zone: 0, cell: 0, state: SrvState::Ready, weight: 1.0, born: None };
+    let row = |server| ServerEntry {
+        server,
+        zone: 0,
+        cell: 0,
+        state: ServerState::Ready,
+        weight: 1.0,
+        started_at: None,
+    };
     Event::List { kind: ListKind::Full, rows: (1..=8).map(row).collect() }
 }
 
@@ -355,7 +366,7 @@
                 gateway.hears(
                     pool,
                     now,
-                    Event::Req(NewReq {
+                    Event::Req(NewRequest {
                         id: next,
                         frontend: 0,
                         repeat: false,
@@ -363,7 +374,7 @@
                         customer: CUSTOMER,
                         plan: 0,
                         spread: (count * pool_count) as f64,
-                        left: Span::millis(2_000),
+                        time_left: Span::millis(2_000),
                         zones: u64::MAX,
                     }),
                 );
@@ -373,7 +384,7 @@
                 let Some(events) = gateway.pools[pool].due.remove(&now) else { continue };
                 let mut acts = Vec::new();
                 let before = gateway.pools[pool].control.admissions();
-                gateway.pools[pool].control.round(Point::from_secs(secs), events, &mut acts);
+                gateway.pools[pool].control.round(Timestamp::from_secs(secs), events, &mut acts);
                 let after = gateway.pools[pool].control.admissions();
                 for (basis, (before, after)) in before.into_iter().zip(after).enumerate() {
                     sends.extend((before..after).map(|_| (now as usize, basis)));
@@ -385,8 +396,14 @@
                         }
                         Action::Dispatch { id, .. } => {
                             let took = Span::millis(5);
-                            let ended =
-                                Ended { id, nth: 0, how: Outcome::Passed, took, closed: true, billed: 0.0 };
+                            let ended = Ended {
+                                id,
+                                nth: 0,
+                                outcome: Outcome::Passed,
+                                took,
+                                closed: true,
+                                billed: 0.0,
+                            };
                             gateway.hears(pool, now + 5, Event::Ended(ended, Vec::new()));
                         }
                         Action::Timer { after, .. } => {
--- a/tests/kept_store.rs
+++ b/tests/kept_store.rs
@@ -1,8 +1,8 @@
 //! A counter that keeps the stores of the quotas: what a gateway tells it, and what it goes by while it is not answered.
 
 use lupinledge::control::Control;
-use lupinledge::link::*;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::*;
+use lupinledge::time::{Span, Timestamp};
 
 const RATE: f64 = 100.0;
 const BURST: f64 = 1_000.0;
@@ -24,7 +24,7 @@
     fn new(gateways: usize) -> Pool {
         let frontend = Frontend {
             effect: Effect::Replayable,
-            group: Group::All,
+            group: DedupScope::All,
             memory: Span::ZERO,
             target: Span::millis(1_000),
             late_value: 0.3,
@@ -50,25 +50,32 @@
             plans: vec![plan],
             counter: true,
             count_wait: Span::millis(350),
-            largest: 1.0,
+            max_units: 1.0,
             may_hint: true,
             longest_hint: Span::from_secs(1.0),
             warm_after: Span::millis(1),
             fall_window: Span::from_secs(4.0),
-            start_each: 4.0 * gateways as f64,
+            start_limit: 4.0 * gateways as f64,
             window: Some(16.0 * 3600.0),
             ..Terms::default()
         };
         let (control, told) = (Control::new(terms), Default::default());
         let mut pool = Pool { control, now: 40_000, next: 0, sent: 0, told, calls: Vec::new() };
-        let row = |srv| SrvRow { srv, zone: 0, cell: 0, state: SrvState::Ready, weight: 1.0, born: None };
+        let row = |server| ServerEntry {
+            server,
+            zone: 0,
+            cell: 0,
+            state: ServerState::Ready,
+            weight: 1.0,
+            started_at: None,
+        };
         pool.round(vec![Event::List { kind: ListKind::Full, rows: (1..=20).map(row).collect() }]);
         pool
     }
 
     fn round(&mut self, events: Vec<Event>) {
         let mut acts = Vec::new();
-        self.control.round(Point::from_secs(self.now as f64 / 1e3), events, &mut acts);
+        self.control.round(Timestamp::from_secs(self.now as f64 / 1e3), events, &mut acts);
         let mut ended = Vec::new();
         for act in acts {
             match act {
@@ -79,7 +86,7 @@
                 Action::Dispatch { id, .. } => {
                     self.sent += 1;
                     let took = Span::millis(0);
-                    let end = Ended { id, nth: 0, how: Outcome::Passed, took, closed: true, billed: 0.0 };
+                    let end = Ended { id, nth: 0, outcome: Outcome::Passed, took, closed: true, billed: 0.0 };
                     ended.push(Event::Ended(end, Vec::new()));
                 }
                 _ => {}
@@ -94,10 +101,19 @@
     fn request(&mut self, after: u64, customer: u64, spread: f64) -> bool {
         self.now += after;
         self.next += 1;
-        let left = Span::millis(2_000);
+        let time_left = Span::millis(2_000);
         let (id, zones) = (self.next, u64::MAX);
-        let request =
-            NewReq { id, frontend: 0, repeat: false, units: 1.0, customer, plan: 0, spread, left, zones };
+        let request = NewRequest {
+            id,
+            frontend: 0,
+            repeat: false,
+            units: 1.0,
+            customer,
+            plan: 0,
+            spread,
+            time_left,
+            zones,
+        };
         let before = self.calls.len();
         self.round(vec![Event::Req(request)]);
         self.calls.len() > before
@@ -106,9 +122,9 @@
     /// All calls end: with what is left in the store, or without an answer.
     fn end_calls(&mut self, level: Option<f64>) {
         self.now += 2;
-        let how = if level.is_some() { Outcome::Passed } else { Outcome::TimedOut };
+        let outcome = if level.is_some() { Outcome::Passed } else { Outcome::TimedOut };
         let total = level.map_or(0.0, |_| 100_000.0);
-        let ended = |name| Event::Counted { name, total, level, how };
+        let ended = |name| Event::Counted { name, total, level, outcome };
         let events = std::mem::take(&mut self.calls).into_iter().map(ended).collect();
         self.round(events);
     }
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -1,6 +1,6 @@
 //! The words of the scenarios: `key=value` into the terms, reqs and outcomes of the seam.
 
-use lupinledge::link::*;
+use lupinledge::interface::*;
 use lupinledge::time::Span;
 
 pub fn key<'a>(words: &[&'a str], name: &str) -> Option<&'a str> {
@@ -14,13 +14,13 @@
 pub fn frontend(w: &[&str]) -> Frontend {
     let effect = match key(w, "effect").unwrap_or("replayable") {
         "replayable" => Effect::Replayable,
-        "uniqued" => Effect::Uniqued,
+        "uniqued" => Effect::Deduplicated,
         _ => Effect::NonReplayable,
     };
     let group = match key(w, "group").unwrap_or("all") {
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
-        _ => Group::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
+        _ => DedupScope::All,
     };
     let (memory, target) = (Span::from_secs(num(w, "memory", 2.0)), Span::from_secs(num(w, "target", 1.0)));
     Frontend {
@@ -59,11 +59,11 @@
         plans,
         counter: num(w, "counter", 1.0) > 0.0,
         count_wait: Span::millis(50),
-        largest: 1.0,
-        settles: num(w, "settles", 0.0) > 0.0,
+        max_units: 1.0,
+        bills_after: num(w, "settles", 0.0) > 0.0,
         peers: num(w, "peers", 0.0) > 0.0,
         peer_intake: 60.0,
-        ask_list: num(w, "ask", 0.0) > 0.0,
+        list_on_request: num(w, "ask", 0.0) > 0.0,
         may_duplicate: num(w, "duplicate", 1.0) > 0.0,
         may_cancel: true,
         may_hint: num(w, "hint", 0.0) > 0.0,
@@ -74,16 +74,16 @@
         fall_window: Span::from_secs(2.0),
         marks_repeats: num(w, "marks", 1.0) > 0.0,
         regions: key(w, "regions").map_or(Vec::new(), |r| r.bytes().map(|b| (b - b'0') as u16).collect()),
-        start_each: 3.0,
-        further: key(w, "further").map(|_| (num(w, "ratio", 0.2), num(w, "further", 0.0))),
-        cold_sends: key(w, "cold").map(|_| num(w, "cold", 0.0)),
-        patient: num(w, "patient", 0.0) > 0.0,
+        start_limit: 3.0,
+        retry_budget: key(w, "further").map(|_| (num(w, "ratio", 0.2), num(w, "further", 0.0))),
+        cold_send_rate: key(w, "cold").map(|_| num(w, "cold", 0.0)),
+        awaits_late_answers: num(w, "patient", 0.0) > 0.0,
         window: key(w, "window").map(|_| num(w, "window", 30.0)),
     }
 }
 
-pub fn req(id: u64, w: &[&str]) -> NewReq {
-    NewReq {
+pub fn req(id: u64, w: &[&str]) -> NewRequest {
+    NewRequest {
         id,
         frontend: num(w, "frontend", 0.0) as usize,
         repeat: num(w, "repeat", 0.0) > 0.0,
@@ -91,7 +91,7 @@
         customer: num(w, "customer", 7.0) as u64,
         plan: num(w, "plan", 0.0) as usize,
         spread: num(w, "spread", 2.0),
-        left: Span::from_secs(num(w, "left", 3.0)),
+        time_left: Span::from_secs(num(w, "left", 3.0)),
         zones: num(w, "zones", u64::MAX as f64) as u64,
     }
 }
--- a/tests/ordinary/mod.rs
+++ b/tests/ordinary/mod.rs
@@ -3,8 +3,8 @@
 
 use crate::notation::*;
 use lupinledge::control::Control;
-use lupinledge::link::*;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::*;
+use lupinledge::time::{Span, Timestamp};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 const ROLL: u64 = 2000; // milliseconds that an in-flight name lives (design)
@@ -36,7 +36,14 @@
     let (mut sent, mut out) = ([0.0; CUSTOMERS as usize], [0; CUSTOMERS as usize]);
     let mut reqs: Vec<(usize, f64)> = Vec::new(); // customer and units, by id
     let (mut dispatches, mut denials) = (0, 0);
-    let row = |srv| SrvRow { srv, zone: 0, cell: 0, state: SrvState::Ready, weight: 1.0, born: None };
+    let row = |server| ServerEntry {
+        server,
+        zone: 0,
+        cell: 0,
+        state: ServerState::Ready,
+        weight: 1.0,
+        started_at: None,
+    };
     let list = Event::List { kind: ListKind::Full, rows: (1..=8).map(row).collect() };
     let mut due = BTreeMap::from([(30_500, vec![list])]);
     for ms in 30_500..50_500 {
@@ -61,7 +68,7 @@
             }
         }
         let mut acts = Vec::new();
-        ctl.round(Point::from_secs(ms as f64 / 1e3), events, &mut acts);
+        ctl.round(Timestamp::from_secs(ms as f64 / 1e3), events, &mut acts);
         for act in acts {
             let (after, event) = match act {
                 Action::Count { name, amount, .. } => {
@@ -73,7 +80,7 @@
                         *others = if kind == 0 { *others + 5.0 } else { 2.0 - *others };
                     }
                     let total = *own + *others;
-                    (CALL[kind], Event::Counted { name, total, level: None, how: Outcome::Passed })
+                    (CALL[kind], Event::Counted { name, total, level: None, outcome: Outcome::Passed })
                 }
                 Action::Dispatch { id, .. } => {
                     let (c, units) = reqs[id as usize];
@@ -83,8 +90,11 @@
                     assert!(leased > out[c] as f64 - 1e-6, "{id} sent at {ms} with {leased} of {}", out[c]);
                     assert!(out[c] <= cap, "{id} sent at {ms} past the cap");
                     let after = rng.u64(5..200);
-                    let (how, took) = (Outcome::Passed, Span::millis(after as i64));
-                    (after, Event::Ended(Ended { id, nth: 0, how, took, closed: true, billed: 0.0 }, vec![]))
+                    let (outcome, took) = (Outcome::Passed, Span::millis(after as i64));
+                    (
+                        after,
+                        Event::Ended(Ended { id, nth: 0, outcome, took, closed: true, billed: 0.0 }, vec![]),
+                    )
                 }
                 Action::Timer { after, .. } => {
                     ((after.secs() * 1e3).ceil().max(1.0) as u64, Event::Timer { token: 0 })
--- a/tests/play.rs
+++ b/tests/play.rs
@@ -12,8 +12,8 @@
 mod ordinary;
 
 use lupinledge::control::Control;
-use lupinledge::link::*;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::*;
+use lupinledge::time::{Span, Timestamp};
 use notation::*;
 use std::collections::VecDeque;
 use test_case::test_case;
@@ -30,7 +30,7 @@
 impl Play {
     fn feed(&mut self, events: Vec<Event>) {
         let mut acts = Vec::new();
-        self.ctl.round(Point::from_secs(self.now), events, &mut acts);
+        self.ctl.round(Timestamp::from_secs(self.now), events, &mut acts);
         for a in acts {
             let line = match a {
                 Action::Timer { after, .. } => {
@@ -42,10 +42,10 @@
                     let kind = if name & 1 == 1 { "lease" } else { "quota" };
                     format!("count {kind} {} {amount:+}", name >> 24)
                 }
-                Action::Dispatch { id, srv, .. } => {
+                Action::Dispatch { id, server, .. } => {
                     let nth = self.sent.keys().filter(|k| k.0 == id).count() as u16;
                     self.sent.insert((id, nth), self.now);
-                    format!("dispatch {id} srv {srv}")
+                    format!("dispatch {id} srv {server}")
                 }
                 Action::Deny { id, back_off } => format!("deny {id} after {:.2}", back_off.secs()),
                 Action::Abort { id } => format!("abort {id}"),
@@ -70,7 +70,7 @@
     }
 
     fn event(&mut self, w: &[&str]) {
-        let counted = |name, total, how| Event::Counted { name, total, level: None, how };
+        let counted = |name, total, outcome| Event::Counted { name, total, level: None, outcome };
         let event = match w[0] {
             "wait" => return,
             "known" => {
@@ -122,17 +122,18 @@
                     "failed" => ListKind::Failed,
                     _ => ListKind::Cached,
                 };
-                let row = |w: &&str| SrvRow {
-                    srv: w.split(',').next().expect("a srv").parse().expect("a srv"),
+                let row = |w: &&str| ServerEntry {
+                    server: w.split(',').next().expect("a srv").parse().expect("a srv"),
                     zone: num(&[w], "zone", 0.0) as u16,
                     cell: num(&[w], "cell", 0.0) as u16,
                     state: match key(&[w], "state") {
-                        Some("gone") => SrvState::Gone,
-                        Some("draining") => SrvState::Draining,
-                        _ => SrvState::Ready,
+                        Some("gone") => ServerState::Gone,
+                        Some("draining") => ServerState::Draining,
+                        _ => ServerState::Ready,
                     },
                     weight: 1.0,
-                    born: key(&[w], "born").map(|b| Point::from_secs(b.parse().expect("a time"))),
+                    started_at: key(&[w], "started_at")
+                        .map(|b| Timestamp::from_secs(b.parse().expect("a time"))),
                 };
                 Event::List { kind, rows: w[2..].iter().map(row).collect() }
             }
@@ -148,12 +149,12 @@
             }
             "left" => Event::Left { id: w[1].parse().expect("an id") },
             word => {
-                let how = outcome(word).expect("a known event");
+                let outcome = outcome(word).expect("a known event");
                 let (id, nth) = w[1].split_once('/').expect("ID/NTH");
                 let (id, nth) = (id.parse().expect("an id"), nth.parse().expect("a number"));
                 let took = Span::from_secs(self.now - self.sent.get(&(id, nth)).unwrap_or(&self.now));
-                let (closed, billed) = (how == Outcome::Passed, num(w, "billed", 0.0));
-                Event::Ended(Ended { id, nth, how, took, closed, billed }, Vec::new())
+                let (closed, billed) = (outcome == Outcome::Passed, num(w, "billed", 0.0));
+                Event::Ended(Ended { id, nth, outcome, took, closed, billed }, Vec::new())
             }
         };
         self.feed(vec![event]);
