--- a/control-plane/tests/operations.rs
+++ b/control-plane/tests/operations.rs
@@ -5,7 +5,7 @@
 
 use common::{until, Members};
 use lupinledge_example::http::Client;
-use lupinledge_messaging::{Post, Word};
+use lupinledge_messaging::{Transport, WireMessage};
 use lupinledge_operations::{ClaimId, ElectorateId, Fingerprint, Key, Message, Node, Verdict};
 use std::collections::BTreeMap;
 use std::fs;
@@ -67,7 +67,7 @@
                 sent = Some(Instant::now());
                 let (key, fingerprint) = (Key(key, 0), Fingerprint(key));
                 let electorate = ElectorateId::default();
-                self.send(i, Message::Claim { key, claim, fingerprint, keep: KEEP, electorate });
+                self.send(i, Message::Claim { key, claim, fingerprint, keep_s: KEEP, electorate });
             }
             self.votes.lock().unwrap().get(&(self.voters[i], claim)).copied()
         })
@@ -125,15 +125,15 @@
 /// Sends what it is told to, and notes the votes that come.
 fn carry(ip: Ipv4Addr, port: u16, votes: Votes, mut orders: UnboundedReceiver<(Node, Message)>) {
     let note = move |from, word| {
-        if let Word::Operation(Message::Vote { claim, electorate, verdict, .. }) = word {
+        if let WireMessage::Operation(Message::Vote { claim, electorate, verdict, .. }) = word {
             votes.lock().unwrap().insert((from, claim), (electorate, verdict));
         }
     };
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default()).unwrap();
     runtime.block_on(async move {
-        let post = Post::open(ip.into(), port, Rc::new(note)).unwrap();
+        let post = Transport::open(ip.into(), port, Rc::new(note)).unwrap();
         while let Some((to, message)) = orders.recv().await {
-            post.send(to, &Word::Operation(message));
+            post.send(to, &WireMessage::Operation(message));
         }
         post.close();
     });
@@ -386,7 +386,7 @@
             while ((gateway.sequence - first) as f64) < rate * elapsed.as_secs_f64() {
                 let claim = gateway.next();
                 let (key, fingerprint) = (Key(claim.sequence, 1), Fingerprint(1));
-                let message = Message::Claim { key, claim, fingerprint, keep: KEEP, electorate };
+                let message = Message::Claim { key, claim, fingerprint, keep_s: KEEP, electorate };
                 ALL.into_iter().for_each(|i| gateway.send(i, message.clone()));
             }
         });
--- a/counters/src/holder.rs
+++ b/counters/src/holder.rs
@@ -1,4 +1,4 @@
-//! How the holder runs its counters: the counters of the current epoch, which gateways are reachable for their handover,
+//! How the holder runs its counters: the counters of the current epoch, which gateways are asked for their handover,
 //! and calls that wait until the totals are complete.
 
 use crate::handover::HandoverPart;
--- a/data-plane/src/ledger.rs
+++ b/data-plane/src/ledger.rs
@@ -3,13 +3,15 @@
 //! mends one that was lost, and a new holder is told at once what the one before knew from here.
 
 use crate::wire::Trail;
-use lupinledge::link::Outcome;
+use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
 use lupinledge_counters::handover::{HandoverEntry, HandoverPart};
 use lupinledge_counters::local_sums::LocalSums;
 use lupinledge_counters::pending_calls::PendingCalls;
 use lupinledge_counters::Total;
-use lupinledge_messaging::{epoch, parts, units, CountedName, Node, Post, ToldName, Word};
+use lupinledge_messaging::{
+    epoch_of_round, from_fixed, to_fixed, NameReport, NameTotal, Node, Transport, WireMessage,
+};
 use lupinledge_proxy::exchange::{CounterSide, Exchange};
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -31,15 +33,15 @@
 }
 
 /// What was told of a name, as it goes over the network.
-fn told_name(told: HandoverEntry) -> ToldName {
+fn told_name(told: HandoverEntry) -> NameReport {
     let HandoverEntry { name, sum, within, total, life, store } = told;
     let store = store.map(|reading| (reading.level, reading.age as f32));
-    ToldName { name, sum, within, total, life: life as f32, store }
+    NameReport { name, sum, within, total, life: life as f32, store }
 }
 
 /// All calls of this process.
 pub struct Ledger {
-    post: Rc<Post>,
+    post: Rc<Transport>,
     incarnation: u32,
     began: Instant,
     holder: Cell<(u64, Node)>,
@@ -50,7 +52,7 @@
 
 impl Ledger {
     /// With no holder known yet: calls fail at once. Another start of the process has another `incarnation`.
-    pub fn start(post: Rc<Post>, incarnation: u32) -> Rc<Ledger> {
+    pub fn start(post: Rc<Transport>, incarnation: u32) -> Rc<Ledger> {
         let ledger = Rc::new(Ledger {
             post,
             incarnation,
@@ -87,7 +89,8 @@
             HandoverPart::split(self.own.borrow().handover(self.now()))
         {
             let told = entries.into_iter().map(told_name).collect();
-            self.post.send(holder, &Word::Told { incarnation, told, epoch, part: (index, count) });
+            self.post
+                .send(holder, &WireMessage::CounterReport { incarnation, told, epoch, part: (index, count) });
         }
     }
 
@@ -101,15 +104,15 @@
     }
 
     /// Hands on the totals of a word; none: that process is not the holder, and nothing was added.
-    pub fn counted(&self, from: Node, tag: u64, round: u32, totals: &[CountedName]) {
-        let epoch = Some(epoch(round, from)).filter(|_| !totals.is_empty());
+    pub fn counted(&self, from: Node, tag: u64, round: u32, totals: &[NameTotal]) {
+        let epoch = Some(epoch_of_round(round, from)).filter(|_| !totals.is_empty());
         let calls = self.waiting.borrow_mut().take_answered(from, tag, epoch);
         let Some(calls) = calls else { return };
         if totals.len() != calls.len() {
             return self.fail(calls, Outcome::Full);
         }
-        for (call, CountedName(total, level)) in calls.into_iter().zip(totals) {
-            let total = Total { counted: units(*total), level: level.map(units) };
+        for (call, NameTotal(total, level)) in calls.into_iter().zip(totals) {
+            let total = Total { counted: from_fixed(*total), level: level.map(from_fixed) };
             self.own.borrow_mut().record_total(self.now(), call.name, call.sum, total);
             let pool = call.pool.upgrade().into_iter();
             pool.for_each(|p| p.counted(call.name, total.counted, total.level, Outcome::Passed));
@@ -141,7 +144,7 @@
                 pool.upgrade().into_iter().for_each(|p| p.counted(name, 0.0, None, Outcome::NoConnection));
                 continue;
             };
-            words.push((name, parts(sum), life.ceil() as u16));
+            words.push((name, to_fixed(sum), life.ceil() as u16));
             calls.push(Call { pool, name, amount, sum });
         }
         if calls.is_empty() {
@@ -155,7 +158,7 @@
         match asked {
             Ok(tag) => {
                 let incarnation = self.incarnation;
-                self.post.send(holder.1, &Word::Count { tag, incarnation, calls: words });
+                self.post.send(holder.1, &WireMessage::CounterSums { tag, incarnation, calls: words });
             }
             Err(calls) => self.fail(calls, Outcome::NoConnection),
         }
--- a/drift-detection/src/verdict.rs
+++ b/drift-detection/src/verdict.rs
@@ -77,7 +77,7 @@
     let (mut newest, mut ready, mut serving) = (0, 0, Vec::new());
     for m in members {
         let present = m.standing != Standing::Gone;
-        let (index, print, age) = (m.digest.state.1, m.digest.print, now - m.heard);
+        let (index, print, age) = (m.digest.state.1, m.digest.fingerprint, now - m.last_received);
         let accepts = present && !m.card.core && m.card.ready && !m.card.leaving;
         ready += accepts as usize;
         if present && m.card.core && age < CORE_REPORT_TTL {
--- a/drift-detection/tests/cluster/mod.rs
+++ b/drift-detection/tests/cluster/mod.rs
@@ -7,7 +7,7 @@
 use lupinledge_drift_detection::{
     verdict::compare, Action, Audit, Detector, DriftMonitor, LocalState, Settings,
 };
-use lupinledge_membership::{Card, News, Node, Said, Sends, Source, Spread};
+use lupinledge_membership::{Card, Disseminator, GossipMessage, Node, Outgoing, Source, Update};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -84,7 +84,7 @@
 }
 
 struct Process {
-    spread: Spread,
+    disseminator: Disseminator,
     edge: Option<Edge>,
     side: usize,
     frozen: bool,
@@ -95,7 +95,7 @@
 pub struct Cluster {
     pub now: f64,
     processes: Vec<Process>,
-    in_flight: BTreeMap<(u64, u64), (usize, usize, Said)>,
+    in_flight: BTreeMap<(u64, u64), (usize, usize, GossipMessage)>,
     messages_sent: u64,
     pub rng: Rng,
     /// Documents by index, with the time of their acknowledgement.
@@ -159,13 +159,24 @@
 
     fn new_process(&mut self, i: usize) -> Process {
         let core = i < CORES;
-        let front = (!core).then(|| ([10, 0, 0, i as u8 + 1], 80).into());
+        let client_address = (!core).then(|| ([10, 0, 0, i as u8 + 1], 80).into());
         let (region, zone) = ("r".to_string(), "z1".to_string());
-        let (control, rules, load) = (None, None, 0);
-        let card = Card { core, region, zone, front, control, ready: true, leaving: false, rules, load };
+        let (control_address, drift, load) = (None, None, 0);
+        let card = Card {
+            core,
+            region,
+            zone,
+            client_address,
+            control_address,
+            ready: true,
+            leaving: false,
+            drift,
+            load,
+        };
         let seeds = (0..CORES).map(node).collect();
         let incarnation = 1 + (self.now * 1000.0) as u64;
-        let set = lupinledge_membership::Settings::new(node(i), incarnation, card, seeds, self.rng.u64(..));
+        let settings =
+            lupinledge_membership::Settings::new(node(i), incarnation, card, seeds, self.rng.u64(..));
         let edge = (!core).then(|| Edge {
             tables: Tables::default(),
             config: None,
@@ -179,7 +190,13 @@
             last_wrong: None,
             withdrawals: 0,
         });
-        Process { spread: Spread::new(0.0, set, !core), edge, side: 0, frozen: false, started_at: self.now }
+        Process {
+            disseminator: Disseminator::new(0.0, settings, !core),
+            edge,
+            side: 0,
+            frozen: false,
+            started_at: self.now,
+        }
     }
 
     pub fn edges(&self) -> impl Iterator<Item = &Edge> {
@@ -203,11 +220,11 @@
         for i in (0..CORES).rev() {
             if self.processes[i].side == side {
                 let state = Some(((self.epoch, n), self.documents[n as usize - 1].2.clone()));
-                let news = News { epoch: Some((self.epoch, node(self.holder))), state, list: None };
+                let update = Update { epoch: Some((self.epoch, node(self.holder))), state, list: None };
                 let from = if i == self.holder { Source::Origin } else { Source::Settled };
-                self.call(i, |s, _| s.tell(news, from));
+                self.call(i, |s, _| s.publish(update, from));
                 let print = self.documents[n as usize - 1].3.print().folded();
-                self.processes[i].spread.set_print(n, print);
+                self.processes[i].disseminator.set_fingerprint(n, print);
             }
         }
     }
@@ -240,8 +257,8 @@
     /// Sends a node a forged message with this document under the given epoch and index.
     pub fn forge(&mut self, edge: usize, stamp: (u64, u64), document: &Document) {
         let state = Some((stamp, encode(document)));
-        let said = Said::News { digest: Default::default(), state, list: None };
-        self.call(CORES + edge, |s, now| s.heard(now, node(CORES + (edge + 1) % EDGES), said));
+        let message = GossipMessage::Update { digest: Default::default(), state, list: None };
+        self.call(CORES + edge, |s, now| s.receive(now, node(CORES + (edge + 1) % EDGES), message));
     }
 
     /// The index of the newest document, and the document.
@@ -276,11 +293,11 @@
         self.forge(edge, (self.epoch, n), &old);
     }
 
-    fn call(&mut self, i: usize, f: impl FnOnce(&mut Spread, f64) -> lupinledge_membership::Turn) {
+    fn call(&mut self, i: usize, f: impl FnOnce(&mut Disseminator, f64) -> lupinledge_membership::Effects) {
         let now = self.now - self.processes[i].started_at;
-        let (fresh, out) = f(&mut self.processes[i].spread, now);
+        let (received, out) = f(&mut self.processes[i].disseminator, now);
         self.send(i, out);
-        if let Some((_, bytes)) = fresh.and_then(|f| f.state) {
+        if let Some((_, bytes)) = received.and_then(|f| f.state) {
             self.apply(i, serde_json::from_slice(&bytes).unwrap());
         }
     }
@@ -296,16 +313,17 @@
         }
     }
 
-    fn send(&mut self, from: usize, out: Sends) {
-        for (to, said) in out {
+    fn send(&mut self, from: usize, out: Outgoing) {
+        for (to, message) in out {
             let to = index(to);
-            let lost = matches!(said, Said::Probe(_)) && self.rng.f64() < 0.03;
+            let lost = matches!(message, GossipMessage::Probe(_)) && self.rng.f64() < 0.03;
             if lost || self.processes[from].side != self.processes[to].side {
                 continue;
             }
             let delay = if self.rng.u8(0..20) == 0 { 0.3 } else { 0.002 + 0.06 * self.rng.f64() };
             self.messages_sent += 1;
-            self.in_flight.insert((((self.now + delay) * 1e6) as u64, self.messages_sent), (from, to, said));
+            self.in_flight
+                .insert((((self.now + delay) * 1e6) as u64, self.messages_sent), (from, to, message));
         }
     }
 
@@ -316,16 +334,16 @@
             self.now += STEP;
             while let Some(m) = self.in_flight.first_entry().filter(|m| m.key().0 <= (self.now * 1e6) as u64)
             {
-                let (from, to, said) = m.remove();
+                let (from, to, message) = m.remove();
                 if !self.processes[to].frozen {
-                    self.call(to, |s, now| s.heard(now, node(from), said));
+                    self.call(to, |s, now| s.receive(now, node(from), message));
                 }
             }
             for i in 0..ALL {
                 if self.processes[i].frozen {
                     continue;
                 }
-                if self.processes[i].spread.next_wake() <= self.now - self.processes[i].started_at {
+                if self.processes[i].disseminator.next_wake() <= self.now - self.processes[i].started_at {
                     self.call(i, |s, now| (None, s.tick(now)));
                 }
                 if self.processes[i].edge.as_ref().is_some_and(|e| e.next_evaluation <= self.now) {
@@ -342,14 +360,15 @@
         let Some(e) = &mut p.edge else { return };
         e.next_evaluation = self.now + EVALUATION_INTERVAL;
         let found = e.audit.step(&e.tables, e.config.as_ref(), None);
-        let (index, print) = (p.spread.held().digest().state.1, e.audit.live_print().folded());
-        p.spread.set_print(index, print);
+        let (index, print) = (p.disseminator.store().digest().state.1, e.audit.live_print().folded());
+        p.disseminator.set_fingerprint(index, print);
         if !self.monitoring {
             return;
         }
         let own =
             LocalState { index, print, faulty_part: found.map(|f| f.part), verified: e.audit.is_clean() };
-        let others = compare(now, &own, p.spread.held().epoch().1, p.spread.swarm().members());
+        let others =
+            compare(now, &own, p.disseminator.store().epoch().1, p.disseminator.membership().members());
         let actions = e.monitor.evaluate(now, &own, &others);
         for action in actions {
             self.perform(i, action);
@@ -365,7 +384,7 @@
                 (e.withdrawn, e.withdrawals) = (true, e.withdrawals + 1);
                 self.false_withdrawals += consistent as u32;
                 self.detected[detector as usize] += 1;
-                p.spread.set_card(|c| c.ready = false);
+                p.disseminator.set_card(|c| c.ready = false);
             }
             Action::Rebuild => {
                 let (held, serial) = (e.held.clone(), std::mem::take(&mut e.serial));
@@ -375,11 +394,11 @@
             }
             Action::Refetch => {
                 e.serial = if e.withdrawn { 0 } else { e.serial.saturating_sub(1) };
-                let out = p.spread.afresh();
+                let out = p.disseminator.refetch_state();
                 self.send(i, out);
             }
             Action::AcceptClients => e.withdrawn = false,
-            Action::Announce => drop(p.spread.set_card(|c| c.ready = true)),
+            Action::Announce => drop(p.disseminator.set_card(|c| c.ready = true)),
         }
     }
 
@@ -400,7 +419,7 @@
         if n == 0 {
             return true;
         }
-        let held = (p.spread.held().digest().state.1 as usize).clamp(0, n);
+        let held = (p.disseminator.store().digest().state.1 as usize).clamp(0, n);
         let held = if held == 0 { n } else { held };
         let partitioned = p.side != self.processes[self.holder].side;
         let overdue = self.documents.get(held).is_some_and(|next| self.now - next.0 > APPLY && !partitioned);
--- a/shadow/src/lib.rs
+++ b/shadow/src/lib.rs
@@ -2,8 +2,8 @@
 //! this module counts, by kind, the decisions that the proposed terms would not have allowed or would have taken
 //! differently. It receives the events and actions of each round, changes neither, and keeps only unfinished requests.
 
-use lupinledge::link::{Action, Effect, Event, Frontend, Group, Outcome, SrvRow, Terms};
-use lupinledge::time::Point;
+use lupinledge::interface::{Action, DedupScope, Effect, Event, Frontend, Outcome, ServerEntry, Terms};
+use lupinledge::time::Timestamp;
 use std::collections::HashMap;
 
 /// Kinds of decisions that the proposed terms would have taken differently.
@@ -54,7 +54,7 @@
 /// A dispatch of a request.
 struct Attempt {
     server: u32,
-    at: Point,
+    at: Timestamp,
     running: bool,
     /// Whether it may have run.
     ran: bool,
@@ -75,13 +75,13 @@
 /// This gateway's share of a customer's hard ceiling, as a token bucket. It starts empty, as in the decisions.
 struct CeilingShare {
     level: f64,
-    at: Point,
+    at: Timestamp,
 }
 
 /// Counts the divergences of the decisions from the proposed terms.
 pub struct ShadowCounter {
     terms: Terms,
-    started_at: Option<Point>,
+    started_at: Option<Timestamp>,
     requests: HashMap<u64, OpenRequest>,
     locations: HashMap<u32, (u16, u16)>,
     shares: HashMap<u64, CeilingShare>,
@@ -103,12 +103,12 @@
     }
 
     /// Records the events of one round; must be called before the decisions process them.
-    pub fn record_events(&mut self, now: Point, events: &[Event]) {
+    pub fn record_events(&mut self, now: Timestamp, events: &[Event]) {
         self.started_at.get_or_insert(now);
         for e in events {
             match e {
                 Event::List { rows, .. } => self.locations.extend(rows.iter().map(location)),
-                Event::Req(n) if self.terms.cover(n) => {
+                Event::Req(n) if self.terms.contains(n) => {
                     if n.repeat && !self.terms.marks_repeats {
                         self.increment(Divergence::Unmarked);
                     }
@@ -124,7 +124,8 @@
                     let Some(r) = self.requests.get_mut(&e.id) else { continue };
                     if let Some(t) = r.attempts.get_mut(e.nth as usize) {
                         t.running = false;
-                        t.ran = !matches!(e.how, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
+                        t.ran =
+                            !matches!(e.outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent);
                     }
                     r.finished |= e.closed;
                     self.remove_if_finished(e.id);
@@ -136,10 +137,10 @@
     }
 
     /// Records the actions that the decisions returned for the round.
-    pub fn record_actions(&mut self, now: Point, actions: &[Action]) {
+    pub fn record_actions(&mut self, now: Timestamp, actions: &[Action]) {
         for a in actions {
             match *a {
-                Action::Dispatch { id, srv, .. } => self.dispatch(now, id, srv),
+                Action::Dispatch { id, server, .. } => self.dispatch(now, id, server),
                 Action::Deny { id, back_off } => {
                     let longest = if self.terms.may_hint { self.terms.longest_hint.secs() } else { 0.0 };
                     if back_off.secs() > longest + 1e-6 {
@@ -147,9 +148,10 @@
                     }
                     let allowed = self.requests.get(&id).is_none_or(|r| {
                         let f = &self.terms.frontends[r.frontend];
-                        let unique_everywhere = f.effect == Effect::Uniqued && f.group == Group::All;
+                        let deduplicated_everywhere =
+                            f.effect == Effect::Deduplicated && f.group == DedupScope::All;
                         f.effect == Effect::Replayable
-                            || unique_everywhere
+                            || deduplicated_everywhere
                             || !r.attempts.iter().any(|t| t.ran)
                     });
                     if !allowed {
@@ -163,7 +165,7 @@
         }
     }
 
-    fn dispatch(&mut self, now: Point, id: u64, server: u32) {
+    fn dispatch(&mut self, now: Timestamp, id: u64, server: u32) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         let f = self.terms.frontends[r.frontend];
         let (first, running) = (r.attempts.is_empty(), r.attempts.iter().any(|t| t.running));
@@ -188,7 +190,14 @@
     }
 
     /// Takes the units from this gateway's share of the customer's ceiling if they fit; returns whether they do.
-    fn take_from_ceiling(&mut self, now: Point, plan: usize, customer: u64, spread: f64, units: f64) -> bool {
+    fn take_from_ceiling(
+        &mut self,
+        now: Timestamp,
+        plan: usize,
+        customer: u64,
+        spread: f64,
+        units: f64,
+    ) -> bool {
         let p = &self.terms.plans[plan];
         if p.ceiling_rate <= 0.0 {
             return true;
@@ -236,8 +245,8 @@
 }
 
 /// The location of a server: its zone and cell.
-fn location(row: &SrvRow) -> (u32, (u16, u16)) {
-    (row.srv, (row.zone, row.cell))
+fn location(row: &ServerEntry) -> (u32, (u16, u16)) {
+    (row.server, (row.zone, row.cell))
 }
 
 /// Whether a request may be sent to this server after a previous attempt that may have run.
@@ -245,19 +254,19 @@
     f: &Frontend,
     previous: &Attempt,
     server: u32,
-    now: Point,
+    now: Timestamp,
     locations: &HashMap<u32, (u16, u16)>,
 ) -> bool {
     let location_of = |server| locations.get(&server).copied().unwrap_or_default();
-    let same_group = match f.group {
-        Group::All => true,
-        Group::Zone => location_of(previous.server).0 == location_of(server).0,
-        Group::Cell => location_of(previous.server).1 == location_of(server).1,
+    let same_scope = match f.group {
+        DedupScope::All => true,
+        DedupScope::Zone => location_of(previous.server).0 == location_of(server).0,
+        DedupScope::Cell => location_of(previous.server).1 == location_of(server).1,
     };
     match f.effect {
         Effect::Replayable => true,
         Effect::NonReplayable => false,
-        Effect::Uniqued => same_group && now - previous.at <= f.memory,
+        Effect::Deduplicated => same_scope && now - previous.at <= f.memory,
     }
 }
 
--- a/simulation/src/counts.rs
+++ b/simulation/src/counts.rs
@@ -18,7 +18,7 @@
     /// Turns to the counters of the epoch that is held; `None` where none is.
     fn hold(&mut self, now: f64) -> Option<u64> {
         let unheld = self.counts.0.filter(|_| self.flaw == Flaw::CountsUnheld);
-        let epoch = self.queen.leads(now).or(unheld)?;
+        let epoch = self.queen.leading_epoch(now).or(unheld)?;
         self.duty.start_epoch(now, epoch);
         self.counts.0 = Some(epoch);
         Some(epoch)
@@ -32,7 +32,7 @@
             GatewayStatus { node: m.node, alive, leaving: m.card.leaving, gone }
         };
         let gateways: Vec<GatewayStatus> =
-            self.spread.swarm().members().filter(|m| !m.card.core).map(seen).collect();
+            self.spread.membership().members().filter(|m| !m.card.core).map(seen).collect();
         let look = self.duty.poll(now, &gateways);
         if matches!(look, HandoverStatus::Collecting(_)) {
             self.counts.1 = now + ASK;
