--- a/src/control.rs
+++ b/src/control.rs
@@ -1,19 +1,19 @@
-//! All decisions of a gateway: `Control::new(terms)` once, then `round(now, events, actions)` for each batch.
-//! Events change the wanted state of requests, leases and timers; only `settle` emits the actions for it.
+//! All decisions of a gateway. Events change the wanted state; only `settle` emits actions, for what differs.
 
 pub use crate::state::Control;
-use crate::{count::*, interface::*, state::*, time::*};
+use crate::{counter::*, interface::*, state::*, time::*};
 
 impl Control {
+    /// An instance that has seen no event yet.
     pub fn new(terms: Terms) -> Control {
-        let part = |of: f64| terms.frontends.iter().map(|f| f.target.secs() * of).collect();
+        let guess = |share: f64| terms.frontends.iter().map(|f| f.target.secs() * share).collect();
         Control {
             rng: fastrand::Rng::with_seed(terms.seed),
-            asks: terms.list_on_request,
-            silent: !terms.counter,
-            further: terms.retry_budget.map_or(1.0, |(_, most)| most),
-            usual: part(0.2), // first guesses: targets are set some times above the usual time
-            tail: part(0.5),
+            ask_list: terms.list_on_request,
+            counter_down: !terms.counter,
+            retries: terms.retry_budget.map_or(1.0, |(_, most)| most),
+            usual: guess(0.2), // first guesses: targets are usually several times the usual time
+            p95: guess(0.5),
             first_left: vec![Default::default(); terms.frontends.len()],
             full_plan: vec![0.2; terms.plans.len()],
             full_frontend: vec![0.2; terms.frontends.len()],
@@ -23,80 +23,82 @@
         }
     }
 
+    /// Takes a batch of events at time `now` and appends the resulting actions to `acts`.
     pub fn round(&mut self, now: Timestamp, events: Vec<Event>, acts: &mut Vec<Action>) {
-        blend(&mut self.used, self.out as f64, 1.0 - (-0.5 * now.since(self.now)).exp());
+        smooth(&mut self.avg_out, self.out as f64, 1.0 - (-0.5 * now.since(self.now)).exp());
         (self.gap, self.now) = (now - self.now, now);
-        let stood = self.gap > Span::millis(1500); // rounds come each second
-        self.customers.iter_mut().for_each(|c| c.quota.missed |= stood);
-        self.began = if self.began == Timestamp::default() { now } else { self.began };
+        let paused = self.gap > Span::millis(1500); // there is a round at least every second
+        self.customers.iter_mut().for_each(|c| c.quota.unanswered |= paused);
+        self.started = if self.started == Timestamp::default() { now } else { self.started };
         for e in events {
             match e {
-                Event::List { kind, rows } => self.list(kind, &rows),
+                Event::List { kind, rows } => self.update_servers(kind, &rows),
                 Event::Req(r) => self.arrive(r),
-                Event::Begun { id, .. } => self.reqs.of(id).into_iter().for_each(|(_, r)| r.begun = true),
+                Event::Begun { id, .. } => {
+                    self.requests.find(id).into_iter().for_each(|(_, r)| r.begun = true)
+                }
                 Event::Ended(e, _) => self.ended(e),
                 Event::Left { id } => self.close(id),
                 Event::Counted { name, total, level, outcome } => {
                     self.counted(name, Reading { total, level }, outcome)
                 }
-                Event::Timer { .. } => self.armed = None,
-                Event::Peer { body, .. } => self.heard(&body),
+                Event::Timer { .. } => self.timer_at = None,
+                Event::Peer { body, .. } => self.apply_updates(&body),
                 Event::Terms(terms) => {
                     self.limit *= self.terms.gateways.max(1) as f64 / terms.gateways.max(1) as f64;
-                    self.follow(*terms);
+                    self.apply_terms(*terms);
                 }
                 Event::Probed { .. } => {}
             }
         }
-        if now >= self.second_at {
-            self.second();
-            // at the point in each second where, each second time, leases go to their next name
-            self.second_at = Timestamp::from_secs((now.secs() + LEAD).floor() + 1.0 - LEAD + 0.001);
+        if now >= self.tick_at {
+            self.tick();
+            // every second, at the phase at which leases are carried to their next counter name
+            self.tick_at = Timestamp::from_secs((now.secs() + LEAD).floor() + 1.0 - LEAD + 0.001);
         }
         if now.secs() % ROLL > ROLL - LEAD {
             self.refresh();
         }
-        while let Some((_, slot)) = self.wakes.first(&self.reqs).filter(|w| w.0 <= now) {
-            self.wakes.pop(); // those of reqs that are gone set no timer: they would be most of all wakeups
+        while let Some((_, slot)) = self.wakeups.first(&self.requests).filter(|w| w.0 <= now) {
+            self.wakeups.pop(); // entries of closed requests set no timer: most wakeups would be theirs
             self.review(slot);
         }
-        self.pump();
+        self.send_waiting();
         self.settle(acts);
     }
 
-    /// The one place that acts: compares what is wanted with what is there and emits the difference.
     fn settle(&mut self, acts: &mut Vec<Action>) {
-        acts.extend(std::mem::take(&mut self.asks).then_some(Action::Watch { on: true }));
+        acts.extend(std::mem::take(&mut self.ask_list).then_some(Action::Watch { on: true }));
         for slot in std::mem::take(&mut self.touched) {
-            let Some(f) = self.reqs.at(slot).map(|r| r.frontend) else { continue };
+            let Some(f) = self.requests.at(slot).map(|r| r.frontend) else { continue };
             let after = self.overdue_after(f);
-            let Some(r) = self.reqs.at_mut(slot) else { continue };
-            for t in r.tries.iter_mut().filter(|t| !t.told) {
-                t.told = true;
-                let server = self.srvs.door.id(t.srv) as u32;
+            let Some(r) = self.requests.at_mut(slot) else { continue };
+            for t in r.tries.iter_mut().filter(|t| !t.emitted) {
+                t.emitted = true;
+                let server = self.servers.ids.id(t.server) as u32;
                 acts.push(Action::Dispatch { id: r.id, server, limit: Span::ZERO });
-                self.wakes.push(self.now.later(after), slot, r.id);
+                self.wakeups.push(self.now.later(after), slot, r.id);
             }
-            if let Some(end) = r.end.clone().filter(|_| r.stage != Stage::Over) {
-                acts.push(end);
-                r.stage = Stage::Over;
+            if let Some(reply) = r.reply.clone().filter(|_| r.stage != Stage::Closed) {
+                acts.push(reply);
+                r.stage = Stage::Closed;
             }
-            let (id, over) = (r.id, r.stage == Stage::Over);
-            let idle = |t: &Try| t.running && !t.dropped && (over || t.unwanted);
-            for (nth, t) in r.tries.iter_mut().enumerate().filter(|(_, t)| idle(t)) {
-                t.dropped = true;
+            let (id, closed) = (r.id, r.stage == Stage::Closed);
+            let obsolete = |t: &Try| t.running && !t.cancelled && (closed || t.recalled);
+            for (nth, t) in r.tries.iter_mut().enumerate().filter(|(_, t)| obsolete(t)) {
+                t.cancelled = true;
                 acts.extend(self.terms.may_cancel.then_some(Action::Cancel { id, nth: nth as u16 }));
             }
-            if over && !r.tries.iter().any(|t| t.running) {
-                self.reqs.drop(id);
+            if closed && !r.tries.iter().any(|t| t.running) {
+                self.requests.drop(id);
             }
         }
-        self.tell(acts);
-        std::mem::take(&mut self.dirty).into_iter().for_each(|c| self.put_counts(c, acts));
-        let next = self.wakes.first(&self.reqs).map_or(self.second_at, |w| w.0.min(self.second_at));
+        self.send_updates(acts);
+        std::mem::take(&mut self.dirty).into_iter().for_each(|c| self.send_counts(c, acts));
+        let next = self.wakeups.first(&self.requests).map_or(self.tick_at, |w| w.0.min(self.tick_at));
         let next = next.max(self.now + Span::millis(1));
-        if self.armed.is_none_or(|a| next < a) {
-            self.armed = Some(next);
+        if self.timer_at.is_none_or(|a| next < a) {
+            self.timer_at = Some(next);
             acts.push(Action::Timer { after: next - self.now, token: 0 });
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
-//! lupinledge: the decisions of a quota-keeping gateway. No I/O: events in, actions out.
+//! lupinledge: the decisions of a gateway that keeps the quotas of a shared API. No I/O: events in, actions out.
 
+mod admission;
 pub mod control;
-mod count;
-mod flight;
-mod intake;
+mod counter;
+mod dispatch;
 pub mod interface;
-mod line;
 mod pool;
+mod queue;
 pub mod state;
 pub mod time;
