--- a/gateway-settings/src/lib.rs
+++ b/gateway-settings/src/lib.rs
@@ -1,91 +1,95 @@
-//! The settings text of a gateway, decoded into the module's terms and into what a host on sockets needs
-//! beside them. Unknown keys are skipped.
+//! Decodes the settings of a gateway (JSON) into the terms of the decision module and into what a host on sockets
+//! needs beside them. Unknown keys are skipped.
 
 use lupinledge::interface::{DedupScope, Effect, Frontend, Plan, Terms};
 use lupinledge::time::Span;
 use serde_json::Value;
 
-struct Part<'a>(&'a Value, &'static str);
+/// An object of the settings and its key, for error messages.
+struct Section<'a>(&'a Value, &'static str);
 
-impl<'a> Part<'a> {
-    fn of(v: &'a Value, key: &'static str) -> Result<Part<'a>, String> {
-        let part = v.get(key).ok_or_else(|| format!("no `{key}`"))?;
-        if part.is_object() {
-            Ok(Part(part, key))
+impl<'a> Section<'a> {
+    fn of(v: &'a Value, key: &'static str) -> Result<Section<'a>, String> {
+        let section = v.get(key).ok_or_else(|| format!("`{key}` is missing"))?;
+        if section.is_object() {
+            Ok(Section(section, key))
         } else {
-            Err(format!("`{key}` is no object"))
+            Err(format!("`{key}` is not an object"))
         }
     }
-    fn num(&self, key: &str) -> Result<f64, String> {
-        let v = self.0.get(key).ok_or_else(|| format!("no `{}.{key}`", self.1))?;
-        v.as_f64().ok_or_else(|| format!("`{}.{key}` is no number", self.1))
+    fn number(&self, key: &str) -> Result<f64, String> {
+        let v = self.0.get(key).ok_or_else(|| format!("`{}.{key}` is missing", self.1))?;
+        v.as_f64().ok_or_else(|| format!("`{}.{key}` is not a number", self.1))
     }
     fn span(&self, key: &str) -> Result<Span, String> {
-        Ok(Span::from_secs(self.num(key)?))
+        Ok(Span::from_secs(self.number(key)?))
     }
-    fn flag(&self, key: &str) -> Result<bool, String> {
-        let v = self.0.get(key).ok_or_else(|| format!("no `{}.{key}`", self.1))?;
-        v.as_bool().ok_or_else(|| format!("`{}.{key}` is no true or false", self.1))
+    fn boolean(&self, key: &str) -> Result<bool, String> {
+        let v = self.0.get(key).ok_or_else(|| format!("`{}.{key}` is missing", self.1))?;
+        v.as_bool().ok_or_else(|| format!("`{}.{key}` is not a boolean", self.1))
     }
-    fn word(&self, key: &str) -> Result<&'a str, String> {
-        let v = self.0.get(key).ok_or_else(|| format!("no `{}.{key}`", self.1))?;
-        v.as_str().ok_or_else(|| format!("`{}.{key}` is no text", self.1))
+    fn string(&self, key: &str) -> Result<&'a str, String> {
+        let v = self.0.get(key).ok_or_else(|| format!("`{}.{key}` is missing", self.1))?;
+        v.as_str().ok_or_else(|| format!("`{}.{key}` is not a string", self.1))
     }
 }
 
-fn list<'a>(v: &'a Value, key: &'static str) -> Result<Vec<Part<'a>>, String> {
-    let all = v.get(key).and_then(Value::as_array).ok_or_else(|| format!("no list `{key}`"))?;
-    Ok(all.iter().map(|v| Part(v, key)).collect())
+fn list<'a>(v: &'a Value, key: &'static str) -> Result<Vec<Section<'a>>, String> {
+    let items = v.get(key).and_then(Value::as_array).ok_or_else(|| format!("`{key}` is not a list"))?;
+    Ok(items.iter().map(|v| Section(v, key)).collect())
 }
 
-fn frontend(p: &Part, max_dispatches: u32) -> Result<Frontend, String> {
-    let effect = match p.word("effect")? {
+fn frontend(section: &Section, max_dispatches: u32) -> Result<Frontend, String> {
+    let effect = match section.string("effect")? {
         "repeatable" => Effect::Replayable,
         "by_key" => Effect::Deduplicated,
         "once" => Effect::NonReplayable,
-        w => return Err(format!("unknown effect `{w}`")),
+        other => return Err(format!("unknown effect `{other}`")),
     };
     let uniqued = effect == Effect::Deduplicated;
-    let group = match if uniqued { p.word("group")? } else { "all" } {
+    let group = match if uniqued { section.string("group")? } else { "all" } {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
-        w => return Err(format!("unknown group `{w}`")),
+        other => return Err(format!("unknown group `{other}`")),
     };
     Ok(Frontend {
         effect,
         group,
-        memory: if uniqued { p.span("memorySpan")? } else { Span::ZERO },
-        target: p.span("slo")?,
-        late_value: p.num("lateWorth")?,
-        value: p.num("value")?,
-        timeout: p.span("deadline")?,
+        memory: if uniqued { section.span("memorySpan")? } else { Span::ZERO },
+        target: section.span("slo")?,
+        late_value: section.number("lateWorth")?,
+        value: section.number("value")?,
+        timeout: section.span("deadline")?,
         max_dispatches,
     })
 }
 
-fn plan(p: &Part) -> Result<Plan, String> {
+fn plan(section: &Section) -> Result<Plan, String> {
     for key in ["unitsPerS", "storeSize", "atOnce", "capRate", "neverOverDepth"] {
-        if p.num(key)? < 0.0 {
-            return Err(format!("`{}.{key}` is below 0", p.1));
+        if section.number(key)? < 0.0 {
+            return Err(format!("`{}.{key}` is negative", section.1));
         }
     }
-    if p.num("capRate")? > 0.0 && p.num("neverOverDepth")? <= 0.0 {
-        return Err(format!("`{}.neverOverDepth` is 0 beside a `capRate`: nothing would pass", p.1));
+    if section.number("capRate")? > 0.0 && section.number("neverOverDepth")? <= 0.0 {
+        return Err(format!(
+            "`{}.neverOverDepth` is 0 with a `capRate` above 0: nothing would pass",
+            section.1
+        ));
     }
     Ok(Plan {
-        rate: p.num("unitsPerS")?,
-        burst: p.num("storeSize")?,
-        price: p.num("pays")?,
-        at_once: p.num("atOnce")? as u32,
-        overrun_value: p.num("extraWorth")?,
-        overrun_cost: p.num("overrunCost")?,
-        ceiling_rate: p.num("capRate")?,
-        ceiling_burst: p.num("neverOverDepth")?,
+        rate: section.number("unitsPerS")?,
+        burst: section.number("storeSize")?,
+        price: section.number("pays")?,
+        at_once: section.number("atOnce")? as u32,
+        overrun_value: section.number("extraWorth")?,
+        overrun_cost: section.number("overrunCost")?,
+        ceiling_rate: section.number("capRate")?,
+        ceiling_burst: section.number("neverOverDepth")?,
     })
 }
 
-/// What the module never sees: the names used outside, and figures of the connections.
+/// What the host needs beside the terms: the names of frontends, plans and zones, and connection timeouts.
 #[derive(Clone, Debug)]
 pub struct HostSettings {
     pub frontends: Vec<String>,
@@ -95,17 +99,18 @@
     pub connect_wait: Span,
 }
 
-/// The settings as text, as the simulator hands them.
+/// Decodes the terms from settings text, as the simulator sends them.
 pub fn decode(seed: u64, text: &[u8]) -> Result<Terms, String> {
     terms(seed, &serde_json::from_slice(text).map_err(|e| e.to_string())?)
 }
 
+/// Decodes what the host needs beside the terms.
 pub fn host_settings(v: &Value) -> Result<HostSettings, String> {
-    let limits = Part::of(v, "limits")?;
+    let limits = Section::of(v, "limits")?;
     let names = |key| -> Result<Vec<String>, String> {
-        list(v, key)?.iter().map(|p| Ok(p.word("name")?.to_string())).collect()
+        list(v, key)?.iter().map(|p| Ok(p.string("name")?.to_string())).collect()
     };
-    let zone = |z: &Value| z.as_str().map(str::to_string).ok_or("`zones` has an entry that is no text");
+    let zone = |z: &Value| z.as_str().map(str::to_string).ok_or("`zones` has an entry that is not a string");
     Ok(HostSettings {
         frontends: names("classes")?,
         plans: names("packages")?,
@@ -116,44 +121,49 @@
 }
 
 fn zones(v: &Value) -> Result<&Vec<Value>, String> {
-    Ok(v.get("zones").and_then(Value::as_array).ok_or("no list `zones`")?)
+    Ok(v.get("zones").and_then(Value::as_array).ok_or("`zones` is not a list")?)
 }
 
-/// Whether clients mark their repeats; so it was taken before the settings told.
+/// Whether clients mark their retries; assumed where the settings, as older ones do, say nothing about it.
 fn marks_repeats(v: &Value) -> Result<bool, String> {
     match v.get("clientHabits") {
         None => Ok(true),
-        Some(h) if h.is_object() && h.get("marksRetry").is_none() => Ok(true),
-        Some(_) => Part::of(v, "clientHabits")?.flag("marksRetry"),
+        Some(habits) if habits.is_object() && habits.get("marksRetry").is_none() => Ok(true),
+        Some(_) => Section::of(v, "clientHabits")?.boolean("marksRetry"),
     }
 }
 
+/// Decodes the terms.
 pub fn terms(seed: u64, v: &Value) -> Result<Terms, String> {
-    let top = Part(v, "settings");
-    let (limits, rules, fam) = (Part::of(v, "limits")?, Part::of(v, "rules")?, Part::of(v, "familyInfo")?);
-    let most = limits.num("maxAttempts")? as u32;
+    let top = Section(v, "settings");
+    let (limits, rules, family) =
+        (Section::of(v, "limits")?, Section::of(v, "rules")?, Section::of(v, "familyInfo")?);
+    let max_dispatches = limits.number("maxAttempts")? as u32;
     Ok(Terms {
         seed,
-        gateways: top.num("instances")? as usize,
-        zone: top.num("locality")? as u16,
+        gateways: top.number("instances")? as usize,
+        zone: top.number("locality")? as u16,
         zones: zones(v)?.len(),
         period: top.span("period")?,
-        frontends: list(v, "classes")?.iter().map(|p| frontend(p, most)).collect::<Result<_, _>>()?,
+        frontends: list(v, "classes")?
+            .iter()
+            .map(|p| frontend(p, max_dispatches))
+            .collect::<Result<_, _>>()?,
         plans: list(v, "packages")?.iter().map(plan).collect::<Result<_, _>>()?,
-        counter: fam.flag("sharedCounter")?,
-        count_wait: fam.span("countWait")?,
-        max_units: fam.num("largest")?,
-        bills_after: fam.flag("costAfter")?,
-        peers: limits.flag("peers")?,
-        peer_intake: fam.num("peerIntake")?,
-        list_on_request: top.word("discovery")? == "on_request",
-        may_duplicate: limits.flag("mayDuplicate")?,
-        may_cancel: limits.flag("mayCancel")?,
-        may_hint: limits.flag("retryAfter")?,
+        counter: family.boolean("sharedCounter")?,
+        count_wait: family.span("countWait")?,
+        max_units: family.number("largest")?,
+        bills_after: family.boolean("costAfter")?,
+        peers: limits.boolean("peers")?,
+        peer_intake: family.number("peerIntake")?,
+        list_on_request: top.string("discovery")? == "on_request",
+        may_duplicate: limits.boolean("mayDuplicate")?,
+        may_cancel: limits.boolean("mayCancel")?,
+        may_hint: limits.boolean("retryAfter")?,
         longest_hint: limits.span("maxRetryAfter")?,
-        cold_from: rules.num("coldFrom")?,
+        cold_from: rules.number("coldFrom")?,
         warm_after: rules.span("warmAfter")?,
-        fall_multiple: rules.num("fallMultiple")?,
+        fall_multiple: rules.number("fallMultiple")?,
         fall_window: rules.span("tipAfter")?,
         marks_repeats: marks_repeats(v)?,
         start_limit: 3.0,
--- a/sim-adapter/src/wire.rs
+++ b/sim-adapter/src/wire.rs
@@ -1,29 +1,35 @@
-//! The codec of the simulator's wire: frames of records, little-endian.
+//! The codec of the simulator's protocol: frames of records, little-endian.
 
 use lupinledge::interface::{Action, Ended, Event, ListKind, NewRequest, Outcome, ServerEntry, ServerState};
 use lupinledge::time::{Span, Timestamp};
 
-/// What is wrong with the input: the record and the byte position within the frame.
+/// An error in the input, with the record and the byte position within the frame.
 #[derive(Debug)]
 pub struct Malformed {
     pub record: String,
     pub at: usize,
-    pub what: String,
+    pub error: String,
 }
 
 impl std::fmt::Display for Malformed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: byte {}: {}", self.record, self.at, self.what)
+        write!(f, "{}: byte {}: {}", self.record, self.at, self.error)
     }
 }
 
+/// A record of a batch.
 pub enum Record {
+    /// The records that follow are for this instance.
     Instance(u16),
-    Init { seed: u64, conf: Vec<u8> },
+    Init {
+        seed: u64,
+        settings: Vec<u8>,
+    },
     PowerOff,
     Event(Event),
 }
 
+/// Reads the fields of a record.
 struct Reader<'a> {
     body: &'a [u8],
     pos: usize,
@@ -32,46 +38,46 @@
 }
 
 impl<'a> Reader<'a> {
-    fn bad<T>(&self, what: impl Into<String>) -> Result<T, Malformed> {
-        Err(Malformed { record: self.record.to_string(), at: self.pos, what: what.into() })
+    fn malformed<T>(&self, error: impl Into<String>) -> Result<T, Malformed> {
+        Err(Malformed { record: self.record.to_string(), at: self.pos, error: error.into() })
     }
     fn take(&mut self, n: usize) -> Result<&'a [u8], Malformed> {
         if self.end - self.pos < n {
-            return self.bad(format!("needs {n} bytes, has {}", self.end - self.pos));
+            return self.malformed(format!("needs {n} bytes, has {}", self.end - self.pos));
         }
-        let b = &self.body[self.pos..self.pos + n];
+        let bytes = &self.body[self.pos..self.pos + n];
         self.pos += n;
-        Ok(b)
+        Ok(bytes)
     }
-    fn num<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
+    fn bytes<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
         Ok(self.take(N)?.try_into().expect("take gives N bytes"))
     }
     fn u8(&mut self) -> Result<u8, Malformed> {
-        Ok(self.num::<1>()?[0])
+        Ok(self.bytes::<1>()?[0])
     }
     fn u16(&mut self) -> Result<u16, Malformed> {
-        Ok(u16::from_le_bytes(self.num()?))
+        Ok(u16::from_le_bytes(self.bytes()?))
     }
     fn u32(&mut self) -> Result<u32, Malformed> {
-        Ok(u32::from_le_bytes(self.num()?))
+        Ok(u32::from_le_bytes(self.bytes()?))
     }
     fn u64(&mut self) -> Result<u64, Malformed> {
-        Ok(u64::from_le_bytes(self.num()?))
+        Ok(u64::from_le_bytes(self.bytes()?))
     }
     fn f32(&mut self) -> Result<f64, Malformed> {
-        let v = f32::from_le_bytes(self.num()?) as f64;
+        let v = f32::from_le_bytes(self.bytes()?) as f64;
         if v.is_finite() {
             Ok(v)
         } else {
-            self.bad("not a finite number")
+            self.malformed("not a finite number")
         }
     }
     fn f64(&mut self) -> Result<f64, Malformed> {
-        let v = f64::from_le_bytes(self.num()?);
+        let v = f64::from_le_bytes(self.bytes()?);
         if v.is_finite() {
             Ok(v)
         } else {
-            self.bad("not a finite number")
+            self.malformed("not a finite number")
         }
     }
     fn span(&mut self) -> Result<Span, Malformed> {
@@ -87,14 +93,14 @@
             251 => Outcome::Reset,
             250 => Outcome::Cancelled,
             249 => Outcome::NotSent,
-            v => return self.bad(format!("unknown verdict {v}")),
+            v => return self.malformed(format!("unknown verdict {v}")),
         })
     }
     fn load(&mut self) -> Result<Vec<f32>, Malformed> {
         let n = self.u8()?;
         (0..n).map(|_| Ok(self.f32()? as f32)).collect()
     }
-    fn row(&mut self) -> Result<ServerEntry, Malformed> {
+    fn entry(&mut self) -> Result<ServerEntry, Malformed> {
         let (server, zone) = (self.u32()?, self.u16()?);
         self.u16()?;
         let cell = self.u16()?;
@@ -102,7 +108,7 @@
             0 => ServerState::Ready,
             1 => ServerState::Gone,
             2 => ServerState::Draining,
-            v => return self.bad(format!("unknown lifecycle {v}")),
+            v => return self.malformed(format!("unknown lifecycle {v}")),
         };
         let weight = self.f32()?;
         let started_at = self.f64()?;
@@ -111,6 +117,7 @@
     }
 }
 
+/// The name of a record, for error messages.
 fn name_of(code: u16) -> Option<&'static str> {
     Some(match code {
         256 => "init",
@@ -139,17 +146,17 @@
         let code = r.u16()?;
         let len = r.u32()? as usize;
         let Some(name) = name_of(code) else {
-            return r.bad(format!("unknown record code {code}"));
+            return r.malformed(format!("unknown record code {code}"));
         };
         r.record = name;
         if len > body.len() - r.pos {
-            return r.bad(format!("length {len} goes past the frame's end"));
+            return r.malformed(format!("length {len} exceeds the frame"));
         }
         r.end = r.pos + len;
         let at = r.pos;
         records.push((at, read_record(&mut r, code)?));
         if r.pos != r.end {
-            return r.bad(format!("{} bytes too many", r.end - r.pos));
+            return r.malformed(format!("{} bytes too many", r.end - r.pos));
         }
     }
     Ok((Timestamp::from_secs(clock), records))
@@ -162,7 +169,7 @@
         256 => {
             let seed = r.u64()?;
             let n = r.u32()? as usize;
-            return Ok(Record::Init { seed, conf: r.take(n)?.to_vec() });
+            return Ok(Record::Init { seed, settings: r.take(n)?.to_vec() });
         }
         257 => {
             let kind = match r.u8()? {
@@ -170,11 +177,11 @@
                 1 => ListKind::Cached,
                 3 => ListKind::Full,
                 4 => ListKind::Failed,
-                v => return r.bad(format!("unknown scope {v}")),
+                v => return r.malformed(format!("unknown scope {v}")),
             };
             r.u32()?;
             let n = r.u32()?;
-            let rows = (0..n).map(|_| r.row()).collect::<Result<_, _>>()?;
+            let rows = (0..n).map(|_| r.entry()).collect::<Result<_, _>>()?;
             Event::List { kind, rows }
         }
         258 => {
@@ -222,7 +229,7 @@
     }))
 }
 
-/// A reply under construction.
+/// A reply frame under construction.
 #[derive(Default)]
 pub struct Reply {
     body: Vec<u8>,
@@ -244,15 +251,18 @@
         }
         self.record(code, &[&(n as u16).to_le_bytes(), &text.as_bytes()[..n]]);
     }
-    pub fn by(&mut self, instance: u16) {
+    /// The actions that follow are of this instance.
+    pub fn instance(&mut self, instance: u16) {
         self.record(263, &[&instance.to_le_bytes()]);
     }
-    pub fn bug(&mut self, text: &str) {
+    /// Reports a panic in the decision module.
+    pub fn panic(&mut self, text: &str) {
         self.text(264, text);
     }
-    pub fn action(&mut self, a: &Action) {
+    /// Appends an action.
+    pub fn action(&mut self, action: &Action) {
         let secs = |s: Span| s.secs().to_le_bytes();
-        match a {
+        match action {
             Action::Deny { id, back_off } => self.record(256, &[&id.to_le_bytes(), &secs(*back_off)]),
             Action::Probe { server } => self.record(257, &[&server.to_le_bytes()]),
             Action::Abort { id } => self.record(258, &[&id.to_le_bytes()]),
@@ -266,17 +276,18 @@
                 self.record(265, &[&name.to_le_bytes(), &(*amount as f32).to_le_bytes(), &secs(*life)])
             }
             Action::Tell { to, body } => {
-                let whom = to.unwrap_or(u32::MAX).to_le_bytes();
-                self.record(266, &[&whom, &(body.len() as u16).to_le_bytes(), body])
+                let receiver = to.unwrap_or(u32::MAX).to_le_bytes();
+                self.record(266, &[&receiver, &(body.len() as u16).to_le_bytes(), body])
             }
             Action::Note { text } => self.text(267, text),
             Action::Fetch => self.record(268, &[]),
             Action::Timer { after, token } => self.record(269, &[&secs(*after), &token.to_le_bytes()]),
         }
     }
+    /// The whole frame, with its length in front.
     pub fn frame(self) -> Vec<u8> {
-        let mut f = (self.body.len() as u32).to_le_bytes().to_vec();
-        f.extend(self.body);
-        f
+        let mut frame = (self.body.len() as u32).to_le_bytes().to_vec();
+        frame.extend(self.body);
+        frame
     }
 }
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -11,8 +11,8 @@
         let warm: Vec<usize> = self.servers.open().filter(|&i| self.warmth(i) >= 1.0).collect();
         let mean = warm.iter().map(|&i| self.servers.passed[i] / 4.0).sum::<f64>() / warm.len().max(1) as f64;
         for i in 0..self.servers.ready.len() {
-            let min = 1.0 / self.terms.gateways.max(1) as f64; // without any measured rate
-            let rate = (0.5 * self.terms.fall_multiple * self.warmth(i) * mean).max(min);
+            let floor = 1.0 / self.terms.gateways.max(1) as f64; // without any measured rate
+            let rate = (0.5 * self.terms.fall_multiple * self.warmth(i) * mean).max(floor);
             let rate = self.terms.cold_send_rate.unwrap_or(rate);
             let most = (rate * self.terms.fall_window.secs() / 4.0).max(1.0);
             let s = &mut self.servers;
@@ -109,8 +109,8 @@
             let s = &self.servers;
             let credit = base * throttle * (1.0 - distrust).powi(2) / s.slowness[i].clamp(0.7, 10.0);
             // at least: none above half distrust, one as a trial below it, two for sound servers at any limit
-            let min = (distrust <= 0.5) as u32 + (distrust <= 0.2 && s.slowness[i] <= 3.0) as u32;
-            let left = s.out[i] as f64 + 1.0 <= credit.max(min as f64);
+            let floor = (distrust <= 0.5) as u32 + (distrust <= 0.2 && s.slowness[i] <= 3.0) as u32;
+            let left = s.out[i] as f64 + 1.0 <= credit.max(floor as f64);
             let tried = self.requests.at(slot).is_some_and(|r| r.tries.iter().any(|t| t.server == i));
             let distance = match self.terms.distance(s.zone[i]) {
                 // it has just failed this request: any other server is likelier to succeed
