--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of gateways with the real decisions, the counters' holder and its sums, in virtual time: what becomes of a
-//! tenant's quota while calls go unanswered, holders change, and gateways stand still, are killed and start again.
+//! A model in virtual time of gateways with the real decision module and of the real holder of the counters: how a
+//! customer's quota is kept while calls go unanswered, holders change, and gateways are paused, killed and restarted.
 
 use lupinledge::control::Control;
 use lupinledge::interface::*;
@@ -15,61 +15,62 @@
 const CUSTOMER: u64 = 7;
 pub const RATE: f64 = 20.0;
 pub const BURST: f64 = 10.0;
-/// What a gateway goes by of that burst, as the data plane's terms give it.
+/// The burst that a gateway decides by, as the data plane's terms set it.
 const STORE: f64 = 13.0;
 const WINDOW: usize = 5_000;
-/// 1.1 times what rate and burst give in a window, and 20.
+/// The most requests in a window by the rule: 1.1 times what rate and burst give, and 20.
 pub const ALLOWED: usize = ((RATE * WINDOW as f64 / 1e3 + BURST) * 1.1 + 20.0) as usize;
-/// Milliseconds.
+/// Milliseconds until an answer, and until a call ends without one.
 const TRIP: u64 = 3;
 const CALL_WAIT: u64 = 350;
+/// The length of a run, milliseconds.
 pub const SPAN: u64 = 20_000;
-/// When a play begins, on the clock that all share.
+/// When a run begins, on the shared clock.
 pub const BEGIN: u64 = 40_000;
 
-/// What becomes of a gateway's words to the holder of the counters.
+/// The state of a gateway's link to the holder of the counters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Link {
     Sound,
-    /// The holder hears them, and its answers come too late.
+    /// Calls are received, and their answers come too late.
     Late,
-    /// Nothing is heard either way.
+    /// Nothing is received in either direction.
     Cut,
 }
 
-/// What is in store for a play.
+/// The load and faults of a run.
 #[derive(Clone, Debug)]
-pub struct Weather {
+pub struct Conditions {
     /// Longest time for which a gateway's calls are answered, and for which they are not, milliseconds.
-    pub sound: u64,
-    pub silent: u64,
-    /// A holder takes over after some such time, milliseconds; 0: never.
+    pub answered: u64,
+    pub unanswered: u64,
+    /// Another holder takes over after about this time, milliseconds; 0: never.
     pub holders: u64,
-    /// A gateway stands still about once in so many milliseconds; 0: never.
-    pub freezes: u64,
+    /// A gateway is paused about once in this time, milliseconds; 0: never.
+    pub pauses: u64,
     /// Requests a second at each gateway.
     pub load: Vec<u32>,
     /// Pools of each gateway that the customer's requests come through.
     pub pools: usize,
-    /// Requests come for so long, and then none for so long, milliseconds.
-    pub spells: (u64, u64),
+    /// Requests come for the first time, and none for the second, alternating, milliseconds.
+    pub bursts: (u64, u64),
     pub kills: Vec<Kill>,
-    /// Nobody holds the counters then, from the begin of the play: from, until, milliseconds.
+    /// Times without a holder of the counters, from the begin of the run: from, until, milliseconds.
     pub no_holder: Vec<(u64, u64)>,
 }
 
-/// Gateways that are killed at once, and start again, each at a time of its own.
+/// Gateways that are killed at once and restart, each at its own time.
 #[derive(Clone, Copy, Debug)]
 pub struct Kill {
-    /// Milliseconds from the begin of the play.
+    /// Milliseconds from the begin of the run.
     pub at: u64,
-    /// How many, by lot.
+    /// How many, chosen at random.
     pub gateways: usize,
-    /// They are away so long at the most, milliseconds.
-    pub away: u64,
+    /// The longest time until the restart, milliseconds.
+    pub downtime: u64,
 }
 
-/// One pool of a gateway: it decides by itself, and what it counts is told with what the others of the process count.
+/// One pool of a gateway: it decides by itself; its counts are sent with those of the other pools of the process.
 struct Pool {
     control: Control,
     due: BTreeMap<u64, Vec<Event>>,
@@ -81,30 +82,30 @@
 struct Gateway {
     node: Node,
     incarnation: u32,
-    /// It is away until then.
-    away: u64,
+    /// It is down until then.
+    down_until: u64,
     pools: Vec<Pool>,
     link: (Link, u64),
-    /// It stands still until then.
-    frozen: u64,
+    /// It is paused until then.
+    paused_until: u64,
     own: Own,
     tag: u64,
-    /// Calls that wait until the totals of a new holder are whole, by tag, and until when.
+    /// Calls that wait until the totals of a new holder are complete, by tag, with their time-outs.
     waiting: BTreeMap<u64, (Call, u64)>,
 }
 
 impl Gateway {
-    fn hears(&mut self, pool: usize, at: u64, event: Event) {
+    fn schedule(&mut self, pool: usize, at: u64, event: Event) {
         self.pools[pool].due.entry(at).or_default().push(event);
     }
 
-    /// Calls that have waited until then end without a total.
+    /// Ends the calls that have timed out, without a total.
     fn end_calls(&mut self, now: u64) {
         let ended: Vec<u64> =
             self.waiting.iter().filter(|(_, call)| call.1 <= now).map(|(tag, _)| *tag).collect();
         for tag in ended {
             let Some(((pool, name, _), _)) = self.waiting.remove(&tag) else { continue };
-            self.hears(
+            self.schedule(
                 pool,
                 now,
                 Event::Counted { name, total: 0.0, level: None, outcome: Outcome::TimedOut },
@@ -112,14 +113,14 @@
         }
     }
 
-    fn there(&self, now: u64) -> bool {
-        self.link.0 != Link::Cut && now >= self.frozen && now >= self.away
+    fn reachable(&self, now: u64) -> bool {
+        self.link.0 != Link::Cut && now >= self.paused_until && now >= self.down_until
     }
 
-    /// Another life of it begins at `back`; nothing of the one before is left.
-    fn start_anew(&mut self, seed: u64, gateways: usize, back: u64) {
+    /// Restarts at `back` with an empty state.
+    fn restart(&mut self, seed: u64, gateways: usize, back: u64) {
         self.pools = pools(seed, gateways, self.pools.len(), back);
-        (self.own, self.tag, self.frozen, self.away) = (Own::default(), 0, 0, back);
+        (self.own, self.tag, self.paused_until, self.down_until) = (Own::default(), 0, 0, back);
         self.incarnation += 1;
         self.waiting.clear();
     }
@@ -129,10 +130,11 @@
         self.end_calls(now);
     }
 
-    fn answered(&mut self, at: u64, (pool, name, sum): Call, total: Total) {
+    /// Applies a total and schedules its event.
+    fn apply_total(&mut self, at: u64, (pool, name, sum): Call, total: Total) {
         self.own.total(at as f64 / 1e3, name, sum, total);
         let Total { counted, level } = total;
-        self.hears(pool, at, Event::Counted { name, total: counted, level, outcome: Outcome::Passed });
+        self.schedule(pool, at, Event::Counted { name, total: counted, level, outcome: Outcome::Passed });
     }
 }
 
@@ -140,29 +142,31 @@
 struct Holder {
     duty: Duty,
     epoch: u64,
-    look_at: u64,
-    take_over: u64,
-    /// Until then nobody holds the counters.
-    away: u64,
+    next_look: u64,
+    takeover: u64,
+    /// There is no holder until then.
+    absent_until: u64,
 }
 
 impl Holder {
-    /// Takes a call, and answers it in time if it may.
+    /// Takes a call, and answers it in time if the link and the state of the totals allow it.
     fn call(&mut self, now: u64, gateway: &mut Gateway, pool: usize, (name, amount, life): (u64, f64, f64)) {
         let secs = now as f64 / 1e3;
         let Some(sum) = gateway.own.add(secs, name, amount, life) else { return };
         gateway.tag += 1;
-        let link = if now < self.away { Link::Cut } else { gateway.link.0 };
+        let link = if now < self.absent_until { Link::Cut } else { gateway.link.0 };
         let (from, tag) = ((gateway.node, gateway.incarnation), gateway.tag);
         let late = Event::Counted { name, total: 0.0, level: None, outcome: Outcome::TimedOut };
         if link == Link::Cut {
-            return gateway.hears(pool, now + CALL_WAIT, late);
+            return gateway.schedule(pool, now + CALL_WAIT, late);
         }
         match self.duty.count(secs, from, tag, [(name, sum, life)].into_iter()) {
-            Some(totals) if link == Link::Sound => gateway.answered(now + TRIP, (pool, name, sum), totals[0]),
-            Some(_) => gateway.hears(pool, now + CALL_WAIT, late),
+            Some(totals) if link == Link::Sound => {
+                gateway.apply_total(now + TRIP, (pool, name, sum), totals[0])
+            }
+            Some(_) => gateway.schedule(pool, now + CALL_WAIT, late),
             None => {
-                // the first of its own time-out and of the totals being whole
+                // it ends with its time-out or when the totals are complete, whichever is first
                 gateway.waiting.insert(tag, ((pool, name, sum), now + CALL_WAIT));
             }
         }
@@ -170,15 +174,15 @@
 
     fn look(&mut self, now: u64, gateways: &mut [Gateway]) {
         let secs = now as f64 / 1e3;
-        for gateway in gateways.iter().filter(|g| g.there(now)) {
+        for gateway in gateways.iter().filter(|g| g.reachable(now)) {
             self.duty.counters().unwrap().heard(secs, gateway.node);
         }
         let seen: Vec<Seen> = gateways
             .iter()
-            .map(|g| Seen { node: g.node, alive: g.there(now), leaving: false, gone: false })
+            .map(|g| Seen { node: g.node, alive: g.reachable(now), leaving: false, gone: false })
             .collect();
-        let tell = |duty: &mut Duty, epoch: u64, asked: Vec<Node>| {
-            for gateway in gateways.iter().filter(|g| asked.contains(&g.node) && g.there(now)) {
+        let send_part = |duty: &mut Duty, epoch: u64, asked: Vec<Node>| {
+            for gateway in gateways.iter().filter(|g| asked.contains(&g.node) && g.reachable(now)) {
                 duty.tell(
                     secs,
                     epoch,
@@ -187,12 +191,12 @@
                 );
             }
         };
-        self.look_at = now + 250;
+        self.next_look = now + 250;
         match self.duty.look(secs, &seen) {
-            Look::Whole(asked) => tell(&mut self.duty, self.epoch, asked),
+            Look::Whole(asked) => send_part(&mut self.duty, self.epoch, asked),
             Look::Ask(asked) => {
-                self.look_at = now + 50;
-                tell(&mut self.duty, self.epoch, asked);
+                self.next_look = now + 50;
+                send_part(&mut self.duty, self.epoch, asked);
             }
             Look::Closed(answers, _) => {
                 for answer in answers {
@@ -201,7 +205,7 @@
                     };
                     if gateway.link.0 == Link::Sound {
                         let Some((call, _)) = gateway.waiting.remove(&answer.tag) else { continue };
-                        gateway.answered(now + TRIP, call, answer.totals[0]);
+                        gateway.apply_total(now + TRIP, call, answer.totals[0]);
                     }
                 }
             }
@@ -264,7 +268,7 @@
     Event::List { kind: ListKind::Full, rows: (1..=8).map(row).collect() }
 }
 
-/// Those of one life of a gateway that begins at `from`.
+/// The pools of a gateway process that starts at `from`.
 fn pools(seed: u64, gateways: usize, count: usize, from: u64) -> Vec<Pool> {
     let pool = |pool| Pool {
         control: Control::new(terms(seed + pool, gateways)),
@@ -273,86 +277,90 @@
     (0..count as u64).map(pool).collect()
 }
 
-/// What came of a play.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Sent {
     /// Most requests that were sent in any window.
     pub densest: usize,
     /// How many were sent in all.
     pub all: usize,
-    /// When the densest window began, and how many of its requests rested on what.
-    pub story: String,
+    /// When the densest window began, and its requests by the basis of their admission.
+    pub details: String,
 }
 
-/// Plays it.
-pub fn play(seed: u64, weather: &Weather) -> Sent {
+/// Runs a fleet.
+pub fn run(seed: u64, conditions: &Conditions) -> Sent {
     let rng = &mut fastrand::Rng::with_seed(seed);
-    let count = weather.load.len();
-    let pool_count = weather.pools;
+    let count = conditions.load.len();
+    let pool_count = conditions.pools;
     let of_pools = |nth: u64| pools(seed * 10 + nth * pool_count as u64, count, pool_count, BEGIN);
     let mut gateways: Vec<Gateway> = (0..count)
         .map(|nth| Gateway {
             node: nth as Node + 1,
             incarnation: 1,
-            away: 0,
+            down_until: 0,
             pools: of_pools(nth as u64),
             link: (Link::Sound, BEGIN + 1_500 + rng.u64(..1_000)),
-            frozen: 0,
+            paused_until: 0,
             own: Own::default(),
             tag: 0,
             waiting: BTreeMap::new(),
         })
         .collect();
-    let first = if weather.holders > 0 { BEGIN + 2_000 + rng.u64(..weather.holders) } else { u64::MAX };
-    let mut holder = Holder { duty: Duty::default(), epoch: 0, look_at: BEGIN, take_over: BEGIN, away: 0 };
+    let first = if conditions.holders > 0 { BEGIN + 2_000 + rng.u64(..conditions.holders) } else { u64::MAX };
+    let mut holder =
+        Holder { duty: Duty::default(), epoch: 0, next_look: BEGIN, takeover: BEGIN, absent_until: 0 };
     let (mut sends, mut next): (Vec<(usize, usize)>, u64) = (Vec::new(), 0);
     for now in BEGIN..BEGIN + SPAN {
         let secs = now as f64 / 1e3;
-        for (_, until) in weather.no_holder.iter().filter(|(from, _)| BEGIN + from == now) {
-            (holder.away, holder.take_over) = (BEGIN + until, BEGIN + until);
+        for (_, until) in conditions.no_holder.iter().filter(|(from, _)| BEGIN + from == now) {
+            (holder.absent_until, holder.takeover) = (BEGIN + until, BEGIN + until);
             gateways.iter_mut().for_each(|g| g.end_all(now));
         }
-        if now >= holder.take_over {
-            holder.take_over = match weather.holders {
+        if now >= holder.takeover {
+            holder.takeover = match conditions.holders {
                 _ if now == BEGIN => first,
                 0 => u64::MAX,
                 span => now + span / 2 + rng.u64(..span),
             };
             holder.epoch += 1;
-            holder.look_at = now;
+            holder.next_look = now;
             holder.duty.hold(secs, holder.epoch);
             holder.duty.counters().unwrap().quota(CUSTOMER, Quota { rate: RATE, size: STORE });
             gateways.iter_mut().for_each(|g| g.end_all(now));
         }
-        if now >= holder.look_at && now >= holder.away {
+        if now >= holder.next_look && now >= holder.absent_until {
             holder.look(now, &mut gateways);
         }
-        for kill in weather.kills.iter().filter(|kill| BEGIN + kill.at == now) {
+        for kill in conditions.kills.iter().filter(|kill| BEGIN + kill.at == now) {
             let mut killed: Vec<usize> = (0..count).collect();
             rng.shuffle(&mut killed);
             for nth in killed.into_iter().take(kill.gateways) {
-                let back = now + 1 + rng.u64(..kill.away.max(1));
-                gateways[nth].start_anew(rng.u64(..1 << 32), count, back);
+                let back = now + 1 + rng.u64(..kill.downtime.max(1));
+                gateways[nth].restart(rng.u64(..1 << 32), count, back);
             }
         }
         for (nth, gateway) in gateways.iter_mut().enumerate() {
             if now >= gateway.link.1 {
                 let sound = gateway.link.0 != Link::Sound;
-                let silence = if rng.bool() { Link::Late } else { Link::Cut };
-                let most = if sound { weather.sound } else { weather.silent };
-                gateway.link = (if sound { Link::Sound } else { silence }, now + 20 + rng.u64(..most));
+                let fault = if rng.bool() { Link::Late } else { Link::Cut };
+                let most = if sound { conditions.answered } else { conditions.unanswered };
+                gateway.link = (if sound { Link::Sound } else { fault }, now + 20 + rng.u64(..most));
             }
-            if weather.freezes > 0 && now >= gateway.frozen + 1_000 && rng.u64(..weather.freezes) == 0 {
-                gateway.frozen = now + 200 + rng.u64(..4_000);
+            if conditions.pauses > 0
+                && now >= gateway.paused_until + 1_000
+                && rng.u64(..conditions.pauses) == 0
+            {
+                gateway.paused_until = now + 200 + rng.u64(..4_000);
             }
-            if now < gateway.away {
+            if now < gateway.down_until {
                 continue;
             }
-            if now < gateway.frozen {
-                // what comes due meanwhile is met at the end of the standstill
+            if now < gateway.paused_until {
+                // what comes due meanwhile is handled at the end of the pause
                 for pool in &mut gateway.pools {
                     if let Some(events) = pool.due.remove(&now) {
-                        let end = pool.due.entry(gateway.frozen).or_default();
+                        let end = pool.due.entry(gateway.paused_until).or_default();
                         let rest = std::mem::replace(end, events);
                         end.extend(rest);
                     }
@@ -360,10 +368,10 @@
                 continue;
             }
             gateway.end_calls(now);
-            let (busy, quiet) = weather.spells;
-            if rng.u32(..1_000) < weather.load[nth] && (now - BEGIN) % (busy + quiet) < busy {
+            let (busy, idle) = conditions.bursts;
+            if rng.u32(..1_000) < conditions.load[nth] && (now - BEGIN) % (busy + idle) < busy {
                 let pool = if rng.u32(..10) < 6 { 0 } else { rng.usize(1..pool_count) };
-                gateway.hears(
+                gateway.schedule(
                     pool,
                     now,
                     Event::Req(NewRequest {
@@ -382,15 +390,15 @@
             }
             for pool in 0..pool_count {
                 let Some(events) = gateway.pools[pool].due.remove(&now) else { continue };
-                let mut acts = Vec::new();
+                let mut actions = Vec::new();
                 let before = gateway.pools[pool].control.admissions();
-                gateway.pools[pool].control.round(Timestamp::from_secs(secs), events, &mut acts);
+                gateway.pools[pool].control.round(Timestamp::from_secs(secs), events, &mut actions);
                 let after = gateway.pools[pool].control.admissions();
                 for (basis, (before, after)) in before.into_iter().zip(after).enumerate() {
                     sends.extend((before..after).map(|_| (now as usize, basis)));
                 }
-                for act in acts {
-                    match act {
+                for action in actions {
+                    match action {
                         Action::Count { name, amount, life } => {
                             holder.call(now, gateway, pool, (name, amount, life.secs()))
                         }
@@ -404,11 +412,11 @@
                                 closed: true,
                                 billed: 0.0,
                             };
-                            gateway.hears(pool, now + 5, Event::Ended(ended, Vec::new()));
+                            gateway.schedule(pool, now + 5, Event::Ended(ended, Vec::new()));
                         }
                         Action::Timer { after, .. } => {
                             let after = (after.secs() * 1e3).ceil().max(1.0) as u64;
-                            gateway.hears(pool, now + after, Event::Timer { token: 0 });
+                            gateway.schedule(pool, now + after, Event::Timer { token: 0 });
                         }
                         _ => {}
                     }
@@ -421,6 +429,6 @@
     let (densest, at) = windows.max_by_key(|window| window.0).unwrap_or_default();
     let mut by_basis: BTreeMap<&str, u64> = BTreeMap::new();
     within(at).for_each(|send| *by_basis.entry(Basis::NAMES[send.1]).or_default() += 1);
-    let story = format!("at {} ms: {by_basis:?}", (at as u64).saturating_sub(BEGIN));
-    Sent { densest, all: sends.len(), story }
+    let details = format!("at {} ms: {by_basis:?}", (at as u64).saturating_sub(BEGIN));
+    Sent { densest, all: sends.len(), details }
 }
--- a/tests/kept_store.rs
+++ b/tests/kept_level.rs
@@ -1,4 +1,4 @@
-//! A counter that keeps the stores of the quotas: what a gateway tells it, and what it goes by while it is not answered.
+//! A counter that keeps the level of each quota: what a gateway charges on it, and by what it decides without answers.
 
 use lupinledge::control::Control;
 use lupinledge::interface::*;
@@ -7,16 +7,16 @@
 const RATE: f64 = 100.0;
 const BURST: f64 = 1_000.0;
 
-/// One pool of a gateway.
+/// One pool of a gateway, with a counter that the test answers for.
 struct Pool {
     control: Control,
     /// Milliseconds.
     now: u64,
-    next: u64,
+    next_id: u64,
     sent: u64,
-    /// Units told of each customer's use, answered or not.
-    told: std::collections::BTreeMap<u64, f64>,
-    /// Calls without an end.
+    /// Units charged for each customer, answered or not.
+    charged: std::collections::BTreeMap<u64, f64>,
+    /// Counter calls that have not ended.
     calls: Vec<u64>,
 }
 
@@ -59,8 +59,8 @@
             window: Some(16.0 * 3600.0),
             ..Terms::default()
         };
-        let (control, told) = (Control::new(terms), Default::default());
-        let mut pool = Pool { control, now: 40_000, next: 0, sent: 0, told, calls: Vec::new() };
+        let (control, charged) = (Control::new(terms), Default::default());
+        let mut pool = Pool { control, now: 40_000, next_id: 0, sent: 0, charged, calls: Vec::new() };
         let row = |server| ServerEntry {
             server,
             zone: 0,
@@ -74,13 +74,13 @@
     }
 
     fn round(&mut self, events: Vec<Event>) {
-        let mut acts = Vec::new();
-        self.control.round(Timestamp::from_secs(self.now as f64 / 1e3), events, &mut acts);
+        let mut actions = Vec::new();
+        self.control.round(Timestamp::from_secs(self.now as f64 / 1e3), events, &mut actions);
         let mut ended = Vec::new();
-        for act in acts {
-            match act {
+        for action in actions {
+            match action {
                 Action::Count { name, amount, .. } => {
-                    *self.told.entry(name >> 24).or_default() += amount;
+                    *self.charged.entry(name >> 24).or_default() += amount;
                     self.calls.push(name);
                 }
                 Action::Dispatch { id, .. } => {
@@ -97,12 +97,12 @@
         }
     }
 
-    /// A request of a customer, `after` milliseconds later; whether the counter was called.
+    /// Sends a request of a customer `after` milliseconds later; returns whether the counter was called.
     fn request(&mut self, after: u64, customer: u64, spread: f64) -> bool {
         self.now += after;
-        self.next += 1;
+        self.next_id += 1;
         let time_left = Span::millis(2_000);
-        let (id, zones) = (self.next, u64::MAX);
+        let (id, zones) = (self.next_id, u64::MAX);
         let request = NewRequest {
             id,
             frontend: 0,
@@ -119,7 +119,7 @@
         self.calls.len() > before
     }
 
-    /// All calls end: with what is left in the store, or without an answer.
+    /// Ends all calls: with the quota left, or without an answer.
     fn end_calls(&mut self, level: Option<f64>) {
         self.now += 2;
         let outcome = if level.is_some() { Outcome::Passed } else { Outcome::TimedOut };
@@ -131,28 +131,28 @@
 }
 
 #[test]
-fn a_crowd_ends_with_a_few_answers() {
+fn congestion_ends_with_a_few_answers() {
     let mut pool = Pool::new(1);
     pool.request(10, 7, 1.0);
     pool.end_calls(None);
-    let mut asked = 0;
+    let mut called = 0;
     for _ in 0..200 {
-        asked += u32::from(pool.request(100, 7, 1.0));
+        called += u32::from(pool.request(100, 7, 1.0));
         pool.end_calls(Some(BURST));
     }
-    assert!(asked > 150, "{asked} of 200 were asked for");
+    assert!(called > 150, "{called} of 200 requests called the counter");
 }
 
-/// What is let through unasked, while the counter seems crowded, is told with the next call.
+/// Requests admitted without a call, while the counter seems congested, are charged with the next call.
 #[test]
-fn all_that_is_sent_is_told() {
+fn all_requests_sent_are_charged() {
     let mut pool = Pool::new(1);
     pool.request(10, 7, 1.0);
     pool.end_calls(None);
-    // answers of another customer's leave this one's store unread
-    let mut unasked = 0;
+    // answers for another customer leave this one's quota unread
+    let mut uncalled = 0;
     for _ in 0..400 {
-        unasked += u32::from(!pool.request(5, 7, 1.0));
+        uncalled += u32::from(!pool.request(5, 7, 1.0));
         let before = pool.calls.len();
         if before > 0 {
             pool.end_calls(None);
@@ -161,29 +161,29 @@
             pool.end_calls(Some(BURST));
         }
     }
-    // the last are told by a call that is made for certain
+    // the last ones are charged by a call that is certain to be made
     for _ in 0..40 {
         pool.request(100, 7, 1.0);
         pool.end_calls(Some(BURST));
     }
-    assert!(unasked > 100, "{unasked} unasked");
-    let told: f64 = pool.told.values().sum();
-    // but for what had filled up again by the time that it was told
+    assert!(uncalled > 100, "{uncalled} without a call");
+    let charged: f64 = pool.charged.values().sum();
+    // except for what had refilled by the time of the charge
     let sent = pool.sent as f64;
-    assert!(told > 0.9 * sent && told < sent + 1e-6, "{told} told, {sent} sent");
+    assert!(charged > 0.9 * sent && charged < sent + 1e-6, "{charged} charged, {sent} sent");
 }
 
-/// Behind a silence what was charged for refused requests of any customer is given back at once.
+/// After an outage the charges of refused requests of any customer are given back at once.
 #[test]
 fn refunds_do_not_wait_for_another_request() {
     let mut pool = Pool::new(1_000);
     let refused = 1_000.0 * RATE;
-    // one of very many: its part is far below a whole request
+    // one gateway of very many: its share is far below one request
     let customers = [7, 11, 12];
-    let pending = |pool: &Pool| customers.iter().map(|customer| pool.told[customer]).sum::<f64>();
+    let pending = |pool: &Pool| customers.iter().map(|customer| pool.charged[customer]).sum::<f64>();
     assert!(customers.iter().all(|customer| pool.request(10, *customer, refused)));
     pool.end_calls(None);
-    assert!(pending(&pool) > 1.5, "{:?}", pool.told);
+    assert!(pending(&pool) > 1.5, "{:?}", pool.charged);
     for _ in 0..40 {
         pool.request(100, 9, refused);
         let called = !pool.calls.is_empty();
@@ -192,13 +192,13 @@
             break;
         }
     }
-    assert!(pending(&pool).abs() < 0.5, "{:?}", pool.told);
+    assert!(pending(&pool).abs() < 0.5, "{:?}", pool.charged);
 }
 
-/// Far from its quota a tenant is served by each of very many pools while the counter is away; near it, or not met, by
-/// few of them.
+/// While the counter does not answer, a customer far from its quota is served by each of very many pools; one near it, or
+/// with a quota not yet read, by few of them.
 #[test]
-fn a_part_of_a_full_store_is_rounded_up() {
+fn a_share_of_a_full_quota_is_rounded_up() {
     const VERY_MANY: f64 = 20_000.0;
     let sent_alone = |level: Option<f64>| {
         let mut pool = Pool::new(1);
@@ -220,9 +220,9 @@
     assert!(sent_alone(None) < 8);
 }
 
-/// In a silence a gateway goes by 0.85 of its part: each has seen others rest.
+/// In an outage a gateway uses 0.85 of its share, as each has seen the idle times of the others.
 #[test]
-fn a_part_is_smaller_in_a_silence() {
+fn a_share_is_smaller_in_an_outage() {
     const LEFT: f64 = 20.0;
     let mut pool = Pool::new(1);
     pool.request(10, 7, 1.0);
@@ -237,7 +237,7 @@
     pool.now += 600;
     (0..300).for_each(|_| _ = pool.request(0, 7, 1.0));
     let room = LEFT + RATE * (pool.now - read_at) as f64 / 1e3;
-    let part = (pool.sent - before) as f64 / room;
-    // its part by what it has seen of the totals is 0.44
-    assert!((0.34..0.41).contains(&part), "{part} of {room}");
+    let share = (pool.sent - before) as f64 / room;
+    // its share by the totals read is 0.44
+    assert!((0.34..0.41).contains(&share), "{share} of {room}");
 }
