--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -5,9 +5,9 @@
 use crate::{Flaw, Node};
 use lupinledge_config::turns::Caller;
 use lupinledge_config::{Answer, Document, Judged, Turns};
-use lupinledge_consensus::{Ballot, Kept, Msg, Out as Ordered, Outcome, Queen, Settings};
-use lupinledge_counters::duty::Duty;
-use lupinledge_membership::{Member, News, Source, Spread, Standing};
+use lupinledge_consensus::{Ballot, Msg, Outcome, Output as Ordered, PersistentState, Replica, Settings};
+use lupinledge_counters::holder::CounterHolder;
+use lupinledge_membership::{Disseminator, Member, Source, Standing, Update};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -28,9 +28,9 @@
 /// See the module.
 pub struct Core {
     /// The agreement.
-    pub queen: Queen,
+    pub queen: Replica,
     /// Membership and news.
-    pub spread: Spread,
+    pub spread: Disseminator,
     pub(crate) flaw: Flaw,
     agreed: Option<(Ballot, Rc<Document>)>,
     /// Of it what the edge is told.
@@ -38,7 +38,7 @@
     leads: Option<u64>,
     /// The epoch whose holder was heard last, or that was held here, and the holder.
     known: (u64, Node),
-    pub(crate) duty: Duty,
+    pub(crate) duty: CounterHolder,
     /// The epoch that its counters are of, and when they are to be looked at.
     pub(crate) counts: (Option<u64>, f64),
     tickets: u64,
@@ -50,27 +50,28 @@
     seeds: Vec<Node>,
     me: Node,
     /// For planted faults: the state saved before, and whether it asked for what is committed.
-    before: Option<Kept>,
+    before: Option<PersistentState>,
     fetched: bool,
 }
 
 impl Core {
     /// Begins from what the disk holds; `seeds` found, once.
-    pub fn new(me: Node, begin: Begin<Kept>, seeds: &[Node], tolerate: usize, flaw: Flaw) -> Core {
+    pub fn new(me: Node, begin: Begin<PersistentState>, seeds: &[Node], tolerate: usize, flaw: Flaw) -> Core {
         let Begin { now, run, seed, kept, used, disk } = begin;
         disk.lies = if flaw == Flaw::DiskLies { 0.6 } else { 0.0 };
         let bootstrap = !used || flaw == Flaw::WipedFounds;
-        let queen = Queen::new(now, Settings { me, seeds: seeds.to_vec(), bootstrap, seed, tolerate }, kept);
+        let queen =
+            Replica::new(now, Settings { me, seeds: seeds.to_vec(), bootstrap, seed, tolerate }, kept);
         let swarm = lupinledge_membership::Settings::new(me, run, card(me, true), seeds.to_vec(), seed);
         Core {
             queen,
-            spread: Spread::new(now, swarm, false),
+            spread: Disseminator::new(now, swarm, false),
             flaw,
             agreed: None,
             told: Rc::from([]),
             leads: None,
             known: (0, 0),
-            duty: Duty::default(),
+            duty: CounterHolder::default(),
             counts: (None, now),
             tickets: 0,
             asked: BTreeMap::new(),
@@ -115,10 +116,10 @@
         if self.flaw != Flaw::SeedsAlone {
             self.spread.set_seeds(self.seeds.iter().chain(self.queen.members()).copied().collect());
         }
-        if !self.queen.members().contains(&self.me) || self.queen.holder(now).is_none() {
-            let cores = self.spread.swarm().members().filter(|m| m.card.core).map(|m| m.node);
+        if !self.queen.members().contains(&self.me) || self.queen.leader(now).is_none() {
+            let cores = self.spread.membership().members().filter(|m| m.card.core).map(|m| m.node);
             let cores: Vec<Node> = self.seeds.iter().copied().chain(cores).collect();
-            self.queen.hint(&cores);
+            self.queen.set_hints(&cores);
         }
     }
 
@@ -128,41 +129,43 @@
     }
 
     pub(crate) fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Out) {
-        self.turn(now, out, |queen, out| queen.saved(now, ticket, ok, out));
+        self.turn(now, out, |queen, out| queen.save_finished(now, ticket, ok, out));
     }
 
     pub(crate) fn heard(&mut self, now: f64, from: Node, say: Say, out: &mut Out) {
         if let Some(counters) = self.duty.counters() {
-            counters.heard(now, from);
+            counters.record_contact(now, from);
         }
         match say {
             Say::Spread(said) => {
-                let (_, sends) = self.spread.heard(now, from, said);
+                let (_, sends) = self.spread.receive(now, from, said);
                 send(sends, out);
             }
             Say::Queen(msg) => {
-                if matches!(msg, Msg::Learnt { .. }) {
+                if matches!(msg, Msg::LearnReply { .. }) {
                     out.push(Order::Tell(Told::Learnt));
                 }
-                self.turn(now, out, |queen, out| queen.heard(now, from, msg, out));
+                self.turn(now, out, |queen, out| queen.handle_message(now, from, msg, out));
             }
             Say::Count { tag, incarnation, calls } => self.count(now, (from, incarnation), tag, &calls, out),
             Say::Told { epoch, incarnation, told } => {
                 self.gather(now, epoch, (from, incarnation), &told, out)
             }
-            Say::Clock if self.queen.leads(now).is_some() => out.push(Order::Cast(from, Say::ClockIs)),
+            Say::Clock if self.queen.leading_epoch(now).is_some() => {
+                out.push(Order::Cast(from, Say::ClockIs))
+            }
             Say::Clock | Say::ClockIs | Say::Hold { .. } | Say::Counted { .. } | Say::Command(..) => {}
         }
     }
 
     /// One step of the agreement, and what it orders.
-    fn turn(&mut self, now: f64, out: &mut Out, step: impl FnOnce(&mut Queen, &mut Vec<Ordered>)) {
+    fn turn(&mut self, now: f64, out: &mut Out, step: impl FnOnce(&mut Replica, &mut Vec<Ordered>)) {
         let mut orders = Vec::new();
         step(&mut self.queen, &mut orders);
         for order in orders {
             match order {
                 Ordered::Send(_, Msg::Fetch { .. }) if self.flaw == Flaw::FetchOnce && self.fetched => {}
-                Ordered::Send(_, Msg::News { .. }) if self.flaw == Flaw::FetchDeaf => {}
+                Ordered::Send(_, Msg::CommittedValue { .. }) if self.flaw == Flaw::FetchDeaf => {}
                 Ordered::Send(to, msg) => {
                     self.fetched |= matches!(msg, Msg::Fetch { .. });
                     let stands = match &msg {
@@ -198,12 +201,12 @@
                     }
                     out.push(Order::Tell(Told::Committed(ballot, value)));
                 }
-                Ordered::Won(epoch) => out.push(Order::Tell(Told::Won(epoch))),
-                Ordered::Lost => {}
-                Ordered::Done { ticket, how } => self.settled(now, ticket, how, out),
+                Ordered::BecameLeader(epoch) => out.push(Order::Tell(Told::Won(epoch))),
+                Ordered::LostLeadership => {}
+                Ordered::Done { ticket, outcome } => self.settled(now, ticket, outcome, out),
             }
         }
-        let led = std::mem::replace(&mut self.leads, self.queen.leads(now));
+        let led = std::mem::replace(&mut self.leads, self.queen.leading_epoch(now));
         if led != self.leads {
             self.counts.1 = now;
         }
@@ -213,9 +216,9 @@
     /// Tells what is known of the duty and the document; the holder as their origin.
     fn news(&mut self, now: f64, out: &mut Out) {
         let known = self.leads.map(|epoch| (epoch, self.me));
-        let known = known.or(self.queen.holder(now).map(|(node, epoch)| (epoch, node)));
+        let known = known.or(self.queen.leader(now).map(|(node, epoch)| (epoch, node)));
         self.known = known.unwrap_or(self.known);
-        let held = self.spread.held().newest();
+        let held = self.spread.store().newest();
         let newer = self.agreed.as_ref().filter(|(ballot, _)| {
             *ballot > Ballot::default()
                 && held.state.as_ref().is_none_or(|held| held.0 < (ballot.epoch, ballot.index))
@@ -225,7 +228,7 @@
         }
         let state = newer.map(|(ballot, _)| ((ballot.epoch, ballot.index), self.told.clone()));
         let source = if self.leads.is_some() { Source::Origin } else { Source::Settled };
-        let (_, sends) = self.spread.tell(News { epoch: known, state, list: None }, source);
+        let (_, sends) = self.spread.publish(Update { epoch: known, state, list: None }, source);
         send(sends, out);
     }
 
@@ -281,19 +284,20 @@
 
     /// What is to be said where this process does not speak for the whole.
     fn elsewhere(&self, now: f64) -> Reply {
-        let (epoch, told) = self.spread.held().epoch();
+        let (epoch, told) = self.spread.store().epoch();
         let alive = |m: &Member| m.card.core && m.standing == Standing::Alive;
-        let there = told != self.me && self.spread.swarm().member(told).is_some_and(alive);
-        let told = (there && epoch >= self.known.0 && self.queen.cut_from(now, told)).then_some(told);
+        let there = told != self.me && self.spread.membership().member(told).is_some_and(alive);
+        let told = (there && epoch >= self.known.0 && self.queen.is_isolated_from(now, told)).then_some(told);
         let stale = (self.flaw == Flaw::StaleRedirect).then_some(self.known.1);
-        let to = self.queen.route(now).or(told).or(stale).filter(|node| *node != self.me && *node != 0);
+        let to =
+            self.queen.redirect_target(now).or(told).or(stale).filter(|node| *node != self.me && *node != 0);
         to.map_or(Reply::Later, Reply::Elsewhere)
     }
 
     fn settle(&mut self, now: f64, ids: Option<Vec<u64>>, command: &Command, out: &mut Out) {
         let alone =
-            self.queen.holder(now).filter(|(node, _)| self.flaw == Flaw::LeadsAlone && *node == self.me);
-        let leads = alone.map(|(_, epoch)| epoch).or_else(|| self.queen.leads(now));
+            self.queen.leader(now).filter(|(node, _)| self.flaw == Flaw::LeadsAlone && *node == self.me);
+        let leads = alone.map(|(_, epoch)| epoch).or_else(|| self.queen.leading_epoch(now));
         let (Some(epoch), Some((ballot, document))) = (leads, self.agreed.clone()) else {
             let reply = self.elsewhere(now);
             return self.reply(ids, reply, out);
@@ -302,9 +306,9 @@
         self.tickets += 1;
         let ticket = self.tickets;
         match judged {
-            Judged::Now(answer) => self.reply(ids, Reply::Said(answer), out),
+            Judged::Now(answer) => self.reply(ids, Reply::GossipMessage(answer), out),
             Judged::Said(answer) if matches!(self.flaw, Flaw::NoConfirm | Flaw::LeadsAlone) => {
-                self.reply(ids, Reply::Said(answer), out);
+                self.reply(ids, Reply::GossipMessage(answer), out);
             }
             Judged::Said(answer) => {
                 // the next change is not held up by it
@@ -314,12 +318,12 @@
                 }
                 let (command, said) = (command.clone(), Some((answer, epoch, ballot)));
                 self.asked.insert(ticket, Asked { ids: Some(ids), command, said });
-                self.turn(now, out, |queen, out| queen.confirm(now, ticket, out));
+                self.turn(now, out, |queen, out| queen.read_barrier(now, ticket, out));
             }
             Judged::Take(document) => {
                 let body = rmp_serde::to_vec(&document).expect("a document can be written");
                 if self.flaw == Flaw::EarlyDone {
-                    self.reply(ids, Reply::Said(Answer::Done), out);
+                    self.reply(ids, Reply::GossipMessage(Answer::Done), out);
                 } else {
                     self.asked.insert(ticket, Asked { ids, command: command.clone(), said: None });
                 }
@@ -332,18 +336,18 @@
         let Some(Asked { ids, command, said }) = self.asked.remove(&ticket) else { return };
         let reply = match (said, how) {
             (Some((answer, epoch, ballot)), Outcome::Confirmed) => {
-                let agreed = self.agreed.as_ref().filter(|_| self.queen.leads(now) == Some(epoch));
+                let agreed = self.agreed.as_ref().filter(|_| self.queen.leading_epoch(now) == Some(epoch));
                 match agreed {
-                    Some(now) if now.0 == ballot => Reply::Said(answer),
+                    Some(now) if now.0 == ballot => Reply::GossipMessage(answer),
                     Some((_, document)) => match document.judge(command.order(), |z| ZONES.contains(&z)) {
-                        Judged::Said(answer) => Reply::Said(answer),
+                        Judged::Said(answer) => Reply::GossipMessage(answer),
                         _ => Reply::Later,
                     },
                     None => self.elsewhere(now),
                 }
             }
-            (None, Outcome::Committed(_)) => Reply::Said(Answer::Done),
-            (None, Outcome::NotHolder) | (Some(_), _) => self.elsewhere(now),
+            (None, Outcome::Committed(_)) => Reply::GossipMessage(Answer::Done),
+            (None, Outcome::NotLeader) | (Some(_), _) => self.elsewhere(now),
             (None, _) => Reply::Later,
         };
         self.reply(ids, reply, out);
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -5,10 +5,10 @@
 use crate::world::{Begin, Order};
 use crate::{Flaw, Node};
 use lupinledge_config::Document;
-use lupinledge_consensus::{Ballot, Kept};
-use lupinledge_counters::own::Own;
+use lupinledge_consensus::{Ballot, PersistentState};
+use lupinledge_counters::local_sums::LocalSums;
 use lupinledge_counters::Total;
-use lupinledge_membership::{News, Said, Spread};
+use lupinledge_membership::{Disseminator, GossipMessage, Update};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -32,7 +32,7 @@
 /// See the module.
 pub struct Edge {
     /// Membership and news.
-    pub spread: Spread,
+    pub spread: Disseminator,
     /// By what it works.
     pub document: Option<(Ballot, Rc<Document>)>,
     /// Clients come here.
@@ -42,7 +42,7 @@
     took: f64,
     old: patched::Old,
     pub(crate) incarnation: u32,
-    own: Own,
+    own: LocalSums,
     holder: (u64, Node),
     /// Whom to ask for the clock, when next, and whether it is known.
     seeds: Vec<Node>,
@@ -56,18 +56,18 @@
 
 impl Edge {
     /// Begins with nothing.
-    pub fn new(me: Node, begin: Begin<Kept>, seeds: &[Node], flaw: Flaw) -> Edge {
+    pub fn new(me: Node, begin: Begin<PersistentState>, seeds: &[Node], flaw: Flaw) -> Edge {
         let Begin { now, run, seed, .. } = begin;
         let swarm = lupinledge_membership::Settings::new(me, run, card(me, false), seeds.to_vec(), seed);
         Edge {
-            spread: Spread::new(now, swarm, true),
+            spread: Disseminator::new(now, swarm, true),
             document: None,
             ready: false,
             flaw,
             took: f64::NEG_INFINITY,
             old: patched::Old::new(),
             incarnation: run as u32,
-            own: Own::default(),
+            own: LocalSums::default(),
             holder: (0, 0),
             seeds: seeds.to_vec(),
             began: now,
@@ -102,9 +102,9 @@
         self.show(now, out);
     }
 
-    fn send(&self, mut sends: lupinledge_membership::Sends, out: &mut Out) {
+    fn send(&self, mut sends: lupinledge_membership::Outgoing, out: &mut Out) {
         if self.flaw == Flaw::DeafEdge && self.ready {
-            sends.retain(|(_, said)| !matches!(said, Said::Want(_)));
+            sends.retain(|(_, said)| !matches!(said, GossipMessage::Fetch(_)));
         }
         send(sends, out);
     }
@@ -115,18 +115,18 @@
                 if let Some((ballot, bytes)) = patched::older(self.flaw, &mut self.old, &said) {
                     self.follow(ballot, &bytes, out);
                 }
-                if let Some((ballot, bytes)) = patched::spoilt(self.flaw, self.spread.held(), &said) {
+                if let Some((ballot, bytes)) = patched::spoilt(self.flaw, self.spread.store(), &said) {
                     self.follow(ballot, &bytes, out);
                 }
-                let (fresh, sends) = self.spread.heard(now, from, said);
+                let (fresh, sends) = self.spread.receive(now, from, said);
                 self.send(sends, out);
                 let fresh = fresh.map(|news| patched::merged(self.flaw, now, &mut self.took, news));
                 fresh.into_iter().for_each(|news| self.news(now, news, out));
             }
             // ahead of the digests
             Say::Hold { epoch } => {
-                let news = News { epoch: Some((epoch, from)), ..News::default() };
-                let (fresh, sends) = self.spread.tell(news, lupinledge_membership::Source::Settled);
+                let news = Update { epoch: Some((epoch, from)), ..Update::default() };
+                let (fresh, sends) = self.spread.publish(news, lupinledge_membership::Source::Settled);
                 self.send(sends, out);
                 fresh.into_iter().for_each(|news| self.news(now, news, out));
                 if self.holder == (epoch, from) {
@@ -140,7 +140,7 @@
         self.show(now, out);
     }
 
-    fn news(&mut self, now: f64, fresh: News, out: &mut Out) {
+    fn news(&mut self, now: f64, fresh: Update, out: &mut Out) {
         if let Some(holder) = fresh.epoch {
             self.holder = holder;
             self.calls.clear();
@@ -174,7 +174,7 @@
 
     /// Tells a new holder what the one before was told.
     fn tell(&self, now: f64, out: &mut Out) {
-        let told = self.own.told(now);
+        let told = self.own.handover(now);
         let (epoch, holder) = self.holder;
         out.push(Order::Send(holder, Say::Told { epoch, incarnation: self.incarnation, told }));
     }
@@ -205,7 +205,7 @@
         if totals.len() == NAMES.len() {
             let totals: Vec<(u64, f64)> = NAMES.into_iter().zip(totals.iter().copied()).collect();
             for ((name, total), sum) in totals.iter().zip(&call.sums) {
-                self.own.total(now, *name, *sum, Total { counted: *total, level: None });
+                self.own.record_total(now, *name, *sum, Total { counted: *total, level: None });
             }
             out.push(Order::Tell(Told::Counted { epoch, totals }));
         }
--- a/simulation/src/play.rs
+++ b/simulation/src/play.rs
@@ -99,7 +99,8 @@
         let index = match site.world.process(node) {
             Some(Process::Core(core)) => {
                 let index = core.queen.committed().map(|(ballot, _)| ballot.index);
-                if core.queen.amnesiac() || !core.queen.members().contains(&node) || core.unanswered() > 0 {
+                if core.queen.is_learning() || !core.queen.members().contains(&node) || core.unanswered() > 0
+                {
                     return Some(format!("{node} does not count, or owes replies"));
                 }
                 index
@@ -123,13 +124,14 @@
             Process::Edge(edge) => &edge.spread,
         };
         let sees = |other: &Node| {
-            *other == node || spread.swarm().member(*other).is_some_and(|m| m.standing == Standing::Alive)
+            *other == node
+                || spread.membership().member(*other).is_some_and(|m| m.standing == Standing::Alive)
         };
         if let Some(other) = all.iter().find(|other| !sees(other)) {
             return Some(format!("{node} does not see {other}"));
         }
         let extra =
-            spread.swarm().members().find(|m| m.standing == Standing::Alive && !all.contains(&m.node));
+            spread.membership().members().find(|m| m.standing == Standing::Alive && !all.contains(&m.node));
         if let Some(extra) = extra {
             return Some(format!("{node} sees {}, which is not there", extra.node));
         }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -5,10 +5,9 @@
 use lupinledge::interface::*;
 use lupinledge::state::Basis;
 use lupinledge::time::{Span, Timestamp};
-use lupinledge_counters::duty::{Duty, Look, Seen};
-use lupinledge_counters::own::Own;
+use lupinledge_counters::handover:: HandoverPart; use lupinledge_counters:: holder::{CounterHolder, GatewayStatus, HandoverStatus};
+use lupinledge_counters::local_sums::LocalSums;
 use lupinledge_counters::store::Quota;
-use lupinledge_counters::told::Part;
 use lupinledge_counters::{Node, Total};
 use std::collections::BTreeMap;
 
@@ -88,7 +87,7 @@
     link: (Link, u64),
     /// It is paused until then.
     paused_until: u64,
-    own: Own,
+    own: LocalSums,
     tag: u64,
     /// Calls that wait until the totals of a new holder are complete, by tag, with their time-outs.
     waiting: BTreeMap<u64, (Call, u64)>,
@@ -120,7 +119,7 @@
     /// Restarts at `back` with an empty state.
     fn restart(&mut self, seed: u64, gateways: usize, back: u64) {
         self.pools = pools(seed, gateways, self.pools.len(), back);
-        (self.own, self.tag, self.paused_until, self.down_until) = (Own::default(), 0, 0, back);
+        (self.own, self.tag, self.paused_until, self.down_until) = (LocalSums::default(), 0, 0, back);
         self.incarnation += 1;
         self.waiting.clear();
     }
@@ -132,7 +131,7 @@
 
     /// Applies a total and schedules its event.
     fn apply_total(&mut self, at: u64, (pool, name, sum): Call, total: Total) {
-        self.own.total(at as f64 / 1e3, name, sum, total);
+        self.own.record_total(at as f64 / 1e3, name, sum, total);
         let Total { counted, level } = total;
         self.schedule(pool, at, Event::Counted { name, total: counted, level, outcome: Outcome::Passed });
     }
@@ -140,7 +139,7 @@
 
 /// The holder of the counters, as the control plane drives it.
 struct Holder {
-    duty: Duty,
+    duty: CounterHolder,
     epoch: u64,
     next_look: u64,
     takeover: u64,
@@ -160,7 +159,7 @@
         if link == Link::Cut {
             return gateway.schedule(pool, now + CALL_WAIT, late);
         }
-        match self.duty.count(secs, from, tag, [(name, sum, life)].into_iter()) {
+        match self.duty.apply_call(secs, from, tag, [(name, sum, life)].into_iter()) {
             Some(totals) if link == Link::Sound => {
                 gateway.apply_total(now + TRIP, (pool, name, sum), totals[0])
             }
@@ -175,30 +174,30 @@
     fn look(&mut self, now: u64, gateways: &mut [Gateway]) {
         let secs = now as f64 / 1e3;
         for gateway in gateways.iter().filter(|g| g.reachable(now)) {
-            self.duty.counters().unwrap().heard(secs, gateway.node);
+            self.duty.counters().unwrap().record_contact(secs, gateway.node);
         }
-        let seen: Vec<Seen> = gateways
+        let seen: Vec<GatewayStatus> = gateways
             .iter()
-            .map(|g| Seen { node: g.node, alive: g.reachable(now), leaving: false, gone: false })
+            .map(|g| GatewayStatus { node: g.node, alive: g.reachable(now), leaving: false, gone: false })
             .collect();
-        let send_part = |duty: &mut Duty, epoch: u64, asked: Vec<Node>| {
+        let send_part = |duty: &mut CounterHolder, epoch: u64, asked: Vec<Node>| {
             for gateway in gateways.iter().filter(|g| asked.contains(&g.node) && g.reachable(now)) {
-                duty.tell(
+                duty.receive_handover(
                     secs,
                     epoch,
                     (gateway.node, gateway.incarnation),
-                    &Part::whole(gateway.own.told(secs)),
+                    &HandoverPart::single(gateway.own.handover(secs)),
                 );
             }
         };
         self.next_look = now + 250;
-        match self.duty.look(secs, &seen) {
-            Look::Whole(asked) => send_part(&mut self.duty, self.epoch, asked),
-            Look::Ask(asked) => {
+        match self.duty.poll(secs, &seen) {
+            HandoverStatus::Serving(asked) => send_part(&mut self.duty, self.epoch, asked),
+            HandoverStatus::Collecting(asked) => {
                 self.next_look = now + 50;
                 send_part(&mut self.duty, self.epoch, asked);
             }
-            Look::Closed(answers, _) => {
+            HandoverStatus::Completed(answers, _) => {
                 for answer in answers {
                     let Some(gateway) = gateways.iter_mut().find(|g| g.node == answer.from.0) else {
                         continue;
@@ -302,14 +301,14 @@
             pools: of_pools(nth as u64),
             link: (Link::Sound, BEGIN + 1_500 + rng.u64(..1_000)),
             paused_until: 0,
-            own: Own::default(),
+            own: LocalSums::default(),
             tag: 0,
             waiting: BTreeMap::new(),
         })
         .collect();
     let first = if conditions.holders > 0 { BEGIN + 2_000 + rng.u64(..conditions.holders) } else { u64::MAX };
     let mut holder =
-        Holder { duty: Duty::default(), epoch: 0, next_look: BEGIN, takeover: BEGIN, absent_until: 0 };
+        Holder { duty: CounterHolder::default(), epoch: 0, next_look: BEGIN, takeover: BEGIN, absent_until: 0 };
     let (mut sends, mut next): (Vec<(usize, usize)>, u64) = (Vec::new(), 0);
     for now in BEGIN..BEGIN + SPAN {
         let secs = now as f64 / 1e3;
@@ -325,8 +324,8 @@
             };
             holder.epoch += 1;
             holder.next_look = now;
-            holder.duty.hold(secs, holder.epoch);
-            holder.duty.counters().unwrap().quota(CUSTOMER, Quota { rate: RATE, size: STORE });
+            holder.duty.start_epoch(secs, holder.epoch);
+            holder.duty.counters().unwrap().set_quota(CUSTOMER, Quota { rate: RATE, size: STORE });
             gateways.iter_mut().for_each(|g| g.end_all(now));
         }
         if now >= holder.next_look && now >= holder.absent_until {
