--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -5,7 +5,8 @@
 use lupinledge::interface::*;
 use lupinledge::state::Basis;
 use lupinledge::time::{Span, Timestamp};
-use lupinledge_counters::handover:: HandoverPart; use lupinledge_counters:: holder::{CounterHolder, GatewayStatus, HandoverStatus};
+use lupinledge_counters::handover::HandoverPart;
+use lupinledge_counters::holder::{CounterHolder, GatewayStatus, HandoverStatus};
 use lupinledge_counters::local_sums::LocalSums;
 use lupinledge_counters::store::Quota;
 use lupinledge_counters::{Node, Total};
@@ -51,17 +52,17 @@
     pub load: Vec<u32>,
     /// Pools of each gateway that the customer's requests come through.
     pub pools: usize,
-    /// Requests come for the first time, and none for the second, alternating, milliseconds.
+    /// Requests come for the first of these times and none for the second, alternating, milliseconds.
     pub bursts: (u64, u64),
     pub kills: Vec<Kill>,
-    /// Times without a holder of the counters, from the begin of the run: from, until, milliseconds.
+    /// Times without a holder of the counters, from the beginning of the run: from, until, milliseconds.
     pub no_holder: Vec<(u64, u64)>,
 }
 
 /// Gateways that are killed at once and restart, each at its own time.
 #[derive(Clone, Copy, Debug)]
 pub struct Kill {
-    /// Milliseconds from the begin of the run.
+    /// Milliseconds from the beginning of the run.
     pub at: u64,
     /// How many, chosen at random.
     pub gateways: usize,
@@ -78,22 +79,26 @@
 /// A call of a pool: name and sum.
 type Call = (usize, u64, f64);
 
+/// A gateway process.
 struct Gateway {
     node: Node,
     incarnation: u32,
     /// It is down until then.
     down_until: u64,
     pools: Vec<Pool>,
+    /// Its link, and until when it stays so.
     link: (Link, u64),
     /// It is paused until then.
     paused_until: u64,
-    own: LocalSums,
+    sums: LocalSums,
+    /// The tag of its last call.
     tag: u64,
     /// Calls that wait until the totals of a new holder are complete, by tag, with their time-outs.
     waiting: BTreeMap<u64, (Call, u64)>,
 }
 
 impl Gateway {
+    /// Schedules an event of a pool.
     fn schedule(&mut self, pool: usize, at: u64, event: Event) {
         self.pools[pool].due.entry(at).or_default().push(event);
     }
@@ -112,18 +117,20 @@
         }
     }
 
+    /// Whether it exchanges messages with the holder.
     fn reachable(&self, now: u64) -> bool {
         self.link.0 != Link::Cut && now >= self.paused_until && now >= self.down_until
     }
 
-    /// Restarts at `back` with an empty state.
-    fn restart(&mut self, seed: u64, gateways: usize, back: u64) {
-        self.pools = pools(seed, gateways, self.pools.len(), back);
-        (self.own, self.tag, self.paused_until, self.down_until) = (LocalSums::default(), 0, 0, back);
+    /// Restarts at `at` with an empty state.
+    fn restart(&mut self, seed: u64, gateways: usize, at: u64) {
+        self.pools = pools(seed, gateways, self.pools.len(), at);
+        (self.sums, self.tag, self.paused_until, self.down_until) = (LocalSums::default(), 0, 0, at);
         self.incarnation += 1;
         self.waiting.clear();
     }
 
+    /// Ends all waiting calls.
     fn end_all(&mut self, now: u64) {
         self.waiting.values_mut().for_each(|call| call.1 = now);
         self.end_calls(now);
@@ -131,7 +138,7 @@
 
     /// Applies a total and schedules its event.
     fn apply_total(&mut self, at: u64, (pool, name, sum): Call, total: Total) {
-        self.own.record_total(at as f64 / 1e3, name, sum, total);
+        self.sums.record_total(at as f64 / 1e3, name, sum, total);
         let Total { counted, level } = total;
         self.schedule(pool, at, Event::Counted { name, total: counted, level, outcome: Outcome::Passed });
     }
@@ -139,9 +146,9 @@
 
 /// The holder of the counters, as the control plane drives it.
 struct Holder {
-    duty: CounterHolder,
+    counter_holder: CounterHolder,
     epoch: u64,
-    next_look: u64,
+    next_poll: u64,
     takeover: u64,
     /// There is no holder until then.
     absent_until: u64,
@@ -151,7 +158,7 @@
     /// Takes a call, and answers it in time if the link and the state of the totals allow it.
     fn call(&mut self, now: u64, gateway: &mut Gateway, pool: usize, (name, amount, life): (u64, f64, f64)) {
         let secs = now as f64 / 1e3;
-        let Some(sum) = gateway.own.add(secs, name, amount, life) else { return };
+        let Some(sum) = gateway.sums.add(secs, name, amount, life) else { return };
         gateway.tag += 1;
         let link = if now < self.absent_until { Link::Cut } else { gateway.link.0 };
         let (from, tag) = ((gateway.node, gateway.incarnation), gateway.tag);
@@ -159,7 +166,7 @@
         if link == Link::Cut {
             return gateway.schedule(pool, now + CALL_WAIT, late);
         }
-        match self.duty.apply_call(secs, from, tag, [(name, sum, life)].into_iter()) {
+        match self.counter_holder.apply_call(secs, from, tag, [(name, sum, life)].into_iter()) {
             Some(totals) if link == Link::Sound => {
                 gateway.apply_total(now + TRIP, (pool, name, sum), totals[0])
             }
@@ -171,31 +178,32 @@
         }
     }
 
-    fn look(&mut self, now: u64, gateways: &mut [Gateway]) {
+    /// Polls the real holder, and sends it what the reachable gateways hand over.
+    fn poll(&mut self, now: u64, gateways: &mut [Gateway]) {
         let secs = now as f64 / 1e3;
         for gateway in gateways.iter().filter(|g| g.reachable(now)) {
-            self.duty.counters().unwrap().record_contact(secs, gateway.node);
+            self.counter_holder.counters().unwrap().record_contact(secs, gateway.node);
         }
-        let seen: Vec<GatewayStatus> = gateways
+        let statuses: Vec<GatewayStatus> = gateways
             .iter()
             .map(|g| GatewayStatus { node: g.node, alive: g.reachable(now), leaving: false, gone: false })
             .collect();
-        let send_part = |duty: &mut CounterHolder, epoch: u64, asked: Vec<Node>| {
-            for gateway in gateways.iter().filter(|g| asked.contains(&g.node) && g.reachable(now)) {
-                duty.receive_handover(
+        let send_part = |counter_holder: &mut CounterHolder, epoch: u64, nodes: Vec<Node>| {
+            for gateway in gateways.iter().filter(|g| nodes.contains(&g.node) && g.reachable(now)) {
+                counter_holder.receive_handover(
                     secs,
                     epoch,
                     (gateway.node, gateway.incarnation),
-                    &HandoverPart::single(gateway.own.handover(secs)),
+                    &HandoverPart::single(gateway.sums.handover(secs)),
                 );
             }
         };
-        self.next_look = now + 250;
-        match self.duty.poll(secs, &seen) {
-            HandoverStatus::Serving(asked) => send_part(&mut self.duty, self.epoch, asked),
-            HandoverStatus::Collecting(asked) => {
-                self.next_look = now + 50;
-                send_part(&mut self.duty, self.epoch, asked);
+        self.next_poll = now + 250;
+        match self.counter_holder.poll(secs, &statuses) {
+            HandoverStatus::Serving(nodes) => send_part(&mut self.counter_holder, self.epoch, nodes),
+            HandoverStatus::Collecting(nodes) => {
+                self.next_poll = now + 50;
+                send_part(&mut self.counter_holder, self.epoch, nodes);
             }
             HandoverStatus::Completed(answers, _) => {
                 for answer in answers {
@@ -292,23 +300,28 @@
     let rng = &mut fastrand::Rng::with_seed(seed);
     let count = conditions.load.len();
     let pool_count = conditions.pools;
-    let of_pools = |nth: u64| pools(seed * 10 + nth * pool_count as u64, count, pool_count, BEGIN);
+    let new_pools = |nth: u64| pools(seed * 10 + nth * pool_count as u64, count, pool_count, BEGIN);
     let mut gateways: Vec<Gateway> = (0..count)
         .map(|nth| Gateway {
             node: nth as Node + 1,
             incarnation: 1,
             down_until: 0,
-            pools: of_pools(nth as u64),
+            pools: new_pools(nth as u64),
             link: (Link::Sound, BEGIN + 1_500 + rng.u64(..1_000)),
             paused_until: 0,
-            own: LocalSums::default(),
+            sums: LocalSums::default(),
             tag: 0,
             waiting: BTreeMap::new(),
         })
         .collect();
     let first = if conditions.holders > 0 { BEGIN + 2_000 + rng.u64(..conditions.holders) } else { u64::MAX };
-    let mut holder =
-        Holder { duty: CounterHolder::default(), epoch: 0, next_look: BEGIN, takeover: BEGIN, absent_until: 0 };
+    let mut holder = Holder {
+        counter_holder: CounterHolder::default(),
+        epoch: 0,
+        next_poll: BEGIN,
+        takeover: BEGIN,
+        absent_until: 0,
+    };
     let (mut sends, mut next): (Vec<(usize, usize)>, u64) = (Vec::new(), 0);
     for now in BEGIN..BEGIN + SPAN {
         let secs = now as f64 / 1e3;
@@ -323,20 +336,20 @@
                 span => now + span / 2 + rng.u64(..span),
             };
             holder.epoch += 1;
-            holder.next_look = now;
-            holder.duty.start_epoch(secs, holder.epoch);
-            holder.duty.counters().unwrap().set_quota(CUSTOMER, Quota { rate: RATE, size: STORE });
+            holder.next_poll = now;
+            holder.counter_holder.start_epoch(secs, holder.epoch);
+            holder.counter_holder.counters().unwrap().set_quota(CUSTOMER, Quota { rate: RATE, size: STORE });
             gateways.iter_mut().for_each(|g| g.end_all(now));
         }
-        if now >= holder.next_look && now >= holder.absent_until {
-            holder.look(now, &mut gateways);
+        if now >= holder.next_poll && now >= holder.absent_until {
+            holder.poll(now, &mut gateways);
         }
         for kill in conditions.kills.iter().filter(|kill| BEGIN + kill.at == now) {
             let mut killed: Vec<usize> = (0..count).collect();
             rng.shuffle(&mut killed);
             for nth in killed.into_iter().take(kill.gateways) {
-                let back = now + 1 + rng.u64(..kill.downtime.max(1));
-                gateways[nth].restart(rng.u64(..1 << 32), count, back);
+                let at = now + 1 + rng.u64(..kill.downtime.max(1));
+                gateways[nth].restart(rng.u64(..1 << 32), count, at);
             }
         }
         for (nth, gateway) in gateways.iter_mut().enumerate() {
