--- a/sim-adapter/src/main.rs
+++ b/sim-adapter/src/main.rs
@@ -80,7 +80,7 @@
     Ok(reply.frame())
 }
 
-/// Reads exacontroly `buf`, or tells how many bytes there were before the end of input.
+/// Fills `buf`; returns how many bytes were read before the end of the input.
 fn fill(input: &mut impl Read, buf: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buf.len() {
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -47,7 +47,7 @@
             _ => return,
         }
         let after = self.overdue_after(f);
-        let (mut running, mut sick, mut sound, mut late) = (0, false, false, Vec::new());
+        let (mut running, mut faulty, mut healthy, mut late) = (0, false, false, Vec::new());
         for t in self.requests.at_mut(slot).into_iter().flat_map(Request::running) {
             let elapsed = self.now.since(t.sent);
             if elapsed >= after && !t.overdue {
@@ -55,8 +55,8 @@
                 late.push((t.server, elapsed / self.usual[f].max(1e-3)));
             }
             running += 1;
-            sick |= t.overdue || self.servers.distrust[t.server] > 0.5;
-            sound |= self.servers.distrust[t.server] <= 0.5;
+            faulty |= t.overdue || self.servers.distrust[t.server] > 0.5;
+            healthy |= self.servers.distrust[t.server] <= 0.5;
         }
         for (server, slowness) in late {
             smooth(&mut self.late_share, 1.0, 0.02);
@@ -66,7 +66,7 @@
         }
         let waits = self.terms.awaits_late_answers && self.terms.frontends[f].effect == Effect::NonReplayable;
         // runs at distrusted servers only, too late for another: refused, so that its client can retry
-        match running > 0 && !sound {
+        match running > 0 && !healthy {
             true if self.now < give_up => self.wakeups.push(give_up, slot, id),
             true if !waits => return self.refuse(slot),
             _ => {} // its outcome triggers the next review; a wakeup for now would loop within this round
@@ -81,7 +81,7 @@
             }
         }
         // duplicates only while the pool has room: if everything is late, more load helps nobody
-        let duplicate = sick && running < 2 && self.queue.waiting == 0;
+        let duplicate = faulty && running < 2 && self.queue.waiting == 0;
         if running > 0 && !(duplicate && self.now < give_up && (self.out as f64) < self.limit) {
             return;
         }
@@ -111,8 +111,8 @@
         self.dirty.push(c);
         // samples for the pool limit: answers, and cancelled late dispatches at servers without a fault
         let took = e.took.secs();
-        let sound = self.servers.distrust[server] < 0.3 && self.servers.slowness[server] < 2.5;
-        if sound && (e.outcome == Outcome::Passed || was_late && e.outcome == Outcome::Cancelled) {
+        let healthy = self.servers.distrust[server] < 0.3 && self.servers.slowness[server] < 2.5;
+        if healthy && (e.outcome == Outcome::Passed || was_late && e.outcome == Outcome::Cancelled) {
             self.samples[f].push(took);
         }
         let (plan, full) = (self.customers[c].plan, (e.outcome == Outcome::Full) as u8 as f64);
@@ -122,13 +122,13 @@
         }
         match e.outcome {
             Outcome::Passed => {
-                smooth(&mut self.usual[f], took, if sound { 0.03 } else { 0.0 });
+                smooth(&mut self.usual[f], took, if healthy { 0.03 } else { 0.0 });
                 smooth(&mut self.servers.slowness[server], (took / self.usual[f].max(1e-3)).min(20.0), 0.05);
                 self.servers.passed[server] += 1.0;
                 if !was_late {
                     smooth(&mut self.late_share, 0.0, 0.02);
                     smooth(&mut self.bad_share, 0.0, 0.02);
-                    self.add_evidence(server, -0.64); // a sick server would answer only half
+                    self.add_evidence(server, -0.64); // a faulty server would answer only half
                 }
                 let cust = &mut self.customers[c];
                 if self.terms.bills_after && e.billed > 0.0 && self.terms.plans[cust.plan].rate > 0.0 {
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -108,7 +108,7 @@
             let throttle = *self.servers.throttle(i, plan);
             let s = &self.servers;
             let credit = base * throttle * (1.0 - distrust).powi(2) / s.slowness[i].clamp(0.7, 10.0);
-            // at least: none above half distrust, one as a trial below it, two for sound servers at any limit
+            // at least: none above half distrust, one as a trial below it, two for healthy ones at any limit
             let floor = (distrust <= 0.5) as u32 + (distrust <= 0.2 && s.slowness[i] <= 3.0) as u32;
             let left = s.out[i] as f64 + 1.0 <= credit.max(floor as f64);
             let tried = self.requests.at(slot).is_some_and(|r| r.tries.iter().any(|t| t.server == i));
--- a/src/state.rs
+++ b/src/state.rs
@@ -505,7 +505,7 @@
     pub out: Vec<u32>,
     /// Time taken relative to the frontend's usual time, smoothed.
     pub slowness: Vec<f64>,
-    /// Log likelihood ratio of sick to sound.
+    /// Log likelihood ratio of faulty to healthy.
     pub evidence: Vec<f64>,
     /// 1 after a failed test, fading.
     pub distrust: Vec<f64>,
