--- a/src/control.rs
+++ b/src/control.rs
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Takes a batch of events at time `now` and appends the resulting actions to `acts`.
-    pub fn round(&mut self, now: Timestamp, events: Vec<Event>, acts: &mut Vec<Action>) {
+    /// Takes a batch of events at time `now` and appends the resulting actions to `actions`.
+    pub fn round(&mut self, now: Timestamp, events: Vec<Event>, actions: &mut Vec<Action>) {
         smooth(&mut self.avg_out, self.out as f64, 1.0 - (-0.5 * now.since(self.now)).exp());
         (self.gap, self.now) = (now - self.now, now);
         let paused = self.gap > Span::millis(1500); // there is a round at least every second
@@ -64,11 +64,11 @@
             self.review(slot);
         }
         self.send_waiting();
-        self.settle(acts);
+        self.settle(actions);
     }
 
-    fn settle(&mut self, acts: &mut Vec<Action>) {
-        acts.extend(std::mem::take(&mut self.ask_list).then_some(Action::Watch { on: true }));
+    fn settle(&mut self, actions: &mut Vec<Action>) {
+        actions.extend(std::mem::take(&mut self.ask_list).then_some(Action::Watch { on: true }));
         for slot in std::mem::take(&mut self.touched) {
             let Some(f) = self.requests.at(slot).map(|r| r.frontend) else { continue };
             let after = self.overdue_after(f);
@@ -76,30 +76,30 @@
             for t in r.tries.iter_mut().filter(|t| !t.emitted) {
                 t.emitted = true;
                 let server = self.servers.ids.id(t.server) as u32;
-                acts.push(Action::Dispatch { id: r.id, server, limit: Span::ZERO });
+                actions.push(Action::Dispatch { id: r.id, server, limit: Span::ZERO });
                 self.wakeups.push(self.now.later(after), slot, r.id);
             }
             if let Some(reply) = r.reply.clone().filter(|_| r.stage != Stage::Closed) {
-                acts.push(reply);
+                actions.push(reply);
                 r.stage = Stage::Closed;
             }
             let (id, closed) = (r.id, r.stage == Stage::Closed);
             let obsolete = |t: &Try| t.running && !t.cancelled && (closed || t.recalled);
             for (nth, t) in r.tries.iter_mut().enumerate().filter(|(_, t)| obsolete(t)) {
                 t.cancelled = true;
-                acts.extend(self.terms.may_cancel.then_some(Action::Cancel { id, nth: nth as u16 }));
+                actions.extend(self.terms.may_cancel.then_some(Action::Cancel { id, nth: nth as u16 }));
             }
             if closed && !r.tries.iter().any(|t| t.running) {
                 self.requests.drop(id);
             }
         }
-        self.send_updates(acts);
-        std::mem::take(&mut self.dirty).into_iter().for_each(|c| self.send_counts(c, acts));
+        self.send_updates(actions);
+        std::mem::take(&mut self.dirty).into_iter().for_each(|c| self.send_counts(c, actions));
         let next = self.wakeups.first(&self.requests).map_or(self.tick_at, |w| w.0.min(self.tick_at));
         let next = next.max(self.now + Span::millis(1));
         if self.timer_at.is_none_or(|a| next < a) {
             self.timer_at = Some(next);
-            acts.push(Action::Timer { after: next - self.now, token: 0 });
+            actions.push(Action::Timer { after: next - self.now, token: 0 });
         }
     }
 }
--- a/src/counter.rs
+++ b/src/counter.rs
@@ -124,7 +124,7 @@
         self.updates.extend(Some(c).filter(|c| self.terms.peers && !self.updates.contains(c)));
     }
 
-    pub(crate) fn send_updates(&mut self, acts: &mut Vec<Action>) {
+    pub(crate) fn send_updates(&mut self, actions: &mut Vec<Action>) {
         if self.updates.is_empty() || self.now < self.sync_at {
             return;
         }
@@ -135,7 +135,7 @@
         }
         // the messages of all gateways together stay within one's intake
         self.sync_at = self.now.later(self.terms.gateways as f64 / (0.7 * self.terms.peer_intake).max(1e-3));
-        acts.push(Action::Tell { to: None, body });
+        actions.push(Action::Tell { to: None, body });
     }
 
     pub(crate) fn apply_updates(&mut self, body: &[u8]) {
@@ -147,7 +147,7 @@
     }
 
     /// Calls for the names that the plan needs, leases early. In an outage: 100 trial calls/s, all gateways.
-    pub(crate) fn send_counts(&mut self, c: usize, acts: &mut Vec<Action>) {
+    pub(crate) fn send_counts(&mut self, c: usize, actions: &mut Vec<Action>) {
         let (now, share) = (self.now.secs(), self.share(c));
         let cust = &mut self.customers[c];
         if self.counter_down && cust.quota.waiters.is_empty() && cust.lease.waiters.is_empty() {
@@ -189,7 +189,7 @@
             let name = (self.ids.id(c) << 24) | ((epoch & 0x7f_ffff) << 1) | lease as u64;
             let units = waiters.iter().map(|j: &(usize, u64, f64)| j.2).sum();
             let life = Span::from_secs(2.0 * if lease { ROLL } else { self.terms.window() });
-            acts.push(Action::Count { name, amount, life });
+            actions.push(Action::Count { name, amount, life });
             self.calls.put(name, Call { customer: c, lease, epoch, amount, units, waiters, sent: self.now });
         }
     }
