--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -1,34 +1,39 @@
-//! The part that every member plays: promises, votes, and passing on what is committed.
+//! The acceptor part of every member: promises, votes, and passing on committed values.
 
-use crate::{Ballot, Msg, Node, Output, Replica, Role, Seen, Value};
+use crate::{Ballot, KnownLeader, Msg, Node, Output, Replica, Role, Value};
 use std::rc::Rc;
 
-/// No epoch is promised while a leader was heard this lately.
-const LOYAL: f64 = 0.6;
-/// So long the one that was named to hold next has for its first words, before others stand.
-const HANDED: f64 = 0.5;
-/// So long others are put off once a candidate was promised an epoch.
-const PATIENCE: f64 = 0.8;
+/// No epoch is promised to another node for this long after a message of the leader, seconds.
+const LEADER_STICKINESS: f64 = 0.6;
+/// Time that the successor named by a leader has to send its first messages before others become candidates, seconds.
+const HANDOVER_TIMEOUT: f64 = 0.5;
+/// Other candidates are rejected for this long after an epoch was promised to one, seconds.
+const CANDIDATE_TIMEOUT: f64 = 0.8;
 
 impl Replica {
-    /// Is there a leader, or a candidate under way, that `candidate` has to leave alone?
-    pub(crate) fn bound(&self, candidate: Node) -> bool {
-        let seen = self.seen.is_some_and(|seen| seen.node != candidate && self.now - seen.at < LOYAL);
-        let patient = self.patience.is_some_and(|(node, until)| node != candidate && self.now < until);
-        let own = match &self.role {
-            Role::Leading(leading) => leading.backed(&self.disk.mem.value, self.me, self.now, LOYAL),
+    /// Whether `candidate` must be rejected because there is a leader or another candidate.
+    pub(crate) fn must_reject(&self, candidate: Node) -> bool {
+        let leader_heard = self
+            .known_leader
+            .is_some_and(|leader| leader.node != candidate && self.now - leader.heard_at < LEADER_STICKINESS);
+        let other_candidate =
+            self.pending_candidate.is_some_and(|(node, until)| node != candidate && self.now < until);
+        let own_role = match &self.role {
+            Role::Leading(leading) => {
+                leading.has_quorum_contact(&self.disk.state.value, self.me, self.now, LEADER_STICKINESS)
+            }
             Role::Preparing(_) => candidate > self.me,
             _ => false,
         };
-        seen || patient || own
+        leader_heard || other_candidate || own_role
     }
 
-    pub(crate) fn on_ask(&mut self, from: Node, n: u64, out: &mut Vec<Output>) {
+    pub(crate) fn on_pre_vote(&mut self, from: Node, n: u64, out: &mut Vec<Output>) {
         if self.learner.is_some() {
             return;
         }
-        let promised = self.disk.mem.promised;
-        let answer = if self.bound(from) {
+        let promised = self.disk.state.promised;
+        let answer = if self.must_reject(from) {
             let leader = self.leader(self.now).map_or(0, |(node, _)| node);
             Msg::PreVoteRefused { n, promised, leader, commit: self.commit_ballot() }
         } else {
@@ -41,24 +46,28 @@
         if self.learner.is_some() || epoch as Node != from {
             return;
         }
-        self.floor = self.floor.max(epoch);
-        let promised = self.disk.mem.promised;
-        if epoch < promised || (epoch > promised && self.bound(from)) {
+        self.highest_epoch = self.highest_epoch.max(epoch);
+        let promised = self.disk.state.promised;
+        if epoch < promised || (epoch > promised && self.must_reject(from)) {
             out.push(Output::Send(from, Msg::Refused { epoch, promised, commit: self.commit_ballot() }));
             return;
         }
         if epoch > promised {
-            self.yield_to(epoch, out);
-            self.disk.mem.promised = epoch;
+            self.give_way_to(epoch, out);
+            self.disk.state.promised = epoch;
             self.disk.changed();
-            self.patience = Some((from, self.now + PATIENCE));
-            self.calm = self.now;
-        }
-        let mem = &self.disk.mem;
-        let (ballot, incarnation) = (mem.ballot, mem.incarnation);
-        let value = (ballot > have).then(|| mem.value.clone());
-        let incarnations = self.incarnations();
-        self.disk.tell(from, Msg::Promise { epoch, ballot, value, incarnation, incarnations }, out);
+            self.pending_candidate = Some((from, self.now + CANDIDATE_TIMEOUT));
+            self.quiet_since = self.now;
+        }
+        let state = &self.disk.state;
+        let (ballot, incarnation) = (state.ballot, state.incarnation);
+        let value = (ballot > have).then(|| state.value.clone());
+        let incarnations = self.vote_incarnations();
+        self.disk.send_when_durable(
+            from,
+            Msg::Promise { epoch, ballot, value, incarnation, incarnations },
+            out,
+        );
     }
 
     pub(crate) fn on_accept(
@@ -72,29 +81,29 @@
         if self.learner.is_some() || ballot.epoch as Node != from {
             return;
         }
-        let promised = self.disk.mem.promised;
+        let promised = self.disk.state.promised;
         if ballot.epoch < promised {
             let (epoch, commit) = (ballot.epoch, self.commit_ballot());
             out.push(Output::Send(from, Msg::Refused { epoch, promised, commit }));
             return;
         }
-        self.follow(from, ballot.epoch, out);
-        if ballot > self.disk.mem.ballot {
-            self.take(ballot, value, incarnation.saturating_add(1));
+        self.accept_leader(from, ballot.epoch, out);
+        if ballot > self.disk.state.ballot {
+            self.store_value(ballot, value, incarnation.saturating_add(1));
         }
-        if ballot == self.disk.mem.ballot {
-            let (incarnation, incarnations) = (self.disk.mem.incarnation, self.incarnations());
-            self.disk.tell(from, Msg::Accepted { ballot, incarnation, incarnations }, out);
+        if ballot == self.disk.state.ballot {
+            let (incarnation, incarnations) = (self.disk.state.incarnation, self.vote_incarnations());
+            self.disk.send_when_durable(from, Msg::Accepted { ballot, incarnation, incarnations }, out);
         }
     }
 
-    /// Makes the value the one to be saved; `proposer` as in [`crate::PersistentState`].
-    pub(crate) fn take(&mut self, ballot: Ballot, value: Rc<Value>, proposer: u64) {
-        let mem = &mut self.disk.mem;
-        mem.promised = mem.promised.max(ballot.epoch);
-        mem.ballot = ballot;
-        mem.value = value;
-        mem.proposer = proposer;
+    /// Puts the value into the state to be saved; `proposer` as in [`crate::PersistentState`].
+    pub(crate) fn store_value(&mut self, ballot: Ballot, value: Rc<Value>, proposer: u64) {
+        let state = &mut self.disk.state;
+        state.promised = state.promised.max(ballot.epoch);
+        state.ballot = ballot;
+        state.value = value;
+        state.proposer = proposer;
         self.disk.changed();
     }
 
@@ -110,56 +119,56 @@
             return;
         }
         if self.learner.is_some() || self.resuming.is_some() {
-            if self.seen.is_none_or(|seen| seen.epoch <= epoch) {
-                self.seen = Some(Seen { node: from, epoch, at: self.now });
+            if self.known_leader.is_none_or(|leader| leader.epoch <= epoch) {
+                self.known_leader = Some(KnownLeader { node: from, epoch, heard_at: self.now });
             }
             out.push(Output::Send(from, Msg::Alive));
             return;
         }
-        let promised = self.disk.mem.promised;
+        let promised = self.disk.state.promised;
         if epoch < promised {
             out.push(Output::Send(from, Msg::Refused { epoch, promised, commit: self.commit_ballot() }));
             return;
         }
-        self.follow(from, epoch, out);
+        self.accept_leader(from, epoch, out);
         out.push(Output::Send(from, Msg::HeartbeatOk { epoch, nonce }));
-        self.told_commit(from, commit, out);
+        self.on_commit_report(from, commit, out);
     }
 
-    /// Takes the node for the leader of an epoch not below the promised one.
-    fn follow(&mut self, node: Node, epoch: u64, out: &mut Vec<Output>) {
-        self.yield_to(epoch, out);
-        self.floor = self.floor.max(epoch);
-        if epoch <= self.over {
+    /// Records the node as the leader of an epoch not below the promised one.
+    fn accept_leader(&mut self, node: Node, epoch: u64, out: &mut Vec<Output>) {
+        self.give_way_to(epoch, out);
+        self.highest_epoch = self.highest_epoch.max(epoch);
+        if epoch <= self.resigned_epoch {
             return;
         }
-        self.patience = None;
-        self.calm = self.now;
-        if self.seen.is_none_or(|seen| seen.epoch <= epoch) {
-            self.seen = Some(Seen { node, epoch, at: self.now });
+        self.pending_candidate = None;
+        self.quiet_since = self.now;
+        if self.known_leader.is_none_or(|leader| leader.epoch <= epoch) {
+            self.known_leader = Some(KnownLeader { node, epoch, heard_at: self.now });
         }
     }
 
-    /// Another node has, or is to have, a higher epoch: gives up the own one or the try for it.
-    fn yield_to(&mut self, epoch: u64, out: &mut Vec<Output>) {
+    /// Another node leads, or is a candidate for, a higher epoch: gives up the own epoch or candidacy.
+    fn give_way_to(&mut self, epoch: u64, out: &mut Vec<Output>) {
         match &self.role {
             Role::Follower => {}
-            Role::Asking(_) => self.role = Role::Follower,
+            Role::PreVoting(_) => self.role = Role::Follower,
             Role::Preparing(preparing) if preparing.epoch < epoch => self.role = Role::Follower,
-            Role::Leading(leading) if leading.epoch < epoch => self.lose(out),
+            Role::Leading(leading) if leading.epoch < epoch => self.end_leadership(out),
             _ => {}
         }
     }
 
-    pub(crate) fn on_quit(&mut self, from: Node, epoch: u64, next: Node) {
+    pub(crate) fn on_step_down(&mut self, from: Node, epoch: u64, next: Node) {
         if epoch as Node != from {
             return;
         }
-        // a heartbeat that was sent before may come after
-        self.over = self.over.max(epoch);
-        if self.seen.is_some_and(|seen| seen.node == from && seen.epoch == epoch) {
-            self.seen = None;
-            self.hurry(if next == 0 || next == self.me { 0.0 } else { HANDED });
+        // A heartbeat of this epoch that was sent earlier may arrive later.
+        self.resigned_epoch = self.resigned_epoch.max(epoch);
+        if self.known_leader.is_some_and(|leader| leader.node == from && leader.epoch == epoch) {
+            self.known_leader = None;
+            self.shorten_wait(if next == 0 || next == self.me { 0.0 } else { HANDOVER_TIMEOUT });
         }
     }
 
@@ -171,15 +180,15 @@
         }
     }
 
-    pub(crate) fn on_news(&mut self, ballot: Ballot, value: Rc<Value>, out: &mut Vec<Output>) {
-        self.floor = self.floor.max(ballot.epoch);
-        let mem = &self.disk.mem;
-        if self.learner.is_none() && ballot > mem.ballot && ballot.epoch >= mem.promised {
-            self.yield_to(ballot.epoch, out);
-            self.take(ballot, value.clone(), 0);
+    pub(crate) fn on_committed_value(&mut self, ballot: Ballot, value: Rc<Value>, out: &mut Vec<Output>) {
+        self.highest_epoch = self.highest_epoch.max(ballot.epoch);
+        let state = &self.disk.state;
+        if self.learner.is_none() && ballot > state.ballot && ballot.epoch >= state.promised {
+            self.give_way_to(ballot.epoch, out);
+            self.store_value(ballot, value.clone(), 0);
         }
         self.commit(ballot, value, out);
-        if matches!(self.role, Role::Preparing(_)) && !self.member() {
+        if matches!(self.role, Role::Preparing(_)) && !self.is_member() {
             self.role = Role::Follower;
         }
     }
--- a/consensus/src/cluster.rs
+++ b/consensus/src/cluster.rs
@@ -1,57 +1,61 @@
-//! Numbers of clusters: they tell a folder of another cluster, or of one that was founded anew since, from an own one.
+//! Cluster numbers: they distinguish the state of this cluster from that of another one, or of one that an operator has
+//! since replaced by a new cluster.
 //!
-//! A number is a generation (16 bits) and a lineage (48 bits). The lineage is drawn with the first change of a cluster
-//! and counts once the value that it was drawn with is known to be committed, since two first changes may be on their
-//! way, of which one is dropped; until then it is odd. Each founding anew by an operator begins a generation.
+//! A number consists of a generation (16 bits) and a lineage (48 bits). The lineage is drawn at random with the first
+//! change of a cluster and is provisional (odd) until the value that it was drawn with is known to be committed, since
+//! two first changes may be in progress, one of which is dropped. Each new cluster forced by an operator starts a new
+//! generation.
 
 use crate::{Msg, Node, Output, Replica};
 
-const DRAWN: u64 = 1;
-const GENERATION: u32 = 48;
-const LINEAGE: u64 = (1 << GENERATION) - 1;
+/// Bit of the lineage that is set while it is provisional.
+const PROVISIONAL: u64 = 1;
+const GENERATION_SHIFT: u32 = 48;
+const LINEAGE_MASK: u64 = (1 << GENERATION_SHIFT) - 1;
 
-/// What the number that another one tells means to the own one.
+/// How a received cluster number relates to the own one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Relation {
-    /// The same cluster, or that can't be told.
+    /// The same cluster, or the numbers don't allow a decision.
     Same,
-    /// That one was founded anew from the own one.
+    /// The received cluster was formed anew from the own one.
     Newer,
-    /// The own one was founded anew from that one.
+    /// The own cluster was formed anew from the received one.
     Older,
-    /// They have nothing to do with each other.
-    Other,
+    /// Two independent clusters.
+    Unrelated,
 }
 
-/// The number that the value after one with this number bears; that one is committed.
-pub(crate) fn next(cluster: u64, draw: u64) -> u64 {
+/// The cluster number of the value that follows a committed value with this number.
+pub(crate) fn next_number(cluster: u64, random: u64) -> u64 {
     match cluster {
-        0 => draw & LINEAGE | 2 | DRAWN,
-        cluster => cluster & !DRAWN,
+        0 => random & LINEAGE_MASK | 2 | PROVISIONAL,
+        cluster => cluster & !PROVISIONAL,
     }
 }
 
-/// The number of a cluster that is founded anew from one.
-pub(crate) fn founded_anew(cluster: u64, draw: u64) -> u64 {
-    next(next(cluster, draw), draw).saturating_add(1 << GENERATION)
+/// The number of a new cluster that an operator forms from the cluster with this number.
+pub(crate) fn next_generation(cluster: u64, random: u64) -> u64 {
+    next_number(next_number(cluster, random), random).saturating_add(1 << GENERATION_SHIFT)
 }
 
-pub(crate) fn relation(own: u64, told: u64) -> Relation {
-    let counts = |cluster: u64| cluster != 0 && cluster & DRAWN == 0;
-    let related = |older: u64, newer: u64| {
-        let lineage = !counts(older) || older & LINEAGE == newer & LINEAGE;
-        counts(newer) && newer >> GENERATION > older >> GENERATION && lineage
+/// Compares a received cluster number with the own one.
+pub(crate) fn relation(own: u64, received: u64) -> Relation {
+    let is_final = |cluster: u64| cluster != 0 && cluster & PROVISIONAL == 0;
+    let succeeds = |older: u64, newer: u64| {
+        let same_lineage = !is_final(older) || older & LINEAGE_MASK == newer & LINEAGE_MASK;
+        is_final(newer) && newer >> GENERATION_SHIFT > older >> GENERATION_SHIFT && same_lineage
     };
     match () {
-        _ if related(own, told) => Relation::Newer,
-        _ if related(told, own) => Relation::Older,
-        _ if counts(own) && counts(told) && own != told => Relation::Other,
+        _ if succeeds(own, received) => Relation::Newer,
+        _ if succeeds(received, own) => Relation::Older,
+        _ if is_final(own) && is_final(received) && own != received => Relation::Unrelated,
         _ => Relation::Same,
     }
 }
 
-/// The number that a message tells.
-fn told(msg: &Msg) -> Option<u64> {
+/// The cluster number in a message, if it has one.
+fn cluster_number(msg: &Msg) -> Option<u64> {
     match msg {
         Msg::PreVote { cluster, .. }
         | Msg::Prepare { cluster, .. }
@@ -64,21 +68,21 @@
 }
 
 impl Replica {
-    /// Is the message to be dropped, as what it stands on is of another cluster? Who is of an earlier generation is told
-    /// so; this node forgets what it holds where that was superseded.
-    pub(crate) fn drops(&mut self, from: Node, msg: &Msg, out: &mut Vec<Output>) -> bool {
-        let own = self.newest().cluster;
-        let Some(told) = told(msg).filter(|_| self.learner.is_none()) else { return false };
-        match relation(own, told) {
+    /// Whether the message must be dropped because its sender's state is of another cluster. A sender of an earlier
+    /// generation is notified; if this node's own generation was superseded, it discards its state.
+    pub(crate) fn rejects_cluster(&mut self, from: Node, msg: &Msg, out: &mut Vec<Output>) -> bool {
+        let own = self.newest_value().cluster;
+        let Some(received) = cluster_number(msg).filter(|_| self.learner.is_none()) else { return false };
+        match relation(own, received) {
             Relation::Same => false,
-            // who asks whether its state is the newest is answered with what is held here
-            Relation::Other => !matches!(msg, Msg::Resume { .. }),
+            // A resuming node is answered with the state of this node even if it is of another cluster.
+            Relation::Unrelated => !matches!(msg, Msg::Resume { .. }),
             Relation::Older => {
                 out.push(Output::Send(from, Msg::Superseded { cluster: own }));
                 true
             }
             Relation::Newer => {
-                self.forget(self.disk.mem.incarnation, out);
+                self.discard_state(self.disk.state.incarnation, out);
                 true
             }
         }
--- a/consensus/src/disk.rs
+++ b/consensus/src/disk.rs
@@ -1,84 +1,89 @@
-//! What must be saved, what was, and the answers that wait for it.
+//! The newest and the last saved persistent state, and the replies that wait for a save.
 
 use crate::{Msg, Node, Output, PersistentState};
 use lupinledge_invariants::{check, Invariant};
 use std::collections::VecDeque;
 use std::mem::discriminant;
 
-const WAITING_MOST: usize = 128;
-const RETRY: f64 = 0.2;
+/// Most replies that wait for a save; beyond that the oldest is dropped.
+const MAX_PENDING_REPLIES: usize = 128;
+/// Pause after a failed save, seconds.
+const SAVE_RETRY_INTERVAL: f64 = 0.2;
 
+/// Tracks which version of the persistent state is on disk.
 #[derive(Default)]
 pub(crate) struct Disk {
-    /// Newest state, perhaps not saved yet.
-    pub(crate) mem: PersistentState,
+    /// Newest state, possibly not saved yet.
+    pub(crate) state: PersistentState,
     /// State known to be on disk.
-    pub(crate) safe: PersistentState,
+    pub(crate) durable: PersistentState,
     version: u64,
-    safe_version: u64,
-    saving: Option<(u64, PersistentState)>,
-    /// When the save under way was first asked for.
-    since: Option<f64>,
+    durable_version: u64,
+    save_in_progress: Option<(u64, PersistentState)>,
+    /// When the save in progress was first requested; failed attempts don't reset it.
+    save_requested_at: Option<f64>,
     retry_at: f64,
-    waiting: VecDeque<(u64, Node, Msg)>,
+    /// Replies with the state version that must be on disk first.
+    pending_replies: VecDeque<(u64, Node, Msg)>,
 }
 
 impl Disk {
-    pub(crate) fn new(kept: PersistentState) -> Disk {
-        Disk { mem: kept.clone(), safe: kept, ..Disk::default() }
+    pub(crate) fn new(state: PersistentState) -> Disk {
+        Disk { state: state.clone(), durable: state, ..Disk::default() }
     }
 
-    /// The state in memory was changed.
+    /// Must be called after each change of `state`.
     pub(crate) fn changed(&mut self) {
         self.version += 1;
     }
 
-    /// Sends an answer that depends on the present state, once that is saved.
-    pub(crate) fn tell(&mut self, to: Node, msg: Msg, out: &mut Vec<Output>) {
-        if self.safe_version == self.version {
+    /// Sends a reply that depends on the current state once that state is on disk.
+    pub(crate) fn send_when_durable(&mut self, to: Node, msg: Msg, out: &mut Vec<Output>) {
+        if self.durable_version == self.version {
             self.check_durable(&msg);
             return out.push(Output::Send(to, msg));
         }
-        if self.waiting.iter().any(|(_, node, waits)| *node == to && *waits == msg) {
+        if self.pending_replies.iter().any(|(_, node, pending)| *node == to && *pending == msg) {
             return;
         }
-        if carries(&msg) {
-            // who asks anew has no use for the answer to the question before, and a value is large
-            self.waiting.retain(|(_, node, waits)| {
-                *node != to || !carries(waits) || discriminant(waits) != discriminant(&msg)
+        if contains_value(&msg) {
+            // A node that asks again no longer needs the reply to its previous request, and values are large.
+            self.pending_replies.retain(|(_, node, pending)| {
+                *node != to || !contains_value(pending) || discriminant(pending) != discriminant(&msg)
             });
         }
-        if self.waiting.len() == WAITING_MOST {
-            self.waiting.pop_front();
+        if self.pending_replies.len() == MAX_PENDING_REPLIES {
+            self.pending_replies.pop_front();
         }
-        self.waiting.push_back((self.version, to, msg));
+        self.pending_replies.push_back((self.version, to, msg));
     }
 
-    /// Asks for a save if one is due.
+    /// Requests a save if the newest state is not on disk and no save is in progress.
     pub(crate) fn flush(&mut self, now: f64, out: &mut Vec<Output>) {
-        if self.saving.is_none() && self.safe_version < self.version && now >= self.retry_at {
-            self.since.get_or_insert(now);
-            self.saving = Some((self.version, self.mem.clone()));
-            out.push(Output::Save(self.version, self.mem.clone()));
+        if self.save_in_progress.is_none() && self.durable_version < self.version && now >= self.retry_at {
+            self.save_requested_at.get_or_insert(now);
+            self.save_in_progress = Some((self.version, self.state.clone()));
+            out.push(Output::Save(self.version, self.state.clone()));
         }
     }
 
-    /// Takes the end of a save; true if newer state is on disk now.
+    /// Handles the end of a save; returns true if a newer state is on disk now.
     pub(crate) fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Vec<Output>) -> bool {
-        let Some((version, kept)) = self.saving.take_if(|(version, _)| *version == ticket) else {
+        let Some((version, state)) = self.save_in_progress.take_if(|(version, _)| *version == ticket) else {
             return false;
         };
         if !ok {
-            // Saved again under a new ticket, so that a late word on this one is not taken for it.
+            // The retry gets a new ticket, so that a late result of this attempt is not mistaken for its result.
             self.version += 1;
-            self.retry_at = now + RETRY;
+            self.retry_at = now + SAVE_RETRY_INTERVAL;
             return false;
         }
-        self.safe = kept;
-        self.safe_version = version;
-        self.since = None;
-        while self.waiting.front().is_some_and(|(needs, ..)| *needs <= version) {
-            if let Some((_, to, msg)) = self.waiting.pop_front() {
+        self.durable = state;
+        self.durable_version = version;
+        self.save_requested_at = None;
+        while self.pending_replies.front().is_some_and(|(required_version, ..)| *required_version <= version)
+        {
+            if let Some((_, to, msg)) = self.pending_replies.pop_front() {
                 self.check_durable(&msg);
                 out.push(Output::Send(to, msg));
             }
@@ -86,39 +91,40 @@
         true
     }
 
-    /// What is told of the state has to be on disk by now.
+    /// Checks the invariant that the state a reply depends on is on disk.
     fn check_durable(&self, msg: &Msg) {
-        let safe = match msg {
-            Msg::Promise { epoch, .. } => self.safe.promised >= *epoch,
-            Msg::Accepted { ballot, .. } => self.safe.ballot >= *ballot,
+        let durable = match msg {
+            Msg::Promise { epoch, .. } => self.durable.promised >= *epoch,
+            Msg::Accepted { ballot, .. } => self.durable.ballot >= *ballot,
             _ => true,
         };
-        let detail = || format!("on disk {:?} {:?}", self.safe.promised, self.safe.ballot);
-        check(Invariant::DurableBeforeTold, safe, detail);
+        let detail = || format!("on disk {:?} {:?}", self.durable.promised, self.durable.ballot);
+        check(Invariant::DurableBeforeTold, durable, detail);
     }
 
-    /// How long the save under way takes by now; 0 if none is due.
-    pub(crate) fn behind(&self, now: f64) -> f64 {
-        self.since.map_or(0.0, |since| now - since)
+    /// Time since the save in progress was requested; 0 if there is none.
+    pub(crate) fn save_duration(&self, now: f64) -> f64 {
+        self.save_requested_at.map_or(0.0, |save_requested_at| now - save_requested_at)
     }
 
-    pub(crate) fn idle(&self) -> bool {
-        self.safe_version == self.version
+    /// Whether the newest state is on disk.
+    pub(crate) fn is_synced(&self) -> bool {
+        self.durable_version == self.version
     }
 
-    /// The process stood still that long: the disk is not to blame.
-    pub(crate) fn thawed(&mut self, gap: f64) {
-        self.since = self.since.map(|since| since + gap);
+    /// Excludes a pause of this process from the duration of the save.
+    pub(crate) fn discount_pause(&mut self, pause: f64) {
+        self.save_requested_at = self.save_requested_at.map(|save_requested_at| save_requested_at + pause);
     }
 
-    /// When a failed save is to be tried again.
+    /// When a failed save is due to be retried.
     pub(crate) fn wake(&self) -> Option<f64> {
-        (self.saving.is_none() && !self.idle()).then_some(self.retry_at)
+        (self.save_in_progress.is_none() && !self.is_synced()).then_some(self.retry_at)
     }
 }
 
-/// Does the answer hold a value?
-fn carries(msg: &Msg) -> bool {
+/// Whether the reply contains a value.
+fn contains_value(msg: &Msg) -> bool {
     matches!(
         msg,
         Msg::Promise { value: Some(_), .. }
--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -1,141 +1,159 @@
-//! ReplicaStatus for an epoch: first asked for without binding anybody, then promised.
+//! Elections: a candidate first asks for non-binding pre-votes, then for binding promises of a new epoch.
 
-use crate::{dice, Ballot, Msg, Node, Output, Replica, Role, Tally, Value};
+use crate::{next_random, Ballot, Msg, Node, Output, Replica, Role, Value, VoteTally};
 use std::rc::Rc;
 
-/// So long without a sign of a leader before the first in order stands.
-const WAIT: f64 = 0.9;
-/// Of that, what one that just started does not wait: it was not there to hear one, and where all were killed there is
-/// none. Two heartbeats and a way of a leader that is alive have room in the rest.
-pub(crate) const AT_START: f64 = WAIT - 0.4;
-/// How much longer each next one in order waits.
-const RANK: f64 = 0.25;
-/// Members tell each other that they live once the leader was silent for so long.
-const UNEASY: f64 = 0.45;
-const ALIVE: f64 = 0.2;
-/// Who was heard within this span counts in the order.
-const ORDER: f64 = 0.7;
-const RESEND: f64 = 0.25;
-const ASK: f64 = 0.6;
-const PREPARE: f64 = 1.5;
-const STALL: f64 = 1.2;
-const NAP: f64 = 0.3;
+/// Time without a sign of a leader after which the first member in rank becomes a candidate, seconds. The rank is the
+/// position by address among the live members.
+const ELECTION_TIMEOUT: f64 = 0.9;
+/// The part of it that a member which just started does not wait: it could not receive heartbeats before, and there is no
+/// leader if all members were killed. The rest is enough for two heartbeats of a live leader and their transmission.
+pub(crate) const STARTUP_CREDIT: f64 = ELECTION_TIMEOUT - 0.4;
+/// Additional wait per rank, seconds.
+const RANK_DELAY: f64 = 0.25;
+/// Members send each other `Alive` once the leader was silent for this long, seconds.
+const ALIVE_AFTER: f64 = 0.45;
+/// Time between two `Alive` messages, seconds.
+const ALIVE_INTERVAL: f64 = 0.2;
+/// Members whose last message is not older than this, seconds, are counted for the rank.
+const RANK_LIVENESS: f64 = 0.7;
+/// Time after which unanswered requests are sent again, seconds.
+const RESEND_INTERVAL: f64 = 0.25;
+/// Longest time to collect pre-votes, seconds.
+const PRE_VOTE_TIMEOUT: f64 = 0.6;
+/// Longest time to collect promises, seconds.
+const PREPARE_TIMEOUT: f64 = 1.5;
+/// Longest time for the candidate's own promise to be saved, seconds.
+const SAVE_TIMEOUT: f64 = 1.2;
+/// Wait before the next attempt after a failed one, seconds.
+const RETRY_DELAY: f64 = 0.3;
 
-pub(crate) struct Asking {
+/// A request for pre-votes in progress.
+pub(crate) struct PreVoting {
     n: u64,
     since: f64,
     next_send: f64,
-    oks: Vec<Node>,
+    grants: Vec<Node>,
 }
 
-impl Asking {
+impl PreVoting {
     pub(crate) fn wake(&self) -> f64 {
-        self.next_send.min(self.since + ASK)
+        self.next_send.min(self.since + PRE_VOTE_TIMEOUT)
     }
 }
 
+/// A candidacy for an epoch in progress.
 pub(crate) struct Preparing {
     pub(crate) epoch: u64,
     since: f64,
     next_send: f64,
-    /// Is the own promise on disk? Nothing is sent before.
-    safe: bool,
-    tally: Tally,
+    /// Whether the own promise is on disk. Nothing is sent before it is.
+    durable: bool,
+    tally: VoteTally,
+    /// The newest value among the promises.
     best: (Ballot, Rc<Value>),
 }
 
 impl Preparing {
     pub(crate) fn wake(&self) -> f64 {
-        self.ends().min(if self.safe { self.next_send } else { f64::INFINITY })
+        self.ends().min(if self.durable { self.next_send } else { f64::INFINITY })
     }
 
     fn ends(&self) -> f64 {
-        self.since + if self.safe { PREPARE } else { STALL }
+        self.since + if self.durable { PREPARE_TIMEOUT } else { SAVE_TIMEOUT }
     }
 }
 
 impl Replica {
-    /// No leader is to be waited for; after `span` only the order counts.
-    pub(crate) fn hurry(&mut self, span: f64) {
-        self.calm = self.calm.min(self.now - WAIT + span);
+    /// There is no leader to wait for: after `delay` only the rank delays a candidacy.
+    pub(crate) fn shorten_wait(&mut self, delay: f64) {
+        self.quiet_since = self.quiet_since.min(self.now - ELECTION_TIMEOUT + delay);
     }
 
-    /// Stands in the order from now on at the earliest.
-    pub(crate) fn stand_in_order(&mut self) {
-        self.calm = self.calm.max(self.now - WAIT);
+    /// Delays a candidacy by at least the rank delay from now on.
+    pub(crate) fn require_rank_delay(&mut self) {
+        self.quiet_since = self.quiet_since.max(self.now - ELECTION_TIMEOUT);
     }
 
-    /// Waits for so long, beside the order, before the next try.
-    fn pause(&mut self, span: f64) {
-        let spread = (dice(&mut self.random) % 100) as f64 / 500.0;
-        self.calm = self.now - WAIT + span + spread;
+    /// Waits for `delay` and some jitter, in addition to the rank delay, before the next attempt.
+    fn back_off(&mut self, delay: f64) {
+        let jitter = (next_random(&mut self.random) % 100) as f64 / 500.0;
+        self.quiet_since = self.now - ELECTION_TIMEOUT + delay + jitter;
     }
 
-    fn stand_at(&self) -> f64 {
-        let before = self.newest().members.iter().filter(|&&m| m < self.me && self.live(m, ORDER)).count();
-        self.calm + WAIT + before as f64 * RANK
+    /// When this node becomes a candidate if there is no sign of a leader.
+    fn candidacy_time(&self) -> f64 {
+        let live_before = self
+            .newest_value()
+            .members
+            .iter()
+            .filter(|&&m| m < self.me && self.is_live(m, RANK_LIVENESS))
+            .count();
+        self.quiet_since + ELECTION_TIMEOUT + live_before as f64 * RANK_DELAY
     }
 
-    pub(crate) fn follow_tick(&mut self, out: &mut Vec<Output>) {
-        if !self.member() {
+    pub(crate) fn follower_tick(&mut self, out: &mut Vec<Output>) {
+        if !self.is_member() {
             return;
         }
-        if self.now >= (self.calm + UNEASY).max(self.next_alive) {
-            self.next_alive = self.now + ALIVE;
-            for node in self.newest().others(self.me) {
+        if self.now >= (self.quiet_since + ALIVE_AFTER).max(self.next_alive) {
+            self.next_alive = self.now + ALIVE_INTERVAL;
+            for node in self.newest_value().others(self.me) {
                 out.push(Output::Send(node, Msg::Alive));
             }
         }
-        if self.now < self.stand_at() || self.leaving.is_some() {
+        if self.now < self.candidacy_time() || self.leaving.is_some() {
             return;
         }
-        if !self.disk.idle() {
-            return self.pause(NAP);
+        if !self.disk.is_synced() {
+            return self.back_off(RETRY_DELAY);
         }
-        let n = dice(&mut self.random);
-        self.role = Role::Asking(Asking { n, since: self.now, next_send: self.now, oks: Vec::new() });
-        self.asking_tick(out);
+        let n = next_random(&mut self.random);
+        self.role =
+            Role::PreVoting(PreVoting { n, since: self.now, next_send: self.now, grants: Vec::new() });
+        self.pre_voting_tick(out);
     }
 
-    pub(crate) fn follow_wake(&self) -> f64 {
-        if !self.member() {
-            return self.now + NAP;
+    pub(crate) fn follower_wake(&self) -> f64 {
+        if !self.is_member() {
+            return self.now + RETRY_DELAY;
         }
-        let stand = if self.leaving.is_some() { f64::INFINITY } else { self.stand_at() };
-        (self.calm + UNEASY).max(self.next_alive).min(stand).min(self.now + NAP)
+        let candidacy = if self.leaving.is_some() { f64::INFINITY } else { self.candidacy_time() };
+        (self.quiet_since + ALIVE_AFTER).max(self.next_alive).min(candidacy).min(self.now + RETRY_DELAY)
     }
 
-    pub(crate) fn asking_tick(&mut self, out: &mut Vec<Output>) {
-        // also who doesn't count as far as this one knows: it may have been cut off while the members changed
-        let others = self.known();
-        let cluster = self.newest().cluster;
-        let Role::Asking(asking) = &mut self.role else { return };
-        if self.now >= asking.since + ASK {
+    pub(crate) fn pre_voting_tick(&mut self, out: &mut Vec<Output>) {
+        // Includes nodes that are not members as far as this node knows: it may have been cut off during a membership
+        // change.
+        let others = self.known_nodes();
+        let cluster = self.newest_value().cluster;
+        let Role::PreVoting(pre_voting) = &mut self.role else { return };
+        if self.now >= pre_voting.since + PRE_VOTE_TIMEOUT {
             self.role = Role::Follower;
-            return self.pause(0.1);
+            return self.back_off(0.1);
         }
-        if self.now >= asking.next_send {
-            asking.next_send = self.now + RESEND;
+        if self.now >= pre_voting.next_send {
+            pre_voting.next_send = self.now + RESEND_INTERVAL;
             for node in others {
-                if !asking.oks.contains(&node) {
-                    out.push(Output::Send(node, Msg::PreVote { n: asking.n, cluster }));
+                if !pre_voting.grants.contains(&node) {
+                    out.push(Output::Send(node, Msg::PreVote { n: pre_voting.n, cluster }));
                 }
             }
         }
-        self.stand_if_asked(out);
+        self.prepare_if_granted(out);
     }
 
-    pub(crate) fn on_ask_ok(&mut self, from: Node, n: u64, promised: u64, out: &mut Vec<Output>) {
-        self.floor = self.floor.max(promised);
-        let others = self.newest().others(self.me);
-        let Role::Asking(asking) = &mut self.role else { return };
-        if asking.n == n && others.contains(&from) && !asking.oks.contains(&from) {
-            asking.oks.push(from);
-            self.stand_if_asked(out);
+    pub(crate) fn on_pre_vote_granted(&mut self, from: Node, n: u64, promised: u64, out: &mut Vec<Output>) {
+        self.highest_epoch = self.highest_epoch.max(promised);
+        let others = self.newest_value().others(self.me);
+        let Role::PreVoting(pre_voting) = &mut self.role else { return };
+        if pre_voting.n == n && others.contains(&from) && !pre_voting.grants.contains(&from) {
+            pre_voting.grants.push(from);
+            self.prepare_if_granted(out);
         }
     }
 
-    pub(crate) fn on_ask_no(
+    pub(crate) fn on_pre_vote_refused(
         &mut self,
         from: Node,
         promised: u64,
@@ -143,45 +161,48 @@
         commit: Ballot,
         out: &mut Vec<Output>,
     ) {
-        self.floor = self.floor.max(promised);
-        self.told_commit(from, commit, out);
-        if matches!(self.role, Role::Asking(_)) && leader == from {
+        self.highest_epoch = self.highest_epoch.max(promised);
+        self.on_commit_report(from, commit, out);
+        if matches!(self.role, Role::PreVoting(_)) && leader == from {
             self.role = Role::Follower;
-            self.pause(NAP);
+            self.back_off(RETRY_DELAY);
         }
     }
 
-    fn stand_if_asked(&mut self, out: &mut Vec<Output>) {
-        let Role::Asking(asking) = &self.role else { return };
-        if !self.newest().carried(|m| m == self.me || asking.oks.contains(&m)) || !self.disk.idle() {
+    /// Becomes a candidate for a new epoch once a majority has granted the pre-vote.
+    fn prepare_if_granted(&mut self, out: &mut Vec<Output>) {
+        let Role::PreVoting(pre_voting) = &self.role else { return };
+        if !self.newest_value().has_quorum(|m| m == self.me || pre_voting.grants.contains(&m))
+            || !self.disk.is_synced()
+        {
             return;
         }
-        let mem = &mut self.disk.mem;
-        let round = (self.floor.max(mem.promised) >> 32).saturating_add(1).min(u64::from(u32::MAX));
+        let state = &mut self.disk.state;
+        let round = (self.highest_epoch.max(state.promised) >> 32).saturating_add(1).min(u64::from(u32::MAX));
         let epoch = round << 32 | u64::from(self.me);
-        if epoch <= mem.promised {
+        if epoch <= state.promised {
             return;
         }
-        mem.promised = epoch;
-        let best = (mem.ballot, mem.value.clone());
+        state.promised = epoch;
+        let best = (state.ballot, state.value.clone());
         self.disk.changed();
-        self.floor = self.floor.max(epoch);
-        let (since, tally) = (self.now, Tally::default());
+        self.highest_epoch = self.highest_epoch.max(epoch);
+        let (since, tally) = (self.now, VoteTally::default());
         self.role =
-            Role::Preparing(Preparing { epoch, since, next_send: self.now, safe: false, tally, best });
+            Role::Preparing(Preparing { epoch, since, next_send: self.now, durable: false, tally, best });
         self.disk.flush(self.now, out);
     }
 
-    /// Sends the prepares once the own promise is on disk.
-    pub(crate) fn prepare_if_safe(&mut self, out: &mut Vec<Output>) {
-        let (safe, incarnation) = (self.disk.safe.promised, self.disk.mem.incarnation);
+    /// Sends the `Prepare` messages once the own promise is on disk.
+    pub(crate) fn prepare_if_durable(&mut self, out: &mut Vec<Output>) {
+        let (durable, incarnation) = (self.disk.durable.promised, self.disk.state.incarnation);
         let Role::Preparing(preparing) = &mut self.role else { return };
-        if !preparing.safe && safe >= preparing.epoch {
-            preparing.safe = true;
+        if !preparing.durable && durable >= preparing.epoch {
+            preparing.durable = true;
             preparing.since = self.now;
-            preparing.tally.vote(self.me, incarnation, &[]);
+            preparing.tally.add_vote(self.me, incarnation, &[]);
             self.send_prepares(out);
-            self.take_over_if_promised(out);
+            self.lead_if_promised(out);
         }
     }
 
@@ -189,18 +210,18 @@
         let Role::Preparing(preparing) = &self.role else { return };
         if self.now >= preparing.ends() {
             self.role = Role::Follower;
-            return self.pause(NAP);
+            return self.back_off(RETRY_DELAY);
         }
-        if preparing.safe && self.now >= preparing.next_send {
+        if preparing.durable && self.now >= preparing.next_send {
             self.send_prepares(out);
         }
     }
 
     fn send_prepares(&mut self, out: &mut Vec<Output>) {
         let Role::Preparing(preparing) = &mut self.role else { return };
-        preparing.next_send = self.now + RESEND;
+        preparing.next_send = self.now + RESEND_INTERVAL;
         for node in preparing.best.1.others(self.me) {
-            if !preparing.tally.has(node) {
+            if !preparing.tally.has_vote(node) {
                 let (epoch, have) = (preparing.epoch, preparing.best.0);
                 let cluster = preparing.best.1.cluster;
                 out.push(Output::Send(node, Msg::Prepare { epoch, have, cluster }));
@@ -218,43 +239,44 @@
         out: &mut Vec<Output>,
     ) {
         let Role::Preparing(preparing) = &mut self.role else { return };
-        if preparing.epoch != epoch || !preparing.safe {
+        if preparing.epoch != epoch || !preparing.durable {
             return;
         }
-        let mut wider = false;
+        let mut membership_changed = false;
         if ballot > preparing.best.0 {
             let Some(value) = value else { return };
-            wider = value.members != preparing.best.1.members || value.outgoing != preparing.best.1.outgoing;
+            membership_changed =
+                value.members != preparing.best.1.members || value.outgoing != preparing.best.1.outgoing;
             preparing.best = (ballot, value);
         }
-        preparing.tally.vote(from, incarnation, &incarnations);
-        if wider {
+        preparing.tally.add_vote(from, incarnation, &incarnations);
+        if membership_changed {
             self.send_prepares(out);
         }
-        self.take_over_if_promised(out);
+        self.lead_if_promised(out);
     }
 
-    /// With a majority of promises, in the members of the newest value among them, the epoch is held.
-    fn take_over_if_promised(&mut self, out: &mut Vec<Output>) {
-        let incarnations = self.incarnations();
+    /// Becomes the leader once there are promises of a majority of the members in the newest value among them.
+    fn lead_if_promised(&mut self, out: &mut Vec<Output>) {
+        let incarnations = self.vote_incarnations();
         let Role::Preparing(preparing) = &mut self.role else { return };
-        preparing.tally.know(&incarnations);
-        if preparing.best.1.carried(|m| preparing.tally.has(m)) {
+        preparing.tally.update_incarnations(&incarnations);
+        if preparing.best.1.has_quorum(|m| preparing.tally.has_vote(m)) {
             let (epoch, (ballot, value)) = (preparing.epoch, preparing.best.clone());
             self.become_leader(epoch, ballot.index, value, out);
         }
     }
 
     pub(crate) fn on_refused(&mut self, epoch: u64, promised: u64, out: &mut Vec<Output>) {
-        self.floor = self.floor.max(promised);
+        self.highest_epoch = self.highest_epoch.max(promised);
         if promised <= epoch {
             return;
         }
         match &self.role {
-            Role::Leading(leading) if leading.epoch == epoch => self.lose(out),
+            Role::Leading(leading) if leading.epoch == epoch => self.end_leadership(out),
             Role::Preparing(preparing) if preparing.epoch == epoch => self.role = Role::Follower,
             _ => return,
         }
-        self.pause(NAP);
+        self.back_off(RETRY_DELAY);
     }
 }
--- a/consensus/src/learn.rs
+++ b/consensus/src/learn.rs
@@ -1,23 +1,28 @@
-//! A member whose disk is empty learns from others before it takes part in anything.
+//! A member whose disk is empty learns the state from others before it takes part in anything.
 //!
-//! It takes a new incarnation first, which those it asks keep on disk and tell with each of their votes. So a vote of
-//! the incarnation before is counted only where none of them voted after its answer, and their answers tell the rest.
+//! It first takes a new incarnation, which the nodes it asks save to disk and send along with each of their votes. So a
+//! vote of an earlier incarnation is counted only if none of these nodes voted after its answer; the votes that they
+//! cast before are covered by their answers.
 
 use crate::cluster::{relation, Relation};
-use crate::{dice, Ballot, Msg, Node, Output, PersistentState, Replica, Value};
+use crate::{next_random, Ballot, Msg, Node, Output, PersistentState, Replica, Value};
 use std::rc::Rc;
 
-const RESEND: f64 = 0.3;
-const INCARNATIONS_MOST: usize = 32;
+/// Time after which the request is sent again, seconds.
+const RESEND_INTERVAL: f64 = 0.3;
+/// Most incarnations of other nodes that a node records.
+const MAX_INCARNATIONS: usize = 32;
 
+/// A node that learns the state, with the answers so far.
 pub(crate) struct Learner {
     incarnation: u64,
     nonce: u64,
     next_send: f64,
     answered: Vec<Node>,
     promised: u64,
+    /// The newest value among the answers.
     best: (Ballot, Rc<Value>),
-    /// Of the best, as in [`PersistentState`].
+    /// The proposer of `best`, as in [`PersistentState`].
     proposer: u64,
     incarnations: Vec<(Node, u64, u64)>,
 }
@@ -36,33 +41,34 @@
         }
     }
 
-    /// After an incarnation that is known to have been.
+    /// A learner in the incarnation after one that is known to have existed.
     pub(crate) fn after(now: f64, nonce: u64, incarnation: u64) -> Learner {
         Learner { incarnation: incarnation.saturating_add(1), ..Learner::new(now, nonce) }
     }
 
-    /// Did as many answer as make sure that one of them holds all that was acknowledged, and that none of the votes of
-    /// the incarnations before counts without one of them? Of any majority the part without this member meets half of
-    /// them: both others of three, three of five, two of four, the other one of two.
+    /// Whether enough members have answered: one of them must have everything that was acknowledged, and no vote of an
+    /// earlier incarnation may be counted without a vote of one of them. Half of the members is enough, since every
+    /// majority, even without this member, includes one of any such half: two of three, three of five, two of four, one
+    /// of two.
     fn complete(&self, me: Node) -> bool {
-        let half = |members: &[Node]| {
+        let half_answered = |members: &[Node]| {
             let answered = members.iter().filter(|m| **m != me && self.answered.contains(m)).count();
             2 * answered >= members.len()
         };
         let value = &self.best.1;
-        let outgoing = half(&value.outgoing) || self.own_change(me);
-        !value.members.is_empty() && half(&value.members) && outgoing
+        let outgoing = half_answered(&value.outgoing) || self.is_own_change(me);
+        !value.members.is_empty() && half_answered(&value.members) && outgoing
     }
 
-    /// Is the best the change of the members that this node itself proposed, in the incarnation right before this one?
+    /// Whether `best` is a membership change that this node itself proposed, in the incarnation right before this one.
     ///
-    /// It had that change on its disk before anybody was told of it. So whoever held an epoch after that one with its
-    /// promise had met the change, and needed a majority of the new members, of which one has answered here: none
-    /// did, as nobody promised a later epoch. And without its promise it would have needed a majority of the old
-    /// members that leaves out all who answered, or a majority with one that didn't know the change any more, of an
-    /// incarnation in between: there is neither if those that answered are a majority of the old members with this
-    /// node, as each incarnation has learnt from half of the others.
-    fn own_change(&self, me: Node) -> bool {
+    /// This node had the change on its disk before it sent it to any other node. So a leader of a later epoch that had
+    /// this node's promise also had the change, and needed a majority of the new members, one of which has answered here.
+    /// There was no such leader, as no answering member promised a later epoch. A leader without this node's promise
+    /// would have needed a majority of the old members that includes none of those that answered, or a majority with a
+    /// member of an intermediate incarnation that no longer had the change. Neither exists if those that answered form,
+    /// together with this node, a majority of the old members, as each incarnation has learnt from half of the others.
+    fn is_own_change(&self, me: Node) -> bool {
         let (ballot, value) = &self.best;
         let answered = value.outgoing.iter().filter(|m| **m != me && self.answered.contains(m)).count();
         ballot.epoch as Node == me
@@ -74,15 +80,15 @@
 }
 
 impl Replica {
-    /// All that might be members or know of them.
-    pub(crate) fn known(&self) -> Vec<Node> {
-        let mut all = self.newest().others(self.me);
+    /// All nodes that might be members or know the members.
+    pub(crate) fn known_nodes(&self) -> Vec<Node> {
+        let mut all = self.newest_value().others(self.me);
         if let Some(learner) = &self.learner {
             all.extend(learner.best.1.others(self.me));
-            // who speaks to this node may be of those that the members are being changed to
-            all.extend(self.heard.keys());
+            // A node that sent a message may be one of the new members of a change in progress.
+            all.extend(self.last_heard.keys());
         }
-        all.extend(self.seen.map(|seen| seen.node));
+        all.extend(self.known_leader.map(|leader| leader.node));
         all.extend(self.seeds.iter().chain(&self.hints));
         all.sort_unstable();
         all.dedup();
@@ -90,14 +96,16 @@
         all
     }
 
+    /// Sends the request to learn the state when it is due.
     pub(crate) fn learn_tick(&mut self, out: &mut Vec<Output>) {
-        let known = self.known();
+        let known = self.known_nodes();
         let Some(learner) = &mut self.learner else { return };
         if self.now < learner.next_send {
             return;
         }
-        learner.next_send = self.now + RESEND;
-        // those that answered too: of what they hold since, fewer may be enough (the members were being changed)
+        learner.next_send = self.now + RESEND_INTERVAL;
+        // Nodes that answered are asked again too: with their state of now, fewer answers may be enough (if a membership
+        // change was in progress).
         for node in known {
             let (incarnation, nonce, have) = (learner.incarnation, learner.nonce, learner.best.0);
             let cluster = learner.best.1.cluster;
@@ -109,7 +117,7 @@
         self.learner.as_ref().map_or(f64::INFINITY, |learner| learner.next_send)
     }
 
-    /// Another one lost its disk: keeps its new incarnation, then tells what is held here.
+    /// Another node lost its disk: records its new incarnation and replies with this node's state.
     pub(crate) fn on_learn(
         &mut self,
         from: Node,
@@ -118,38 +126,46 @@
         cluster: u64,
         out: &mut Vec<Output>,
     ) {
-        if self.learner.is_some() || !self.keep_incarnation(from, incarnation, nonce, out) {
+        if self.learner.is_some() || !self.record_incarnation(from, incarnation, nonce, out) {
             return;
         }
-        // votes of the incarnation before bind it no more
-        self.told.remove(&from);
-        let newer = self.disk.mem.ballot > have || have == Ballot::default() || self.of_another(cluster);
-        let mem = &self.disk.mem;
-        let value = newer.then(|| mem.value.clone());
-        let (promised, ballot, proposer) = (mem.promised, mem.ballot, mem.proposer);
-        let incarnations = mem.incarnations.clone();
+        // The votes of its previous incarnation are void.
+        self.reported_votes.remove(&from);
+        let newer =
+            self.disk.state.ballot > have || have == Ballot::default() || self.is_other_cluster(cluster);
+        let state = &self.disk.state;
+        let value = newer.then(|| state.value.clone());
+        let (promised, ballot, proposer) = (state.promised, state.ballot, state.proposer);
+        let incarnations = state.incarnations.clone();
         let answer = Msg::LearnReply { incarnation, nonce, promised, ballot, value, incarnations, proposer };
-        self.disk.tell(from, answer, out);
+        self.disk.send_when_durable(from, answer, out);
     }
 
-    fn keep_incarnation(&mut self, node: Node, incarnation: u64, nonce: u64, out: &mut Vec<Output>) -> bool {
-        let value = self.disk.mem.value.clone();
-        let incarnations = &mut self.disk.mem.incarnations;
-        if let Some(kept) = incarnations.iter_mut().find(|kept| kept.0 == node) {
-            if incarnation < kept.1 || (incarnation == kept.1 && nonce != kept.2) {
-                out.push(Output::Send(node, Msg::NewerIncarnation { incarnation: kept.1 }));
+    /// Records the incarnation of another node; returns false if it is outdated or can't be recorded.
+    fn record_incarnation(
+        &mut self,
+        node: Node,
+        incarnation: u64,
+        nonce: u64,
+        out: &mut Vec<Output>,
+    ) -> bool {
+        let value = self.disk.state.value.clone();
+        let incarnations = &mut self.disk.state.incarnations;
+        if let Some(recorded) = incarnations.iter_mut().find(|recorded| recorded.0 == node) {
+            if incarnation < recorded.1 || (incarnation == recorded.1 && nonce != recorded.2) {
+                out.push(Output::Send(node, Msg::NewerIncarnation { incarnation: recorded.1 }));
                 return false;
             }
-            if *kept != (node, incarnation, nonce) {
-                *kept = (node, incarnation, nonce);
+            if *recorded != (node, incarnation, nonce) {
+                *recorded = (node, incarnation, nonce);
                 self.disk.changed();
             }
             return true;
         }
-        if incarnations.len() >= INCARNATIONS_MOST {
-            let counts = |m: &Node| value.members.contains(m) || value.outgoing.contains(m);
-            let Some(stranger) = incarnations.iter().position(|kept| !counts(&kept.0)) else { return false };
-            incarnations.remove(stranger);
+        if incarnations.len() >= MAX_INCARNATIONS {
+            let member = |m: &Node| value.members.contains(m) || value.outgoing.contains(m);
+            let Some(extra) = incarnations.iter().position(|entry| !member(&entry.0)) else { return false };
+            incarnations.remove(extra);
         }
         incarnations.push((node, incarnation, nonce));
         self.disk.changed();
@@ -159,11 +175,11 @@
     pub(crate) fn on_newer_incarnation(&mut self, incarnation: u64) {
         let Some(learner) = &mut self.learner else { return };
         if incarnation >= learner.incarnation {
-            *learner = Learner::after(self.now, dice(&mut self.random), incarnation);
+            *learner = Learner::after(self.now, next_random(&mut self.random), incarnation);
         }
     }
 
-    pub(crate) fn on_learnt(
+    pub(crate) fn on_learn_reply(
         &mut self,
         from: Node,
         incarnation: (u64, u64),
@@ -175,11 +191,11 @@
         if incarnation != (learner.incarnation, learner.nonce) {
             return;
         }
-        // what was learnt of one cluster and what of another don't make a whole
+        // Answers from different clusters must not be combined.
         match value.as_ref().map_or(Relation::Same, |v| relation(learner.best.1.cluster, v.cluster)) {
             Relation::Same => {}
             Relation::Newer => learner.answered.clear(),
-            Relation::Older | Relation::Other => return,
+            Relation::Older | Relation::Unrelated => return,
         }
         match value {
             Some(value) if learner.answered.is_empty() || ballot > learner.best.0 => {
@@ -194,32 +210,32 @@
         learner.promised = learner.promised.max(promised).max(ballot.epoch);
         merge_incarnations(&mut learner.incarnations, incarnations, self.me);
         if learner.complete(self.me) {
-            self.rejoin();
+            self.finish_learning();
         }
     }
 
-    /// Enough is learnt: from now on this is a member like others, or asks to become one.
-    fn rejoin(&mut self) {
+    /// The learnt state is complete: from now on this node acts as a member, or asks to become one.
+    fn finish_learning(&mut self) {
         let Some(learner) = self.learner.take() else { return };
         let Learner { incarnation, promised, best: (ballot, value), incarnations, proposer, .. } = learner;
         let (owner, stale) = (self.me, false);
-        self.disk.mem =
+        self.disk.state =
             PersistentState { promised, ballot, value, stale, incarnation, incarnations, owner, proposer };
         self.disk.changed();
-        self.floor = self.floor.max(promised);
-        self.calm = self.now;
+        self.highest_epoch = self.highest_epoch.max(promised);
+        self.quiet_since = self.now;
         self.next_join = self.now;
     }
 }
 
-/// Takes the newer incarnations of others over.
-pub(crate) fn merge_incarnations(own: &mut Vec<(Node, u64, u64)>, told: Vec<(Node, u64, u64)>, me: Node) {
-    for (node, incarnation, nonce) in told {
-        if let Some(kept) = own.iter_mut().find(|kept| kept.0 == node) {
-            if kept.1 < incarnation {
-                *kept = (node, incarnation, nonce);
+/// Takes over newer incarnations of other nodes.
+pub(crate) fn merge_incarnations(own: &mut Vec<(Node, u64, u64)>, reported: Vec<(Node, u64, u64)>, me: Node) {
+    for (node, incarnation, nonce) in reported {
+        if let Some(recorded) = own.iter_mut().find(|recorded| recorded.0 == node) {
+            if recorded.1 < incarnation {
+                *recorded = (node, incarnation, nonce);
             }
-        } else if node != me && own.len() < INCARNATIONS_MOST {
+        } else if node != me && own.len() < MAX_INCARNATIONS {
             own.push((node, incarnation, nonce));
         }
     }
--- a/consensus/src/leave.rs
+++ b/consensus/src/leave.rs
@@ -1,86 +1,92 @@
-//! Leaving in order: who is told to end says so, and goes once it doesn't count any more.
+//! Orderly shutdown: a node that is told to shut down announces it, and stops once it is no longer a member.
 //!
-//! A restart looks the same from here as leaving for good. So a member is struck at its word only where the members
-//! are more than the losses to be borne ask for, or a newcomer waits; else it goes at once, and its disk counts on.
+//! This module can't distinguish a restart from leaving for good. So a leaving member is removed only if there are more
+//! members than the tolerated losses require, or if a node waits to be admitted. Otherwise it stops at once and stays a
+//! member with the state on its disk.
 
-use crate::membership::{JOIN, JOINER};
+use crate::membership::{JOINER_TIMEOUT, JOIN_INTERVAL};
 use crate::{Msg, Node, Output, Replica, Role, Value, MAX_MEMBERS};
 use std::rc::Rc;
 
-/// Said again so often, by datagrams.
-const SAY: f64 = 0.25;
-/// Who asked to be admitted and leaves stays for so long after it asked last: till then it may be admitted, and has to be
-/// struck then.
-const FORGOTTEN: f64 = JOINER + 0.3;
-/// Who is heard so long after its last word on leaving is back.
-const BACK: f64 = 1.0;
+/// Time between two announcements, seconds; they are sent as datagrams and may be lost.
+const LEAVE_INTERVAL: f64 = 0.25;
+/// A leaving node keeps running this long, seconds, after its last request to be admitted: until then it may still be
+/// admitted and would have to be removed again.
+const JOIN_EXPIRY: f64 = JOINER_TIMEOUT + 0.3;
+/// A node that sends another message this long, seconds, after its last announcement no longer leaves.
+const RETURN_DELAY: f64 = 1.0;
 
 impl Replica {
-    /// From here on this node tells that it leaves, stands for no epoch, and asks for no admission.
+    /// Starts an orderly shutdown: from now on this node announces that it leaves, doesn't become a candidate, and doesn't
+    /// ask to be admitted.
     pub fn leave(&mut self, now: f64, out: &mut Vec<Output>) {
-        self.enter(now);
+        self.advance_clock(now);
         self.leaving.get_or_insert((self.now, self.now));
         self.leave_tick(out);
         self.disk.flush(self.now, out);
     }
 
-    /// May this process end, as far as the agreement goes? It may if it doesn't count, or isn't to be struck now.
+    /// Whether consensus allows this process to stop: it is not a member, or it is one that will not be removed now.
     pub fn can_stop(&self) -> bool {
         if self.learner.is_some() {
             return true;
         }
-        // what was taken but isn't known to be committed says nothing yet
-        let newest = self.newest();
+        // An accepted value that isn't known to be committed decides nothing yet.
+        let newest_value = self.newest_value();
         let Some((_, committed)) = &self.committed else { return false };
-        let settled = committed.members == newest.members && committed.outgoing == newest.outgoing;
-        let changing = !settled || !newest.outgoing.is_empty();
-        let counts = newest.members.contains(&self.me) || committed.members.contains(&self.me);
-        let kept = newest.members.len() <= self.least && !self.awaited();
-        let asks = self.now - self.next_join < FORGOTTEN - JOIN;
-        !changing && if counts { kept } else { !asks && !matches!(self.role, Role::Leading(_)) }
+        let settled =
+            committed.members == newest_value.members && committed.outgoing == newest_value.outgoing;
+        let changing = !settled || !newest_value.outgoing.is_empty();
+        let is_voter = newest_value.members.contains(&self.me) || committed.members.contains(&self.me);
+        let stays_member = newest_value.members.len() <= self.min_members && !self.has_waiting_joiner();
+        let join_pending = self.now - self.next_join < JOIN_EXPIRY - JOIN_INTERVAL;
+        !changing
+            && if is_voter { stays_member } else { !join_pending && !matches!(self.role, Role::Leading(_)) }
     }
 
     pub(crate) fn leave_wake(&self) -> f64 {
-        self.leaving.map_or(f64::INFINITY, |(_, at)| at)
+        self.leaving.map_or(f64::INFINITY, |(_, next)| next)
     }
 
     pub(crate) fn leave_tick(&mut self, out: &mut Vec<Output>) {
-        let Some((_, at)) = self.leaving.as_mut().filter(|(_, at)| self.now >= *at) else { return };
-        *at = self.now + SAY;
-        // a leader tells the others too: one of them holds next
-        for node in self.known() {
+        let Some((_, next)) = self.leaving.as_mut().filter(|(_, next)| self.now >= *next) else { return };
+        *next = self.now + LEAVE_INTERVAL;
+        // A leader announces it to the others too, since one of them is the next leader.
+        for node in self.known_nodes() {
             out.push(Output::Send(node, Msg::Leave));
         }
-        self.leavers.insert(self.me, self.now);
+        self.departing_nodes.insert(self.me, self.now);
         self.change_members(out);
     }
 
-    /// Noted by all, as each may be the leader next; who doesn't count any more is told so.
+    /// Every member records the announcement, since each may be the next leader. A sender that is no longer a member is
+    /// notified of that.
     pub(crate) fn on_leave(&mut self, from: Node, out: &mut Vec<Output>) {
-        let value = self.newest();
+        let value = self.newest_value();
         if value.members.contains(&from) || value.outgoing.contains(&from) {
-            if self.leavers.len() < 2 * MAX_MEMBERS || self.leavers.contains_key(&from) {
-                self.leavers.insert(from, self.now);
+            if self.departing_nodes.len() < 2 * MAX_MEMBERS || self.departing_nodes.contains_key(&from) {
+                self.departing_nodes.insert(from, self.now);
             }
             return self.change_members(out);
         }
-        let struck = |(_, value): &(_, Rc<Value>)| !value.members.contains(&from);
-        if self.committed.as_ref().is_some_and(struck) {
-            let (promised, commit) = (self.disk.mem.promised, self.commit_ballot());
+        let removed = |(_, value): &(_, Rc<Value>)| !value.members.contains(&from);
+        if self.committed.as_ref().is_some_and(removed) {
+            let (promised, commit) = (self.disk.state.promised, self.commit_ballot());
             out.push(Output::Send(from, Msg::PreVoteRefused { n: 0, promised, leader: 0, commit }));
         }
     }
 
-    /// Any other word of a node that said it leaves: heard long after, it is there again.
-    pub(crate) fn back_if_late(&mut self, from: Node, msg: &Msg) {
-        let back = |at: &f64| matches!(msg, Msg::Join | Msg::Learn { .. }) || self.now - at > BACK;
-        if !matches!(msg, Msg::Leave) && self.leavers.get(&from).is_some_and(back) {
-            self.leavers.remove(&from);
+    /// Handles any other message of a leaving node: long enough after its announcement it means that the node is back.
+    pub(crate) fn clear_departure(&mut self, from: Node, msg: &Msg) {
+        let returned =
+            |at: &f64| matches!(msg, Msg::Join | Msg::Learn { .. }) || self.now - at > RETURN_DELAY;
+        if !matches!(msg, Msg::Leave) && self.departing_nodes.get(&from).is_some_and(returned) {
+            self.departing_nodes.remove(&from);
         }
     }
 
-    /// Did this node say that it leaves, and nothing since?
-    pub(crate) fn leaves(&self, node: Node) -> bool {
-        self.leavers.contains_key(&node)
+    /// Whether the node has announced that it leaves and has not come back since.
+    pub(crate) fn is_leaving(&self, node: Node) -> bool {
+        self.departing_nodes.contains_key(&node)
     }
 }
--- a/consensus/src/new_cluster.rs
+++ b/consensus/src/new_cluster.rs
@@ -1,118 +1,126 @@
-//! An operator founds the cluster anew from one member, after losses beyond what is borne.
+//! An operator forces a new cluster from one member after more losses than are tolerated.
 //!
-//! The member that holds the newest state goes on alone, under an epoch far above all that it knows and as a new
-//! generation of its cluster. The others learn of that when they next speak to it: they forget what they hold, learn from
-//! it, and are admitted as newcomers are. So are those that were taken for lost and come back later.
+//! The member that has the newest state continues alone, in an epoch far above all that it knows and as a new
+//! generation of its cluster. The other nodes learn of this from its answer to their next message: they discard their
+//! state, learn it from this member, and are admitted like new nodes. The same goes for nodes that were considered lost
+//! and come back later.
 
-use crate::cluster::founded_anew;
-use crate::{dice, Ballot, Node, Replica, Role, Value};
+use crate::cluster::next_generation;
+use crate::{next_random, Ballot, Node, Replica, Role, Value};
 use std::fmt;
 use std::rc::Rc;
 
-/// Members unheard for so long, seconds, can't answer.
+/// Members that sent nothing for this long, seconds, are considered unable to answer.
 pub const SILENCE_TIMEOUT: f64 = 3.0;
-/// So many rounds of epochs are left to a majority of the old members that may still be somewhere.
-const ROUNDS: u64 = 1 << 16;
+/// Number of epoch rounds left to a majority of the old members that may still be running unseen.
+const RESERVED_ROUNDS: u64 = 1 << 16;
 
-/// What a member holds, for operators.
+/// The state of a member, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
+    /// Number of the cluster.
     pub cluster: u64,
+    /// Number of times the member lost its disk.
     pub incarnation: u64,
+    /// Highest epoch that the member promised.
     pub promised: u64,
-    /// The newest value that it voted for, and the newest that it knows to be committed.
+    /// Ballot of the newest value that the member voted for.
     pub ballot: Ballot,
+    /// Ballot of the newest value that the member knows to be committed.
     pub committed: Ballot,
+    /// The voting members.
     pub members: Vec<Node>,
-    /// The members before, while they change.
+    /// The previous members during a membership change.
     pub outgoing: Vec<Node>,
-    /// It holds nothing, or nothing that counts, and learns from others.
+    /// The member has no valid state and learns one from others.
     pub learning: bool,
-    /// It hears as many members that can vote as make a majority with it.
+    /// The member receives messages from enough members able to vote to form a majority with itself.
     pub majority_reachable: bool,
 }
 
-/// Why the cluster is not founded anew.
+/// Why [`Replica::force_new_cluster`] refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NewClusterError {
-    /// This member holds nothing that counts.
+    /// This member has no valid state.
     NoState,
-    /// It runs for less than [`SILENCE_TIMEOUT`]: who is silent is not known yet.
+    /// This member has been running for less than [`SILENCE_TIMEOUT`], so it can't know yet which members are silent.
     TooSoon,
     /// A majority can still answer.
     MajorityReachable,
-    /// Its newest state is this one, not the one that was named.
+    /// The newest state of this member is the contained ballot, not the one that the operator named.
     StateMismatch(Ballot),
 }
 
 impl fmt::Display for NewClusterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NewClusterError::NoState => write!(f, "this member holds no state that counts"),
+            NewClusterError::NoState => write!(f, "this member has no valid state"),
             NewClusterError::TooSoon => {
-                write!(f, "this member runs for less than {SILENCE_TIMEOUT} s: ask again")
+                write!(f, "this member has been running for less than {SILENCE_TIMEOUT} s: try again")
             }
             NewClusterError::MajorityReachable => write!(f, "a majority of the members can still answer"),
             NewClusterError::StateMismatch(held) => {
-                write!(f, "newest: this member holds {}.{}", held.epoch, held.index)
+                write!(f, "newest: the newest state of this member is {}.{}", held.epoch, held.index)
             }
         }
     }
 }
 
 impl Replica {
-    /// What this member holds.
+    /// The state of this member, for operators.
     pub fn status(&self, now: f64) -> ReplicaStatus {
-        let mem = &self.disk.mem;
-        let newest = self.newest();
+        let state = &self.disk.state;
+        let newest_value = self.newest_value();
         ReplicaStatus {
-            cluster: newest.cluster,
-            incarnation: mem.incarnation,
-            promised: mem.promised,
-            ballot: mem.ballot,
+            cluster: newest_value.cluster,
+            incarnation: state.incarnation,
+            promised: state.promised,
+            ballot: state.ballot,
             committed: self.commit_ballot(),
-            members: newest.members.clone(),
-            outgoing: newest.outgoing.clone(),
+            members: newest_value.members.clone(),
+            outgoing: newest_value.outgoing.clone(),
             learning: self.learner.is_some(),
-            majority_reachable: self.hears_majority(now),
+            majority_reachable: self.reaches_majority(now),
         }
     }
 
-    fn hears_majority(&self, now: f64) -> bool {
+    /// Whether enough members that can vote sent a message lately to form a majority with this one.
+    fn reaches_majority(&self, now: f64) -> bool {
         let answers = |m: Node| {
-            let heard = self.heard.get(&m).is_some_and(|at| now - at <= SILENCE_TIMEOUT);
-            m == self.me || heard && !self.learning.contains(&m)
+            let heard = self.last_heard.get(&m).is_some_and(|at| now - at <= SILENCE_TIMEOUT);
+            m == self.me || heard && !self.learning_nodes.contains(&m)
         };
-        self.learner.is_none() && self.newest().carried(answers)
+        self.learner.is_none() && self.newest_value().has_quorum(answers)
     }
 
-    /// Founds the cluster anew with this member alone. `newest`: the state that it is to begin from, as this member tells.
+    /// Forms a new cluster of this member alone. `newest` names the state to start from and must be the `ballot` in the
+    /// [`ReplicaStatus`] of this member.
     pub fn force_new_cluster(&mut self, now: f64, newest: Ballot) -> Result<(), NewClusterError> {
-        self.enter(now);
+        self.advance_clock(now);
         if self.learner.is_some() {
             return Err(NewClusterError::NoState);
         }
-        if self.now - self.started < SILENCE_TIMEOUT {
+        if self.now - self.started_at < SILENCE_TIMEOUT {
             return Err(NewClusterError::TooSoon);
         }
-        if self.hears_majority(self.now) {
+        if self.reaches_majority(self.now) {
             return Err(NewClusterError::MajorityReachable);
         }
-        let held = self.disk.mem.ballot;
+        let held = self.disk.state.ballot;
         if held != newest {
             return Err(NewClusterError::StateMismatch(held));
         }
-        let Value { body, cluster, .. } = Value::clone(&self.disk.mem.value);
-        let cluster = founded_anew(cluster, dice(&mut self.random));
+        let Value { body, cluster, .. } = Value::clone(&self.disk.state.value);
+        let cluster = next_generation(cluster, next_random(&mut self.random));
         let value = Value { members: vec![self.me], outgoing: Vec::new(), body, cluster };
-        let round = (self.floor.max(self.disk.mem.promised) >> 32).saturating_add(ROUNDS);
+        let round = (self.highest_epoch.max(self.disk.state.promised) >> 32).saturating_add(RESERVED_ROUNDS);
         let epoch = round.min(u64::from(u32::MAX) - 1) << 32 | u64::from(self.me);
         self.role = Role::Follower;
-        (self.seen, self.patience) = (None, None);
+        (self.known_leader, self.pending_candidate) = (None, None);
         self.joiners.clear();
-        self.floor = self.floor.max(epoch);
-        self.take(Ballot { epoch, index: held.index.saturating_add(1) }, Rc::new(value), 0);
-        self.hurry(0.0);
+        self.highest_epoch = self.highest_epoch.max(epoch);
+        self.store_value(Ballot { epoch, index: held.index.saturating_add(1) }, Rc::new(value), 0);
+        self.shorten_wait(0.0);
         Ok(())
     }
 }
--- a/consensus/src/resume.rs
+++ b/consensus/src/resume.rs
@@ -1,54 +1,57 @@
-//! A member that starts with a state asks the others before it votes: its folder may be an older copy, restored from a
-//! backup or taken back by a disk that lost its last writes.
+//! A member that starts with a saved state asks the other members before it votes: its folder may be an older copy,
+//! restored from a backup, or its disk may have lost its last writes.
 //!
-//! Whatever a majority accepted or promised with this member's vote is on the disks of its others as well. So once all
-//! others have answered, the newest promise and value among the answers hold all that this one may have forgotten; to
-//! take them is what a late `Accept` or `Prepare` would do. Those that stay silent are waited for [`SPAN`] at the most:
-//! they count as lost then, and an older copy beside as many as may be lost is one loss more than is borne.
+//! Whatever a majority accepted or promised with this member's vote is on the disks of the other members of that
+//! majority too. So once all others have answered, the newest promise and value among the answers cover everything that
+//! this member may have lost; taking them over has the same effect as a late `Accept` or `Prepare`. The member waits at
+//! most [`RESUME_TIMEOUT`] for silent members: by then they count as lost, and an outdated state together with the
+//! largest tolerated number of lost members is one loss more than is tolerated.
 //!
-//! A member that is told of a vote which it doesn't hold, or of an incarnation that came after the one of its state,
-//! or that meets members of another cluster, learns anew as one with an empty disk does.
+//! A member that is told of a vote missing from its state, or of an incarnation later than that of its state, or that
+//! finds a majority of its members in another cluster, learns the state anew like a member with an empty disk.
 
 use crate::learn::{merge_incarnations, Learner};
-use crate::{dice, Ballot, Msg, Node, Output, PersistentState, Replica, Role, Value};
+use crate::{next_random, Ballot, Msg, Node, Output, PersistentState, Replica, Role, Value};
 use std::rc::Rc;
 
-/// Others are waited for so long, seconds: after a loss of power everywhere all are back within one.
-const SPAN: f64 = 1.2;
-const RESEND: f64 = 0.1;
+/// Longest wait for the other members, seconds: after a power loss of all machines, all are back within one second.
+const RESUME_TIMEOUT: f64 = 1.2;
+/// Time after which the request is sent again, seconds.
+const RESEND_INTERVAL: f64 = 0.1;
 
+/// A check whether the saved state is the newest, in progress.
 pub(crate) struct Resuming {
     nonce: u64,
     since: f64,
     next_send: f64,
     answered: Vec<Node>,
-    /// Those that are of another cluster.
-    strangers: Vec<Node>,
+    /// Nodes that answered with a state of another cluster.
+    other_cluster_nodes: Vec<Node>,
 }
 
 impl Resuming {
     pub(crate) fn new(now: f64, nonce: u64) -> Resuming {
-        Resuming { nonce, since: now, next_send: now, answered: Vec::new(), strangers: Vec::new() }
+        Resuming { nonce, since: now, next_send: now, answered: Vec::new(), other_cluster_nodes: Vec::new() }
     }
 }
 
 impl Replica {
-    /// Does this node still ask whether its state is the newest?
+    /// Whether this node is still checking that its saved state is the newest.
     pub fn is_resuming(&self) -> bool {
         self.resuming.is_some()
     }
 
     pub(crate) fn resume_tick(&mut self, out: &mut Vec<Output>) {
-        self.end_resume_if_known();
-        let others = self.newest().others(self.me);
-        let (have, cluster) = (self.disk.mem.ballot, self.disk.mem.value.cluster);
+        self.finish_resume_if_complete();
+        let others = self.newest_value().others(self.me);
+        let (have, cluster) = (self.disk.state.ballot, self.disk.state.value.cluster);
         let Some(resuming) = self.resuming.as_mut().filter(|resuming| self.now >= resuming.next_send) else {
             return;
         };
-        resuming.next_send = self.now + RESEND;
+        resuming.next_send = self.now + RESEND_INTERVAL;
         let nonce = resuming.nonce;
         for node in others {
-            // the order in which members stand is of those that were heard lately
+            // Members rank themselves for an election by the messages they received lately, so all are sent something.
             let answered = resuming.answered.contains(&node);
             let msg = if answered { Msg::Alive } else { Msg::Resume { nonce, have, cluster } };
             out.push(Output::Send(node, msg));
@@ -56,11 +59,11 @@
     }
 
     pub(crate) fn resume_wake(&self) -> f64 {
-        let wake = |resuming: &Resuming| resuming.next_send.min(resuming.since + SPAN);
+        let wake = |resuming: &Resuming| resuming.next_send.min(resuming.since + RESUME_TIMEOUT);
         self.resuming.as_ref().map_or(f64::INFINITY, wake)
     }
 
-    /// Another one has started: tells what is held here, once that is on disk.
+    /// Another node has started: replies with this node's state once that is on disk.
     pub(crate) fn on_resume(
         &mut self,
         from: Node,
@@ -69,20 +72,20 @@
         cluster: u64,
         out: &mut Vec<Output>,
     ) {
-        let forgotten = self.told.get(&from).is_some_and(|told| *told > have);
-        let other = self.of_another(cluster);
-        let PersistentState { promised, ballot, value, incarnations, .. } = &self.disk.mem;
-        let value = (*ballot > have || other).then(|| value.clone());
+        let forgotten = self.reported_votes.get(&from).is_some_and(|reported| *reported > have);
+        let other_cluster = self.is_other_cluster(cluster);
+        let PersistentState { promised, ballot, value, incarnations, .. } = &self.disk.state;
+        let value = (*ballot > have || other_cluster).then(|| value.clone());
         let (promised, ballot, incarnations) = (*promised, *ballot, incarnations.clone());
-        self.disk.tell(
+        self.disk.send_when_durable(
             from,
             Msg::ResumeReply { nonce, promised, ballot, value, incarnations, forgotten },
             out,
         );
     }
 
-    /// `held`: the promise, the ballot and the incarnations of the one that answers.
-    pub(crate) fn on_resumed(
+    /// Handles an answer; `held` has the promise, ballot and incarnations of the answering node.
+    pub(crate) fn on_resume_reply(
         &mut self,
         from: Node,
         nonce: u64,
@@ -91,80 +94,82 @@
         forgotten: bool,
         out: &mut Vec<Output>,
     ) {
-        let other = value.as_ref().is_some_and(|value| self.of_another(value.cluster));
+        let other_cluster = value.as_ref().is_some_and(|value| self.is_other_cluster(value.cluster));
         let Some(resuming) = self.resuming.as_mut().filter(|resuming| resuming.nonce == nonce) else {
             return;
         };
-        if other {
-            if !resuming.strangers.contains(&from) {
-                resuming.strangers.push(from);
+        if other_cluster {
+            if !resuming.other_cluster_nodes.contains(&from) {
+                resuming.other_cluster_nodes.push(from);
             }
-            let strangers = resuming.strangers.clone();
-            if self.disk.mem.value.carried(|m| strangers.contains(&m)) {
-                self.forget(self.disk.mem.incarnation, out);
+            let other_cluster_nodes = resuming.other_cluster_nodes.clone();
+            if self.disk.state.value.has_quorum(|m| other_cluster_nodes.contains(&m)) {
+                self.discard_state(self.disk.state.incarnation, out);
             }
             return;
         }
         if !resuming.answered.contains(&from) {
             resuming.answered.push(from);
         }
-        let own = held.incarnations.iter().find(|kept| kept.0 == self.me).map_or(0, |kept| kept.1);
-        if forgotten || own > self.disk.mem.incarnation {
-            return self.forget(own.max(self.disk.mem.incarnation), out);
+        let own =
+            held.incarnations.iter().find(|recorded| recorded.0 == self.me).map_or(0, |recorded| recorded.1);
+        if forgotten || own > self.disk.state.incarnation {
+            return self.discard_state(own.max(self.disk.state.incarnation), out);
         }
         self.adopt(held, value);
-        self.end_resume_if_known();
+        self.finish_resume_if_complete();
     }
 
-    /// Takes over what another one holds beyond the own state.
+    /// Takes over what another node has beyond the own state.
     fn adopt(&mut self, held: PersistentState, value: Option<Rc<Value>>) {
         let me = self.me;
-        self.floor = self.floor.max(held.promised);
-        let mem = &mut self.disk.mem;
-        let before = (mem.promised, mem.ballot, mem.incarnations.clone());
-        mem.promised = mem.promised.max(held.promised);
-        if let Some(value) = value.filter(|_| held.ballot > mem.ballot) {
-            (mem.ballot, mem.value, mem.proposer) = (held.ballot, value, 0);
+        self.highest_epoch = self.highest_epoch.max(held.promised);
+        let state = &mut self.disk.state;
+        let before = (state.promised, state.ballot, state.incarnations.clone());
+        state.promised = state.promised.max(held.promised);
+        if let Some(value) = value.filter(|_| held.ballot > state.ballot) {
+            (state.ballot, state.value, state.proposer) = (held.ballot, value, 0);
         }
-        merge_incarnations(&mut mem.incarnations, held.incarnations, me);
-        if before != (mem.promised, mem.ballot, mem.incarnations.clone()) {
+        merge_incarnations(&mut state.incarnations, held.incarnations, me);
+        if before != (state.promised, state.ballot, state.incarnations.clone()) {
             self.disk.changed();
         }
     }
 
-    fn end_resume_if_known(&mut self) {
-        let others = self.newest().others(self.me);
+    /// Ends the check once all members have answered or the timeout has passed.
+    fn finish_resume_if_complete(&mut self) {
+        let others = self.newest_value().others(self.me);
         let Some(resuming) = &self.resuming else { return };
         let all = others.iter().all(|node| resuming.answered.contains(node));
-        if !all && self.now < resuming.since + SPAN {
+        if !all && self.now < resuming.since + RESUME_TIMEOUT {
             return;
         }
-        self.unanswering = others.into_iter().filter(|node| !resuming.answered.contains(node)).collect();
+        self.silent_at_resume = others.into_iter().filter(|node| !resuming.answered.contains(node)).collect();
         self.resuming = None;
-        // only the order counts from here on
-        self.stand_in_order();
+        // From here on, only the rank among the members delays a candidacy.
+        self.require_rank_delay();
     }
 
-    /// How much longer than this node holds its epoch another one is known to be silent: it answered nothing while
-    /// this node was resuming, nor was it heard since.
-    pub(crate) fn silent_before(&self, node: Node) -> f64 {
-        let silent = self.unanswering.contains(&node) && !self.heard.contains_key(&node);
+    /// Additional time for which `node` is known to have been silent before this node became the leader: it answered
+    /// nothing while this node was resuming and has sent nothing since.
+    pub(crate) fn silence_before_leading(&self, node: Node) -> f64 {
+        let silent = self.silent_at_resume.contains(&node) && !self.last_heard.contains_key(&node);
         if silent {
-            SPAN
+            RESUME_TIMEOUT
         } else {
             0.0
         }
     }
 
-    /// The state is not the newest that this node had: it learns anew, after that incarnation.
-    pub(crate) fn forget(&mut self, incarnation: u64, out: &mut Vec<Output>) {
-        self.lose(out);
-        self.hints = self.newest().others(self.me);
-        self.learner = Some(Learner::after(self.now, dice(&mut self.random), incarnation));
+    /// The state is not the newest that this node had: discards it and learns it anew in an incarnation after this one.
+    pub(crate) fn discard_state(&mut self, incarnation: u64, out: &mut Vec<Output>) {
+        self.end_leadership(out);
+        self.hints = self.newest_value().others(self.me);
+        self.learner = Some(Learner::after(self.now, next_random(&mut self.random), incarnation));
         self.resuming = None;
         self.committed = None;
         self.role = Role::Follower;
-        self.disk.mem = PersistentState { stale: true, owner: self.me, ..PersistentState::default() };
+        self.disk.state = PersistentState { stale: true, owner: self.me, ..PersistentState::default() };
         self.disk.changed();
     }
 }
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -1,104 +1,99 @@
-//! What crosses the crate's border: values, ballots, kept state, messages, orders to the driver.
+//! The types of the public interface: values, ballots, persistent state, messages, and outputs for the driver.
 
 use serde::{Deserialize, Serialize};
 use std::{collections::BTreeMap, rc::Rc};
 
-/// The IPv4 address of a machine as number.
+/// A node, identified by the IPv4 address of its machine as a number.
 pub type Node = u32;
 
-/// Most members that may count.
+/// Largest number of voting members.
 pub const MAX_MEMBERS: usize = 7;
 
-/// Place of a value: the epoch it was proposed under, and how many values came before it.
+/// Position of a value: the epoch in which it was proposed, and the number of values before it.
 ///
-/// A new leader proposes the value it found again: the epoch grows and the index stays.
+/// A new leader proposes the newest value it finds again: the epoch increases and the index stays the same.
 /// Two committed values never share an index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
+    /// Epoch of the proposal; its low 32 bits are the leader's node.
     pub epoch: u64,
+    /// Number of values before this one.
     pub index: u64,
 }
 
-/// What is agreed on: who counts, and the document.
+/// The value that the cluster agrees on: the voting members and the document.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// The members that count, sorted.
+    /// The voting members, sorted.
     pub members: Vec<Node>,
-    /// While the members changes: those that counted before; both memberships must carry every step then.
+    /// During a membership change: the previous members. Every step then needs a majority of both memberships.
     pub outgoing: Vec<Node>,
+    /// The document, opaque to this crate.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
-    /// Which cluster this is of, see the module `cluster`; 0 before its first change.
+    /// Number of the cluster, see the module `cluster`; 0 before the first change.
     #[serde(default)]
     pub cluster: u64,
 }
 
-/// State of a member that must outlive power loss. The driver writes it whole and atomically.
+/// State of a member that must survive a power loss. The driver writes it as a whole and atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistentState {
     /// Nothing below this epoch is accepted.
     pub promised: u64,
+    /// Position of `value`.
     pub ballot: Ballot,
+    /// The newest value that this member accepted.
     pub value: Rc<Value>,
-    /// What was held is known to be out of date: a state read back with true counts as no disk.
+    /// The previous state is known to be out of date: a state read back with `true` is treated like an empty disk.
     pub stale: bool,
-    /// How often this node lost its disk. Votes of an earlier incarnation don't count.
+    /// Number of times this node lost its disk. Votes of an earlier incarnation are void.
     pub incarnation: u64,
-    /// Lives of others whose disks were lost, as they told: node, incarnation, nonce.
+    /// Incarnations reported by other nodes that lost their disks: node, incarnation, nonce.
     pub incarnations: Vec<(Node, u64, u64)>,
-    /// Whose state this is; 0 in states of older builds.
+    /// The node that this state belongs to; 0 in states written by older builds.
     #[serde(default)]
     pub owner: Node,
-    /// The incarnation, plus one, of the leader that proposed the value under this ballot; 0: not known.
+    /// The incarnation, plus one, of the leader that proposed the value under this ballot; 0 if unknown.
     #[serde(default)]
     pub proposer: u64,
 }
 
-/// Settings of a member.
+/// Settings of a [`Replica`].
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// The node itself.
     pub me: Node,
-    /// The founding members; sorted by `Replica::new`.
+    /// The initial members; `Replica::new` sorts them.
     pub seeds: Vec<Node>,
-    /// True at the first start of the whole system only.
+    /// True only at the first start of the whole system: the seeds then form a new cluster.
     pub bootstrap: bool,
-    /// Must differ from start to start.
+    /// Seed of the pseudo-random numbers. Must differ from start to start.
     pub seed: u64,
-    /// How many members may be lost at once.
+    /// Number of members that may be lost at once.
     pub tolerate: usize,
 }
 
-/// Messages between members. Lost, repeated, late and reordered ones do no harm.
+/// Messages between nodes. They may be lost, repeated, delayed or reordered without harm.
+///
+/// Variants are written by name on the wire, their fields by position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
-    /// I live.
+    /// The sender is running.
     Alive,
-    /// Would you promise me an epoch? Binds nobody.
+    /// Asks whether the receiver would promise an epoch; binding for neither side. `n` identifies the request.
     #[serde(rename = "Ask")]
-    PreVote {
-        n: u64,
-        cluster: u64,
-    },
+    PreVote { n: u64, cluster: u64 },
+    /// The sender would promise an epoch to the receiver.
     #[serde(rename = "AskOk")]
-    PreVoteGranted {
-        n: u64,
-        promised: u64,
-    },
-    /// There is a leader: who, its epoch, and what I know to be committed.
+    PreVoteGranted { n: u64, promised: u64 },
+    /// The sender would not promise an epoch: reports the leader (0 if unknown) and the newest ballot that the sender
+    /// knows to be committed. Also sent, with `n` 0, to nodes that ask to join or leave.
     #[serde(rename = "AskNo")]
-    PreVoteRefused {
-        n: u64,
-        promised: u64,
-        leader: Node,
-        commit: Ballot,
-    },
-    /// Promise me this epoch; `have` is what I hold already.
-    Prepare {
-        epoch: u64,
-        have: Ballot,
-        cluster: u64,
-    },
-    /// Promised; `value` is there if `ballot` is above what the candidate had.
+    PreVoteRefused { n: u64, promised: u64, leader: Node, commit: Ballot },
+    /// Asks for a promise of this epoch; `have` is the ballot of the sender's newest value.
+    Prepare { epoch: u64, have: Ballot, cluster: u64 },
+    /// Promises the epoch; contains `value` if `ballot` is above the candidate's `have`.
     Promise {
         epoch: u64,
         ballot: Ballot,
@@ -106,57 +101,39 @@
         incarnation: u64,
         incarnations: Vec<(Node, u64)>,
     },
+    /// The leader asks for a vote for this value.
     Accept {
         ballot: Ballot,
         value: Rc<Value>,
         /// The sender's incarnation.
         incarnation: u64,
     },
-    Accepted {
-        ballot: Ballot,
-        incarnation: u64,
-        incarnations: Vec<(Node, u64)>,
-    },
-    /// The asked epoch is below what I promised (or I won't promise it now, if `promised` is below it).
+    /// The sender has the value of this ballot on disk.
+    Accepted { ballot: Ballot, incarnation: u64, incarnations: Vec<(Node, u64)> },
+    /// The epoch of a request is below the promised one, or, if `promised` is below it, is not promised now.
     Refused {
         epoch: u64,
         promised: u64,
-        /// Newest committed ballot that I know of: who was struck without knowing it learns so.
+        /// Newest ballot that the sender knows to be committed. From it a removed node that doesn't know of its
+        /// removal learns of it.
         commit: Ballot,
     },
-    /// The leader is alive; `commit` is the newest committed ballot (zero: none yet).
-    Heartbeat {
-        epoch: u64,
-        commit: Ballot,
-        nonce: u64,
-        cluster: u64,
-    },
-    HeartbeatOk {
-        epoch: u64,
-        nonce: u64,
-    },
-    /// The leader gives its epoch up; `next` is to stand at once (0: whoever comes first).
+    /// The leader is alive; `commit` is the newest committed ballot (zero if there is none yet).
+    Heartbeat { epoch: u64, commit: Ballot, nonce: u64, cluster: u64 },
+    /// Answers the heartbeat with this nonce.
+    HeartbeatOk { epoch: u64, nonce: u64 },
+    /// The leader gives up its epoch; `next` is to become a candidate at once (0: any member).
     #[serde(rename = "Quit")]
-    StepDown {
-        epoch: u64,
-        next: Node,
-    },
-    /// Tell me what is committed, if newer.
-    Fetch {
-        have: Ballot,
-    },
+    StepDown { epoch: u64, next: Node },
+    /// Asks for the newest committed value if it is newer than `have`.
+    Fetch { have: Ballot },
+    /// Answers `Fetch`.
     #[serde(rename = "News")]
-    CommittedValue {
-        ballot: Ballot,
-        value: Rc<Value>,
-    },
-    /// My disk is empty: what do you hold? `incarnation` and `nonce` name this new incarnation.
-    Learn {
-        incarnation: u64,
-        nonce: u64,
-        have: Ballot,
-        cluster: u64,
-    },
+    CommittedValue { ballot: Ballot, value: Rc<Value> },
+    /// The sender's disk is empty: asks for the receiver's state. `incarnation` and `nonce` identify the sender's new
+    /// incarnation.
+    Learn { incarnation: u64, nonce: u64, have: Ballot, cluster: u64 },
+    /// Answers `Learn`; contains `value` if the learner needs it.
     #[serde(rename = "Learnt")]
     LearnReply {
         incarnation: u64,
@@ -167,17 +144,11 @@
         incarnations: Vec<(Node, u64, u64)>,
         proposer: u64,
     },
-    /// That incarnation was there before; take a higher one.
-    NewerIncarnation {
-        incarnation: u64,
-    },
-    /// I start with a state that ends at `have`: do you hold newer?
-    Resume {
-        nonce: u64,
-        have: Ballot,
-        cluster: u64,
-    },
-    /// What is held here; `value` is there if `ballot` is above what was told, or of another cluster.
+    /// The incarnation in a `Learn` was used before: the receiver must take one above this.
+    NewerIncarnation { incarnation: u64 },
+    /// The sender starts with a saved state whose newest ballot is `have`: asks for anything newer.
+    Resume { nonce: u64, have: Ballot, cluster: u64 },
+    /// Answers `Resume`; contains `value` if `ballot` is above `have`, or if it is of another cluster.
     #[serde(rename = "Resumed")]
     ResumeReply {
         nonce: u64,
@@ -185,68 +156,67 @@
         ballot: Ballot,
         value: Option<Rc<Value>>,
         incarnations: Vec<(Node, u64, u64)>,
-        /// The asking node voted for more than it holds now.
+        /// The receiver once voted for a ballot above its `have`: its state is not its newest.
         forgotten: bool,
     },
-    /// Your cluster was founded anew, as this one: what you hold counts no more.
-    Superseded {
-        cluster: u64,
-    },
-    /// Admit me.
+    /// The receiver's cluster was replaced by this new one, and its state is void.
+    Superseded { cluster: u64 },
+    /// Asks to be admitted as a member.
     Join,
-    /// I am told to end: strike me, if the others are enough.
+    /// The sender is shutting down: asks to be removed if enough members remain.
     Leave,
 }
 
-/// How a proposal or a barrier ended.
+/// Result of a proposal or a read barrier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The proposal is committed: synced on a majority.
+    /// The proposal is committed: a majority has it on disk.
     Committed(Ballot),
-    /// What `committed()` says now held everything acknowledged anywhere before the call.
+    /// The value that `committed()` returns now contains everything that was acknowledged anywhere before the call.
     Confirmed,
-    /// The epoch was lost midway: the proposal may or may not come into force.
+    /// The leader lost its epoch meanwhile: the proposal may or may not be committed later.
     Unknown,
-    /// Nothing was done: not the leader, or no majority in time.
+    /// Nothing was done: this node is not the leader, or no majority answered in time.
     NotLeader,
-    /// Nothing was done: another proposal is on its way, or too many wait.
+    /// Nothing was done: another proposal or too many read barriers are waiting.
     Busy,
 }
 
-/// Orders and news to the driver, to be carried out in order.
+/// Requests and notifications for the driver, to be handled in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
+    /// Send this message to the node.
     Send(Node, Msg),
-    /// Sync this to disk, then call `saved` with the ticket. One at a time.
+    /// Write this to disk and sync it, then call `save_finished` with the ticket. There is one save at a time.
     Save(u64, PersistentState),
-    /// News to apply. The same index may come again under a later epoch: the same value.
+    /// A committed value to apply. The same index may be reported again under a later epoch, with the same value.
     Committed(Ballot, Rc<Value>),
-    /// This node holds that epoch, and all older doubts are settled.
+    /// This node leads this epoch, and the value it took over is committed.
     BecameLeader(u64),
-    /// The epoch told by `BecameLeader` is over.
+    /// The leadership reported by `BecameLeader` has ended.
     LostLeadership,
-    Done {
-        ticket: u64,
-        outcome: Outcome,
-    },
+    /// The proposal or read barrier with this ticket has ended.
+    Done { ticket: u64, outcome: Outcome },
 }
 
-/// No value is sent, or asked for, again before it can be through at this pace, bytes a second: copies of it would
-/// queue on a slow link ahead of all that comes after.
-const PACE: f64 = 256e3;
+/// A value is not sent or fetched again before it can have been transferred at this rate, bytes per second: further
+/// copies would queue on a slow link ahead of all later messages.
+const TRANSFER_RATE: f64 = 256e3;
 
 impl Value {
-    /// Seconds that it may take on its way.
-    pub(crate) fn span(&self) -> f64 {
-        self.body.len() as f64 / PACE
+    /// Seconds that the transfer of this value may take.
+    pub(crate) fn transfer_time(&self) -> f64 {
+        self.body.len() as f64 / TRANSFER_RATE
     }
 
-    /// Is the set told by `has` a majority of the members, and of the old one while it changes?
-    pub(crate) fn carried(&self, has: impl Fn(Node) -> bool) -> bool {
-        majority(&self.members, &has) && (self.outgoing.is_empty() || majority(&self.outgoing, &has))
+    /// Whether the nodes for which `includes` is true are a majority of the members and, during a membership change,
+    /// also of the previous members.
+    pub(crate) fn has_quorum(&self, includes: impl Fn(Node) -> bool) -> bool {
+        is_majority(&self.members, &includes)
+            && (self.outgoing.is_empty() || is_majority(&self.outgoing, &includes))
     }
 
-    /// All that count, now or before, without `me`.
+    /// All members, during a change also the previous ones, except `me`.
     pub(crate) fn others(&self, me: Node) -> Vec<Node> {
         let mut all: Vec<Node> =
             self.members.iter().chain(&self.outgoing).copied().filter(|&m| m != me).collect();
@@ -256,32 +226,33 @@
     }
 }
 
-fn majority(members: &[Node], has: impl Fn(Node) -> bool) -> bool {
-    !members.is_empty() && members.iter().filter(|&&m| has(m)).count() > members.len() / 2
+fn is_majority(members: &[Node], includes: impl Fn(Node) -> bool) -> bool {
+    !members.is_empty() && members.iter().filter(|&&m| includes(m)).count() > members.len() / 2
 }
 
-/// Votes of nodes, each given in one of its incarnations; a vote falls when a later incarnation is heard of.
+/// Votes by node, with the incarnation in which each was cast; a vote is void once a later incarnation of its node is
+/// known.
 #[derive(Default)]
-pub(crate) struct Tally {
+pub(crate) struct VoteTally {
     votes: BTreeMap<Node, u64>,
     incarnations: BTreeMap<Node, u64>,
 }
 
-impl Tally {
-    pub(crate) fn vote(&mut self, node: Node, incarnation: u64, incarnations: &[(Node, u64)]) {
-        self.know(incarnations);
+impl VoteTally {
+    pub(crate) fn add_vote(&mut self, node: Node, incarnation: u64, incarnations: &[(Node, u64)]) {
+        self.update_incarnations(incarnations);
         let vote = self.votes.entry(node).or_default();
         *vote = incarnation.max(*vote);
     }
 
-    pub(crate) fn know(&mut self, incarnations: &[(Node, u64)]) {
+    pub(crate) fn update_incarnations(&mut self, incarnations: &[(Node, u64)]) {
         for &(node, incarnation) in incarnations {
             let known = self.incarnations.entry(node).or_default();
             *known = incarnation.max(*known);
         }
     }
 
-    pub(crate) fn has(&self, node: Node) -> bool {
+    pub(crate) fn has_vote(&self, node: Node) -> bool {
         self.votes
             .get(&node)
             .is_some_and(|incarnation| self.incarnations.get(&node).is_none_or(|known| incarnation >= known))
