--- a/consensus/src/disk.rs
+++ b/consensus/src/disk.rs
@@ -99,7 +99,7 @@
             _ => true,
         };
         let detail = || format!("on disk {:?} {:?}", self.durable.promised, self.durable.ballot);
-        check(Invariant::DurableBeforeTold, durable, detail);
+        check(Invariant::DurableBeforeSent, durable, detail);
     }
 
     /// Time since the save in progress was requested; 0 if there is none.
--- a/control-plane/src/agree.rs
+++ b/control-plane/src/agree.rs
@@ -6,8 +6,8 @@
     Ballot, Msg, NewClusterError, Node, Outcome, Output, PersistentState, Replica, Settings, Value,
 };
 use lupinledge_invariants::{check, Invariant};
-use lupinledge_messaging::{Post, Word};
-use lupinledge_storage::{Found, Saved, Store};
+use lupinledge_messaging::{Transport, WireMessage};
+use lupinledge_storage::{SaveResult, Store, Stored};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -46,7 +46,7 @@
     clock: Rc<Clock>,
     queen: RefCell<Replica>,
     store: Store,
-    post: OnceCell<Rc<Post>>,
+    post: OnceCell<Rc<Transport>>,
     on_value: OnceCell<OnValue>,
     waiting: RefCell<BTreeMap<u64, oneshot::Sender<Outcome>>>,
     tickets: Cell<u64>,
@@ -68,16 +68,16 @@
     pub fn start(
         clock: Rc<Clock>,
         settings: Settings,
-        found: Found,
+        found: Stored,
         store: Store,
     ) -> eyre::Result<Rc<Agree>> {
         // what was there once is not there for the first time
-        let bootstrap = settings.bootstrap && found != Found::Spoilt;
+        let bootstrap = settings.bootstrap && found != Stored::Corrupt;
         let settings = Settings { bootstrap, ..settings };
         // a state that can't be read is no empty disk: to go on without it could lose what was acknowledged
         let kept: Option<PersistentState> = match found {
-            Found::State(state) => Some(rmp_serde::from_slice(&state)?),
-            Found::Empty | Found::Spoilt => None,
+            Stored::State(state) => Some(rmp_serde::from_slice(&state)?),
+            Stored::Empty | Stored::Corrupt => None,
         };
         let other = kept.as_ref().map_or(0, |kept| kept.owner);
         if other != 0 && other != settings.me {
@@ -106,7 +106,12 @@
     }
 
     /// From here on words go out, and what is due is done.
-    pub fn run(self: &Rc<Agree>, post: Rc<Post>, mut ends: UnboundedReceiver<Saved>, on_value: OnValue) {
+    pub fn run(
+        self: &Rc<Agree>,
+        post: Rc<Transport>,
+        mut ends: UnboundedReceiver<SaveResult>,
+        on_value: OnValue,
+    ) {
         let _ = self.post.set(post);
         let _ = self.on_value.set(on_value);
         let agree = self.clone();
@@ -143,9 +148,9 @@
                 Output::Send(to, msg) => {
                     if let Some(post) = self.post.get() {
                         let datagram = heartbeat(&msg);
-                        let word = Word::Queen(msg);
+                        let word = WireMessage::Consensus(msg);
                         if datagram {
-                            post.cast(to, &word)
+                            post.send_datagram(to, &word)
                         } else {
                             post.send(to, &word)
                         }
@@ -215,7 +220,7 @@
                 let old = self.agreed.borrow().as_ref().map_or((0, 0), |a| order(&a.document));
                 let new = order(&agreed.document);
                 let forward = new.0 >= old.0 && new.1 >= old.1;
-                check(Invariant::CommitForward, forward, || format!("{new:?} after {old:?}"));
+                check(Invariant::CommitMonotonic, forward, || format!("{new:?} after {old:?}"));
                 *self.agreed.borrow_mut() = Some(Rc::new(agreed));
                 true
             }
@@ -351,7 +356,9 @@
         if let (Some(epoch), Some(post)) = (self.leads(), self.post.get()) {
             let next = self.queen.borrow().successor();
             let others = self.members().into_iter().filter(|m| *m != self.me());
-            others.for_each(|other| post.cast(other, &Word::Queen(Msg::StepDown { epoch, next })));
+            others.for_each(|other| {
+                post.send_datagram(other, &WireMessage::Consensus(Msg::StepDown { epoch, next }))
+            });
         }
         self.quiet.set(true);
         self.waiting.borrow_mut().clear();
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -4,12 +4,12 @@
 use crate::ledger::Ledger;
 use crate::terms::{lines, stray, terms, Lines, Places, World};
 use crate::wire::Trail;
-use lupinledge::link::{ListKind, SrvRow, SrvState};
-use lupinledge::tables::Basis;
-use lupinledge::time::{Point, Span};
+use lupinledge::interface::{ListKind, ServerEntry, ServerState};
+use lupinledge::state::Basis;
+use lupinledge::time::{Span, Timestamp};
 use lupinledge_config::{Part, Route, Settings, Tables, Tenant};
-use lupinledge_gossip::metrics::Line;
-use lupinledge_messaging::list::{List, Row};
+use lupinledge_gossip::metrics::MetricSink;
+use lupinledge_messaging::list::{ListedServer, ServerList};
 use lupinledge_proxy::clock::Clock;
 use lupinledge_proxy::counters::Counters;
 use lupinledge_proxy::exchange::{Entry, Exchange};
@@ -45,7 +45,7 @@
 #[derive(Default)]
 struct Wanted {
     tables: Rc<Tables>,
-    list: List,
+    list: ServerList,
     gateways: usize,
     routes: Places,
     tenants: Places,
@@ -54,10 +54,10 @@
     /// Pools of services that are in no configuration any more, until their requests are over.
     retired: Vec<Pool>,
     /// When the warm-up of a server began, of those that were met cold.
-    born: HashMap<String, Point>,
+    born: HashMap<String, Timestamp>,
     /// Zones taken back, the list that was known then, and until when their servers may be cold without a list
     /// having told so.
-    unsure: HashMap<String, ((u64, u64), Point)>,
+    unsure: HashMap<String, ((u64, u64), Timestamp)>,
 }
 
 /// See the module.
@@ -179,7 +179,7 @@
     }
 
     /// Figures of requests, servers and rules.
-    pub fn figures(&self, line: &mut Line) {
+    pub fn figures(&self, line: &mut MetricSink) {
         let w = self.wanted.borrow();
         line("configuration.version", w.tables.version());
         line("servers.list_epoch", w.list.number.0);
@@ -260,7 +260,7 @@
     }
 
     /// A newer list of servers.
-    pub fn list(&self, list: List) {
+    pub fn list(&self, list: ServerList) {
         {
             let w = &mut *self.wanted.borrow_mut();
             w.unsure.retain(|_, (known, _)| list.number <= *known);
@@ -275,17 +275,17 @@
     }
 
     /// Notes when a server's warm-up began, so that the decisions see it warm as it ends.
-    fn warm(&self, w: &mut Wanted, r: &Row) {
+    fn warm(&self, w: &mut Wanted, r: &ListedServer) {
         let service = w.tables.services().iter().find(|s| s.name == r.service);
-        let whole = service.map_or(f64::from(r.warm_left), |s| s.warmup_s);
-        if r.warm_left <= 0.0 {
+        let whole = service.map_or(f64::from(r.warmup_left_s), |s| s.warmup_s);
+        if r.warmup_left_s <= 0.0 {
             return;
         }
         let now = self.clock.now();
-        let ends = now.secs() + f64::from(r.warm_left);
+        let ends = now.secs() + f64::from(r.warmup_left_s);
         let known = w.born.get(&r.id).map(|b| b.secs() + whole);
         if known.is_none_or(|k| ends > k + COLD_AGAIN) {
-            w.born.insert(r.id.clone(), Point::from_secs(ends - whole));
+            w.born.insert(r.id.clone(), Timestamp::from_secs(ends - whole));
         }
     }
 
@@ -301,7 +301,7 @@
         }
     }
 
-    fn open(&self, terms: lupinledge::link::Terms) -> Pool {
+    fn open(&self, terms: lupinledge::interface::Terms) -> Pool {
         let exchange: Rc<Exchange<Trail>> = Exchange::new(terms, self.clock, self.counters.clone());
         let bounds = SrvBounds {
             connect_wait: Duration::from_millis(400),
@@ -325,16 +325,17 @@
     fn deal(&self) {
         let w = &*self.wanted.borrow();
         for (service, pool) in &w.pools {
-            let entry = |r: &Row| {
+            let entry = |r: &ListedServer| {
                 let zone = self.world.index(&r.zone)?;
                 let shut = self.shut.get().is_some()
                     || r.draining
                     || w.tables.evacuated(&r.zone)
                     || w.unsure.contains_key(&r.zone);
-                let state = if shut { SrvState::Draining } else { SrvState::Ready };
+                let state = if shut { ServerState::Draining } else { ServerState::Ready };
                 // one met warm has been so for ever
-                let born = Some(w.born.get(&r.id).copied().unwrap_or(Point::from_secs(0.0)));
-                let row = SrvRow { srv: 0, zone, cell: 0, state, weight: f64::from(r.slots), born };
+                let started_at = Some(w.born.get(&r.id).copied().unwrap_or(Timestamp::from_secs(0.0)));
+                let row =
+                    ServerEntry { server: 0, zone, cell: 0, state, weight: f64::from(r.slots), started_at };
                 Some(Entry { name: r.id.clone(), addr: r.address, row })
             };
             let rows = w.list.rows.iter().filter(|r| r.service == *service);
