--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -28,16 +28,16 @@
         leader_heard || other_candidate || own_role
     }
 
-    pub(crate) fn on_pre_vote(&mut self, from: Node, n: u64, out: &mut Vec<Output>) {
+    pub(crate) fn on_pre_vote(&mut self, from: Node, nonce: u64, out: &mut Vec<Output>) {
         if self.learner.is_some() {
             return;
         }
         let promised = self.disk.state.promised;
         let answer = if self.must_reject(from) {
             let leader = self.leader(self.now).map_or(0, |(node, _)| node);
-            Msg::PreVoteRefused { n, promised, leader, commit: self.commit_ballot() }
+            Msg::PreVoteRefused { nonce, promised, leader, commit: self.commit_ballot() }
         } else {
-            Msg::PreVoteGranted { n, promised }
+            Msg::PreVoteGranted { nonce, promised }
         };
         out.push(Output::Send(from, answer));
     }
--- a/consensus/src/election.rs
+++ b/consensus/src/election.rs
@@ -6,8 +6,8 @@
 /// Time without a sign of a leader after which the first member in rank becomes a candidate, seconds. The rank is the
 /// position by address among the live members.
 const ELECTION_TIMEOUT: f64 = 0.9;
-/// The part of it that a member which just started does not wait: it could not receive heartbeats before, and there is no
-/// leader if all members were killed. The rest is enough for two heartbeats of a live leader and their transmission.
+/// The part of it that a member which just started does not wait: it could not receive heartbeats before, and there is
+/// no leader if all members were killed. The rest is enough for two heartbeats of a live leader and their transmission.
 pub(crate) const STARTUP_CREDIT: f64 = ELECTION_TIMEOUT - 0.4;
 /// Additional wait per rank, seconds.
 const RANK_DELAY: f64 = 0.25;
@@ -30,28 +30,28 @@
 
 /// A request for pre-votes in progress.
 pub(crate) struct PreVoting {
-    n: u64,
-    since: f64,
+    nonce: u64,
+    started_at: f64,
     next_send: f64,
     grants: Vec<Node>,
 }
 
 impl PreVoting {
     pub(crate) fn wake(&self) -> f64 {
-        self.next_send.min(self.since + PRE_VOTE_TIMEOUT)
+        self.next_send.min(self.started_at + PRE_VOTE_TIMEOUT)
     }
 }
 
 /// A candidacy for an epoch in progress.
 pub(crate) struct Preparing {
     pub(crate) epoch: u64,
-    since: f64,
+    started_at: f64,
     next_send: f64,
     /// Whether the own promise is on disk. Nothing is sent before it is.
     durable: bool,
     tally: VoteTally,
     /// The newest value among the promises.
-    best: (Ballot, Rc<Value>),
+    newest: (Ballot, Rc<Value>),
 }
 
 impl Preparing {
@@ -60,7 +60,7 @@
     }
 
     fn ends(&self) -> f64 {
-        self.since + if self.durable { PREPARE_TIMEOUT } else { SAVE_TIMEOUT }
+        self.started_at + if self.durable { PREPARE_TIMEOUT } else { SAVE_TIMEOUT }
     }
 }
 
@@ -108,9 +108,13 @@
         if !self.disk.is_synced() {
             return self.back_off(RETRY_DELAY);
         }
-        let n = next_random(&mut self.random);
-        self.role =
-            Role::PreVoting(PreVoting { n, since: self.now, next_send: self.now, grants: Vec::new() });
+        let nonce = next_random(&mut self.random);
+        self.role = Role::PreVoting(PreVoting {
+            nonce,
+            started_at: self.now,
+            next_send: self.now,
+            grants: Vec::new(),
+        });
         self.pre_voting_tick(out);
     }
 
@@ -128,7 +132,7 @@
         let others = self.known_nodes();
         let cluster = self.newest_value().cluster;
         let Role::PreVoting(pre_voting) = &mut self.role else { return };
-        if self.now >= pre_voting.since + PRE_VOTE_TIMEOUT {
+        if self.now >= pre_voting.started_at + PRE_VOTE_TIMEOUT {
             self.role = Role::Follower;
             return self.back_off(0.1);
         }
@@ -136,18 +140,24 @@
             pre_voting.next_send = self.now + RESEND_INTERVAL;
             for node in others {
                 if !pre_voting.grants.contains(&node) {
-                    out.push(Output::Send(node, Msg::PreVote { n: pre_voting.n, cluster }));
+                    out.push(Output::Send(node, Msg::PreVote { nonce: pre_voting.nonce, cluster }));
                 }
             }
         }
         self.prepare_if_granted(out);
     }
 
-    pub(crate) fn on_pre_vote_granted(&mut self, from: Node, n: u64, promised: u64, out: &mut Vec<Output>) {
+    pub(crate) fn on_pre_vote_granted(
+        &mut self,
+        from: Node,
+        nonce: u64,
+        promised: u64,
+        out: &mut Vec<Output>,
+    ) {
         self.highest_epoch = self.highest_epoch.max(promised);
         let others = self.newest_value().others(self.me);
         let Role::PreVoting(pre_voting) = &mut self.role else { return };
-        if pre_voting.n == n && others.contains(&from) && !pre_voting.grants.contains(&from) {
+        if pre_voting.nonce == nonce && others.contains(&from) && !pre_voting.grants.contains(&from) {
             pre_voting.grants.push(from);
             self.prepare_if_granted(out);
         }
@@ -184,12 +194,18 @@
             return;
         }
         state.promised = epoch;
-        let best = (state.ballot, state.value.clone());
+        let newest = (state.ballot, state.value.clone());
         self.disk.changed();
         self.highest_epoch = self.highest_epoch.max(epoch);
-        let (since, tally) = (self.now, VoteTally::default());
-        self.role =
-            Role::Preparing(Preparing { epoch, since, next_send: self.now, durable: false, tally, best });
+        let (started_at, tally) = (self.now, VoteTally::default());
+        self.role = Role::Preparing(Preparing {
+            epoch,
+            started_at,
+            next_send: self.now,
+            durable: false,
+            tally,
+            newest,
+        });
         self.disk.flush(self.now, out);
     }
 
@@ -199,7 +215,7 @@
         let Role::Preparing(preparing) = &mut self.role else { return };
         if !preparing.durable && durable >= preparing.epoch {
             preparing.durable = true;
-            preparing.since = self.now;
+            preparing.started_at = self.now;
             preparing.tally.add_vote(self.me, incarnation, &[]);
             self.send_prepares(out);
             self.lead_if_promised(out);
@@ -220,10 +236,10 @@
     fn send_prepares(&mut self, out: &mut Vec<Output>) {
         let Role::Preparing(preparing) = &mut self.role else { return };
         preparing.next_send = self.now + RESEND_INTERVAL;
-        for node in preparing.best.1.others(self.me) {
+        for node in preparing.newest.1.others(self.me) {
             if !preparing.tally.has_vote(node) {
-                let (epoch, have) = (preparing.epoch, preparing.best.0);
-                let cluster = preparing.best.1.cluster;
+                let (epoch, have) = (preparing.epoch, preparing.newest.0);
+                let cluster = preparing.newest.1.cluster;
                 out.push(Output::Send(node, Msg::Prepare { epoch, have, cluster }));
             }
         }
@@ -243,11 +259,11 @@
             return;
         }
         let mut membership_changed = false;
-        if ballot > preparing.best.0 {
+        if ballot > preparing.newest.0 {
             let Some(value) = value else { return };
             membership_changed =
-                value.members != preparing.best.1.members || value.outgoing != preparing.best.1.outgoing;
-            preparing.best = (ballot, value);
+                value.members != preparing.newest.1.members || value.outgoing != preparing.newest.1.outgoing;
+            preparing.newest = (ballot, value);
         }
         preparing.tally.add_vote(from, incarnation, &incarnations);
         if membership_changed {
@@ -261,8 +277,8 @@
         let incarnations = self.vote_incarnations();
         let Role::Preparing(preparing) = &mut self.role else { return };
         preparing.tally.update_incarnations(&incarnations);
-        if preparing.best.1.has_quorum(|m| preparing.tally.has_vote(m)) {
-            let (epoch, (ballot, value)) = (preparing.epoch, preparing.best.clone());
+        if preparing.newest.1.has_quorum(|m| preparing.tally.has_vote(m)) {
+            let (epoch, (ballot, value)) = (preparing.epoch, preparing.newest.clone());
             self.become_leader(epoch, ballot.index, value, out);
         }
     }
--- a/consensus/src/leader.rs
+++ b/consensus/src/leader.rs
@@ -43,7 +43,7 @@
     ticket: u64,
     /// The first heartbeat that was sent after the call.
     min_nonce: u64,
-    since: f64,
+    started_at: f64,
 }
 
 /// The state of a leader.
@@ -52,7 +52,7 @@
     /// Whether the value that this leader took over is committed.
     pub(crate) established: bool,
     /// Silence of other members is measured from this time at the earliest.
-    pub(crate) since: f64,
+    pub(crate) silence_from: f64,
     nonce: u64,
     last_heartbeat: f64,
     next_heartbeat: f64,
@@ -69,7 +69,7 @@
 impl Leading {
     /// Whether a majority answered heartbeats sent within `timeout`.
     pub(crate) fn has_quorum_contact(&self, value: &Value, me: Node, now: f64, timeout: f64) -> bool {
-        let from = (now - timeout).max(self.since);
+        let from = (now - timeout).max(self.silence_from);
         value.has_quorum(|m| m == me || self.answered(m) >= from)
     }
 
@@ -80,7 +80,7 @@
 
     /// Restarts the measurement of silence after a pause of this process.
     pub(crate) fn discount_pause(&mut self, now: f64) {
-        self.since = now;
+        self.silence_from = now;
     }
 
     /// Whether a proposal is in progress.
@@ -131,8 +131,8 @@
                 if leading.barriers.len() >= MAX_BARRIERS {
                     return out.push(Output::Done { ticket, outcome: Outcome::Busy });
                 }
-                let (min_nonce, since) = (leading.nonce + 1, self.now);
-                leading.barriers.push_back(Barrier { ticket, min_nonce, since });
+                let (min_nonce, started_at) = (leading.nonce + 1, self.now);
+                leading.barriers.push_back(Barrier { ticket, min_nonce, started_at });
                 leading.next_heartbeat =
                     leading.next_heartbeat.min(self.now.max(leading.last_heartbeat + MIN_HEARTBEAT_INTERVAL));
                 if leading.next_heartbeat <= self.now {
@@ -151,7 +151,7 @@
         self.role = Role::Leading(Leading {
             epoch,
             established: false,
-            since: self.now,
+            silence_from: self.now,
             nonce: next_random(&mut self.random) >> 1,
             last_heartbeat: self.now,
             next_heartbeat: self.now,
@@ -338,13 +338,13 @@
     pub(crate) fn leading_tick(&mut self, out: &mut Vec<Output>) {
         let Role::Leading(leading) = &mut self.role else { return };
         let value = &self.disk.state.value;
-        let isolated = self.now - leading.since > QUORUM_TIMEOUT
+        let isolated = self.now - leading.silence_from > QUORUM_TIMEOUT
             && !leading.has_quorum_contact(value, self.me, self.now, QUORUM_TIMEOUT);
         if isolated || self.disk.save_duration(self.now) > SAVE_TIMEOUT {
             return self.step_down(out);
         }
         while let Some(barrier) = leading.barriers.front() {
-            if self.now - barrier.since <= BARRIER_TIMEOUT {
+            if self.now - barrier.started_at <= BARRIER_TIMEOUT {
                 break;
             }
             out.push(Output::Done { ticket: barrier.ticket, outcome: Outcome::NotLeader });
--- a/consensus/src/learn.rs
+++ b/consensus/src/learn.rs
@@ -21,8 +21,8 @@
     answered: Vec<Node>,
     promised: u64,
     /// The newest value among the answers.
-    best: (Ballot, Rc<Value>),
-    /// The proposer of `best`, as in [`PersistentState`].
+    newest: (Ballot, Rc<Value>),
+    /// The proposer of `newest`, as in [`PersistentState`].
     proposer: u64,
     incarnations: Vec<(Node, u64, u64)>,
 }
@@ -35,7 +35,7 @@
             next_send: now,
             answered: Vec::new(),
             promised: 0,
-            best: Default::default(),
+            newest: Default::default(),
             proposer: 0,
             incarnations: Vec::new(),
         }
@@ -55,21 +55,22 @@
             let answered = members.iter().filter(|m| **m != me && self.answered.contains(m)).count();
             2 * answered >= members.len()
         };
-        let value = &self.best.1;
+        let value = &self.newest.1;
         let outgoing = half_answered(&value.outgoing) || self.is_own_change(me);
         !value.members.is_empty() && half_answered(&value.members) && outgoing
     }
 
-    /// Whether `best` is a membership change that this node itself proposed, in the incarnation right before this one.
+    /// Whether `newest` is a membership change that this node proposed itself, in the incarnation right before this.
     ///
     /// This node had the change on its disk before it sent it to any other node. So a leader of a later epoch that had
-    /// this node's promise also had the change, and needed a majority of the new members, one of which has answered here.
-    /// There was no such leader, as no answering member promised a later epoch. A leader without this node's promise
-    /// would have needed a majority of the old members that includes none of those that answered, or a majority with a
-    /// member of an intermediate incarnation that no longer had the change. Neither exists if those that answered form,
-    /// together with this node, a majority of the old members, as each incarnation has learnt from half of the others.
+    /// this node's promise also had the change, and needed a majority of the new members, one of which has answered
+    /// here. There was no such leader, as no answering member promised a later epoch. A leader without this node's
+    /// promise would have needed a majority of the old members that includes none of those that answered, or a majority
+    /// with a member of an intermediate incarnation that no longer had the change. Neither exists if those that
+    /// answered form, together with this node, a majority of the old members, as each incarnation has learnt from half
+    /// of the others.
     fn is_own_change(&self, me: Node) -> bool {
-        let (ballot, value) = &self.best;
+        let (ballot, value) = &self.newest;
         let answered = value.outgoing.iter().filter(|m| **m != me && self.answered.contains(m)).count();
         ballot.epoch as Node == me
             && self.proposer == self.incarnation
@@ -84,7 +85,7 @@
     pub(crate) fn known_nodes(&self) -> Vec<Node> {
         let mut all = self.newest_value().others(self.me);
         if let Some(learner) = &self.learner {
-            all.extend(learner.best.1.others(self.me));
+            all.extend(learner.newest.1.others(self.me));
             // A node that sent a message may be one of the new members of a change in progress.
             all.extend(self.last_heard.keys());
         }
@@ -104,11 +105,11 @@
             return;
         }
         learner.next_send = self.now + RESEND_INTERVAL;
-        // Nodes that answered are asked again too: with their state of now, fewer answers may be enough (if a membership
-        // change was in progress).
+        // Nodes that answered are asked again too: with their state of now, fewer answers may be enough (if a
+        // membership change was in progress).
         for node in known {
-            let (incarnation, nonce, have) = (learner.incarnation, learner.nonce, learner.best.0);
-            let cluster = learner.best.1.cluster;
+            let (incarnation, nonce, have) = (learner.incarnation, learner.nonce, learner.newest.0);
+            let cluster = learner.newest.1.cluster;
             out.push(Output::Send(node, Msg::Learn { incarnation, nonce, have, cluster }));
         }
     }
@@ -192,16 +193,16 @@
             return;
         }
         // Answers from different clusters must not be combined.
-        match value.as_ref().map_or(Relation::Same, |v| relation(learner.best.1.cluster, v.cluster)) {
+        match value.as_ref().map_or(Relation::Same, |v| relation(learner.newest.1.cluster, v.cluster)) {
             Relation::Same => {}
             Relation::Newer => learner.answered.clear(),
             Relation::Older | Relation::Unrelated => return,
         }
         match value {
-            Some(value) if learner.answered.is_empty() || ballot > learner.best.0 => {
-                (learner.best, learner.proposer) = ((ballot, value), proposer);
+            Some(value) if learner.answered.is_empty() || ballot > learner.newest.0 => {
+                (learner.newest, learner.proposer) = ((ballot, value), proposer);
             }
-            None if ballot > learner.best.0 => return,
+            None if ballot > learner.newest.0 => return,
             _ => {}
         }
         if !learner.answered.contains(&from) {
@@ -217,7 +218,7 @@
     /// The learnt state is complete: from now on this node acts as a member, or asks to become one.
     fn finish_learning(&mut self) {
         let Some(learner) = self.learner.take() else { return };
-        let Learner { incarnation, promised, best: (ballot, value), incarnations, proposer, .. } = learner;
+        let Learner { incarnation, promised, newest: (ballot, value), incarnations, proposer, .. } = learner;
         let (owner, stale) = (self.me, false);
         self.disk.state =
             PersistentState { promised, ballot, value, stale, incarnation, incarnations, owner, proposer };
--- a/consensus/src/leave.rs
+++ b/consensus/src/leave.rs
@@ -17,8 +17,8 @@
 const RETURN_DELAY: f64 = 1.0;
 
 impl Replica {
-    /// Starts an orderly shutdown: from now on this node announces that it leaves, doesn't become a candidate, and doesn't
-    /// ask to be admitted.
+    /// Starts an orderly shutdown: from now on this node announces that it leaves, doesn't become a candidate, and
+    /// doesn't ask to be admitted.
     pub fn leave(&mut self, now: f64, out: &mut Vec<Output>) {
         self.advance_clock(now);
         self.leaving.get_or_insert((self.now, self.now));
@@ -72,7 +72,7 @@
         let removed = |(_, value): &(_, Rc<Value>)| !value.members.contains(&from);
         if self.committed.as_ref().is_some_and(removed) {
             let (promised, commit) = (self.disk.state.promised, self.commit_ballot());
-            out.push(Output::Send(from, Msg::PreVoteRefused { n: 0, promised, leader: 0, commit }));
+            out.push(Output::Send(from, Msg::PreVoteRefused { nonce: 0, promised, leader: 0, commit }));
         }
     }
 
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -211,8 +211,8 @@
         }
         match msg {
             Msg::Alive => {}
-            Msg::PreVote { n, .. } => self.on_pre_vote(from, n, out),
-            Msg::PreVoteGranted { n, promised } => self.on_pre_vote_granted(from, n, promised, out),
+            Msg::PreVote { nonce, .. } => self.on_pre_vote(from, nonce, out),
+            Msg::PreVoteGranted { nonce, promised } => self.on_pre_vote_granted(from, nonce, promised, out),
             Msg::PreVoteRefused { promised, leader, commit, .. } => {
                 self.on_pre_vote_refused(from, promised, leader, commit, out)
             }
--- a/consensus/src/membership.rs
+++ b/consensus/src/membership.rs
@@ -6,8 +6,8 @@
 
 /// A member that sent nothing for this long, seconds, is considered lost.
 const REMOVAL_TIMEOUT: f64 = 5.0;
-/// The same timeout when a replacement is already waiting. The silent member may be gone for good, and then it counts as
-/// a loss only until the replacement has had its time to catch up, which is at least 4 s.
+/// The same timeout when a replacement is already waiting. The silent member may be gone for good, and then it counts
+/// as a loss only until the replacement has had its time to catch up, which is at least 4 s.
 const REPLACEMENT_TIMEOUT: f64 = 1.2;
 /// Time between two requests to be admitted, seconds.
 pub(crate) const JOIN_INTERVAL: f64 = 0.4;
@@ -30,8 +30,8 @@
         }
     }
 
-    /// The leader records the joining node; other nodes reply with the leader and the newest committed ballot, from which
-    /// the joining node finds the members.
+    /// The leader records the joining node; other nodes reply with the leader and the newest committed ballot, from
+    /// which the joining node finds the members.
     pub(crate) fn on_join(&mut self, from: Node, out: &mut Vec<Output>) {
         if !self.newest_value().members.contains(&from) {
             self.last_join_request = self.now;
@@ -39,7 +39,7 @@
         if !matches!(self.role, Role::Leading(_)) {
             let leader = self.leader(self.now).map_or(0, |(node, _)| node);
             let (promised, commit) = (self.disk.state.promised, self.commit_ballot());
-            out.push(Output::Send(from, Msg::PreVoteRefused { n: 0, promised, leader, commit }));
+            out.push(Output::Send(from, Msg::PreVoteRefused { nonce: 0, promised, leader, commit }));
         } else if self.joiners.contains_key(&from) || self.joiners.len() < MAX_JOINERS {
             self.joiners.entry(from).or_insert((self.now, self.now)).1 = self.now;
         }
@@ -53,7 +53,7 @@
     /// Starts or completes a membership change if no proposal is in progress.
     pub(crate) fn change_members(&mut self, out: &mut Vec<Output>) {
         let Role::Leading(leading) = &self.role else { return };
-        let (now, since) = (self.now, leading.since);
+        let (now, silence_from) = (self.now, leading.silence_from);
         let value = self.disk.state.value.clone();
         self.joiners.retain(|node, (_, at)| now - *at <= JOINER_TIMEOUT && !value.members.contains(node));
         let Role::Leading(leading) = &self.role else { return };
@@ -66,12 +66,13 @@
         }
         let silence = |node: Node| match self.last_heard.get(&node) {
             _ if node == self.me => 0.0,
-            Some(at) => now - at.max(since),
-            None => now - since + self.silence_before_leading(node),
+            Some(at) => now - at.max(silence_from),
+            None => now - silence_from + self.silence_before_leading(node),
         };
         // Members that announced their departure are removed first, the leader last among them, then the member that is
-        // silent for longest. The leader is not removed while another member may be lost, i.e. has answered no heartbeat
-        // sent since the leader began to leave: the next leader would measure that member's silence from zero.
+        // silent for longest. The leader is not removed while another member may be lost, i.e. has answered no
+        // heartbeat sent since the leader began to leave: the next leader would measure that member's silence from
+        // zero.
         let leave_requested_at = self.leaving.map_or(now, |(since, _)| since);
         let contact_confirmed = |m: Node| {
             m == self.me || leading.answered(m) >= leave_requested_at || silence(m) > REPLACEMENT_TIMEOUT
--- a/consensus/src/resume.rs
+++ b/consensus/src/resume.rs
@@ -22,7 +22,7 @@
 /// A check whether the saved state is the newest, in progress.
 pub(crate) struct Resuming {
     nonce: u64,
-    since: f64,
+    started_at: f64,
     next_send: f64,
     answered: Vec<Node>,
     /// Nodes that answered with a state of another cluster.
@@ -31,7 +31,13 @@
 
 impl Resuming {
     pub(crate) fn new(now: f64, nonce: u64) -> Resuming {
-        Resuming { nonce, since: now, next_send: now, answered: Vec::new(), other_cluster_nodes: Vec::new() }
+        Resuming {
+            nonce,
+            started_at: now,
+            next_send: now,
+            answered: Vec::new(),
+            other_cluster_nodes: Vec::new(),
+        }
     }
 }
 
@@ -59,7 +65,7 @@
     }
 
     pub(crate) fn resume_wake(&self) -> f64 {
-        let wake = |resuming: &Resuming| resuming.next_send.min(resuming.since + RESUME_TIMEOUT);
+        let wake = |resuming: &Resuming| resuming.next_send.min(resuming.started_at + RESUME_TIMEOUT);
         self.resuming.as_ref().map_or(f64::INFINITY, wake)
     }
 
@@ -141,7 +147,7 @@
         let others = self.newest_value().others(self.me);
         let Some(resuming) = &self.resuming else { return };
         let all = others.iter().all(|node| resuming.answered.contains(node));
-        if !all && self.now < resuming.since + RESUME_TIMEOUT {
+        if !all && self.now < resuming.started_at + RESUME_TIMEOUT {
             return;
         }
         self.silent_at_resume = others.into_iter().filter(|node| !resuming.answered.contains(node)).collect();
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -77,20 +77,30 @@
 /// Messages between nodes. They may be lost, repeated, delayed or reordered without harm.
 ///
 /// Variants are written by name on the wire, their fields by position.
+///
+/// Fields have the same meaning in all variants, except where noted:
+/// - `epoch`: the epoch that the message is about; `promised`: the highest epoch that the sender has promised;
+/// - `ballot`: the position of `value`; `have`: the position of the sender's newest value; `commit`: the newest position
+///   that the sender knows to be committed;
+/// - `nonce`: identifies a request and is repeated in the reply to it;
+/// - `cluster`: the sender's cluster number;
+/// - `incarnation`: the sender's incarnation (in the messages about learning, the learner's); `incarnations`: those of
+///   other nodes that the sender has recorded;
+/// - `proposer`: as in [`PersistentState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
     /// The sender is running.
     Alive,
-    /// Asks whether the receiver would promise an epoch; binding for neither side. `n` identifies the request.
+    /// Asks whether the receiver would promise an epoch; binding for neither side. `nonce` identifies the request.
     #[serde(rename = "Ask")]
-    PreVote { n: u64, cluster: u64 },
+    PreVote { nonce: u64, cluster: u64 },
     /// The sender would promise an epoch to the receiver.
     #[serde(rename = "AskOk")]
-    PreVoteGranted { n: u64, promised: u64 },
+    PreVoteGranted { nonce: u64, promised: u64 },
     /// The sender would not promise an epoch: reports the leader (0 if unknown) and the newest ballot that the sender
-    /// knows to be committed. Also sent, with `n` 0, to nodes that ask to join or leave.
+    /// knows to be committed. Also sent, with `nonce` 0, to nodes that ask to join or leave.
     #[serde(rename = "AskNo")]
-    PreVoteRefused { n: u64, promised: u64, leader: Node, commit: Ballot },
+    PreVoteRefused { nonce: u64, promised: u64, leader: Node, commit: Ballot },
     /// Asks for a promise of this epoch; `have` is the ballot of the sender's newest value.
     Prepare { epoch: u64, have: Ballot, cluster: u64 },
     /// Promises the epoch; contains `value` if `ballot` is above the candidate's `have`.
@@ -195,7 +205,7 @@
     BecameLeader(u64),
     /// The leadership reported by `BecameLeader` has ended.
     LostLeadership,
-    /// The proposal or read barrier with this ticket has ended.
+    /// The proposal or read barrier with this ticket has ended with this outcome.
     Done { ticket: u64, outcome: Outcome },
 }
 
--- a/consensus/tests/faults/losses.rs
+++ b/consensus/tests/faults/losses.rs
@@ -35,7 +35,7 @@
     Start(Node),
     /// Tell the machine to shut down; true if it is to start again.
     Leave(Node, bool),
-    Terminate(Node, bool),
+    Stop(Node, bool),
     Reconnect,
 }
 
@@ -111,9 +111,9 @@
     fn random_member(&mut self, leader: bool) -> Option<Node> {
         let now = self.world.now;
         let is_leaving = |node: Node| {
-            self.pending.iter().any(|(_, pending)| {
-                matches!(pending, Pending::Leave(n, _) | Pending::Terminate(n, _) if *n == node)
-            })
+            self.pending.iter().any(
+                |(_, pending)| matches!(pending, Pending::Leave(n, _) | Pending::Stop(n, _) if *n == node),
+            )
         };
         let is_available =
             |node: &Node| self.lost.get(node).is_none_or(|until| *until <= now) && !is_leaving(*node);
@@ -172,7 +172,7 @@
                 let unfinished = self
                     .pending
                     .iter()
-                    .filter(|(_, pending)| matches!(pending, Pending::Terminate(_, false)))
+                    .filter(|(_, pending)| matches!(pending, Pending::Stop(_, false)))
                     .count();
                 if unfinished > self.remaining_losses() || now < self.power_loss_until {
                     return false;
@@ -183,8 +183,8 @@
                 let recovering = self.lost.values_mut().filter(|until| **until > now);
                 recovering.for_each(|until| *until = until.max(now + downtime + self.catch_up));
                 for node in self.nodes.clone() {
-                    let is_ending = |pending: &(f64, Pending)| matches!(pending.1, Pending::Terminate(n, false) if n == node);
-                    if let Some(nth) = self.pending.iter().position(is_ending) {
+                    let ends = |due: &(f64, Pending)| matches!(due.1, Pending::Stop(n, false) if n == node);
+                    if let Some(nth) = self.pending.iter().position(ends) {
                         // It was not removed yet, so it is one more loss.
                         self.pending.swap_remove(nth);
                         self.remove_machine(node);
@@ -222,7 +222,8 @@
         true
     }
 
-    /// Starts the process of a machine that is not lost for good; its settings name three of the current other machines.
+    /// Starts the process of a machine that is not lost for good; its settings name three of the current other
+    /// machines.
     fn start(&mut self, node: Node) {
         if self.world.process(node).is_none() && self.nodes.contains(&node) {
             let mut others: Vec<Node> = self.nodes.iter().copied().filter(|&other| other != node).collect();
@@ -253,10 +254,10 @@
             }
             Pending::Leave(node, restart) => {
                 self.world.leave(node);
-                self.pending.push((now + TERMINATION_GRACE, Pending::Terminate(node, restart)));
+                self.pending.push((now + TERMINATION_GRACE, Pending::Stop(node, restart)));
             }
-            Pending::Terminate(node, false) => self.remove_machine(node),
-            Pending::Terminate(node, true) => {
+            Pending::Stop(node, false) => self.remove_machine(node),
+            Pending::Stop(node, true) => {
                 self.world.kill(node);
                 let at = now + self.world.rng.f64() * 0.5;
                 self.pending.push((at, Pending::Start(node)));
@@ -274,7 +275,7 @@
             let may_stop =
                 |node: Node| self.world.process(node).is_none_or(|member| member.replica.can_stop());
             let ready = |pending: &(f64, Pending)| match pending {
-                (at, Pending::Terminate(node, _)) => *at <= now || may_stop(*node),
+                (at, Pending::Stop(node, _)) => *at <= now || may_stop(*node),
                 (at, _) => *at <= now,
             };
             let ready: Vec<usize> = (0..self.pending.len()).filter(|&n| ready(&self.pending[n])).collect();
@@ -346,8 +347,8 @@
         .collect()
 }
 
-/// Applies the events in this order, each as soon as the remaining losses allow it but at least `gap` after the previous
-/// one; then the last fault.
+/// Applies the events in this order, each as soon as the remaining losses allow it but at least `gap` after the
+/// previous one; then the last fault.
 fn run_order(seed: u64, (founders, all): (usize, usize), gap: f64, order: &[Event]) {
     let mut cluster = Cluster::new(seed, founders, all);
     for &event in order {
@@ -376,8 +377,8 @@
     Event::Wipe { count: 2, leader: true },
 ];
 
-/// Guards against a lost majority after two planned replacements, the second of the leader, one lost disk, and two more at
-/// the end.
+/// Guards against a lost majority after two planned replacements, the second of the leader, one lost disk, and two more
+/// at the end.
 #[test]
 fn five_members_two_replaced_two_wiped() {
     for seed in 0..20 {
--- a/consensus/tests/faults/membership_changes.rs
+++ b/consensus/tests/faults/membership_changes.rs
@@ -1,5 +1,5 @@
-//! Membership changes while disks are lost: a member is gone for good, its replacement is being admitted, and the leader
-//! that proposed this loses its disk at any moment of the change.
+//! Membership changes while disks are lost: a member is gone for good, its replacement is being admitted, and the
+//! leader that proposed this loses its disk at any moment of the change.
 
 use crate::world::World;
 use lupinledge_consensus::Node;
--- a/consensus/tests/faults/random_faults.rs
+++ b/consensus/tests/faults/random_faults.rs
@@ -1,4 +1,5 @@
-//! Random schedules of all faults at once, by seed: nothing acknowledged is lost, and service recovers after the faults.
+//! Random schedules of all faults at once, by seed: nothing acknowledged is lost, and service recovers after the
+//! faults.
 
 use crate::world::{Member, World};
 use lupinledge_consensus::Node;
--- a/consensus/tests/faults/restored_copies.rs
+++ b/consensus/tests/faults/restored_copies.rs
@@ -7,8 +7,8 @@
 /// All processes are back within this time after a power loss of all machines, seconds.
 const RESTART_SPREAD: f64 = 1.0;
 
-/// As many members as may be lost come back with older copies, after changes that as many others did not receive because
-/// they were cut off. `power_loss`: all machines lose power at that moment.
+/// As many members as may be lost come back with older copies, after changes that as many others did not receive
+/// because they were cut off. `power_loss`: all machines lose power at that moment.
 fn restore_copies(seed: u64, members: &[Node], power_loss: bool) {
     let mut world = World::new(seed, members);
     let count = world.tolerate;
--- a/consensus/tests/faults/shutdown.rs
+++ b/consensus/tests/faults/shutdown.rs
@@ -230,9 +230,9 @@
     }
 }
 
-/// A member was down while it was removed. Then all nodes restart, and it becomes a candidate and gets promises from the
-/// members it knew before there is a leader. The first refusal tells it that it is no longer a member, and it asks to be
-/// admitted.
+/// A member was down while it was removed. Then all nodes restart, and it becomes a candidate and gets promises from
+/// the members it knew before there is a leader. The first refusal tells it that it is no longer a member, and it asks
+/// to be admitted.
 #[test]
 fn member_removed_while_down_learns_of_it_from_a_refusal() {
     for seed in 0..200 {
--- a/consensus/tests/faults/single_replica.rs
+++ b/consensus/tests/faults/single_replica.rs
@@ -85,11 +85,14 @@
     fn become_candidate(&mut self, others: &[Node]) -> Vec<(Node, Msg)> {
         let asked = self.tick_for(1.0);
         let pre_vote = asked.iter().rev().find_map(|(_, msg)| match msg {
-            Msg::PreVote { n, .. } => Some(*n),
+            Msg::PreVote { nonce, .. } => Some(*nonce),
             _ => None,
         });
-        let n = pre_vote.expect("it asks for pre-votes");
-        others.iter().flat_map(|&node| self.receive(node, Msg::PreVoteGranted { n, promised: 0 })).collect()
+        let nonce = pre_vote.expect("it asks for pre-votes");
+        others
+            .iter()
+            .flat_map(|&node| self.receive(node, Msg::PreVoteGranted { nonce, promised: 0 }))
+            .collect()
     }
 
     /// Becomes the leader of its epoch 1 with promises of `others`; the value it took over is not committed yet.
@@ -261,7 +264,7 @@
         ),
         []
     );
-    assert_eq!(harness.receive(20, Msg::PreVote { n: 1, cluster: 0 }), []);
+    assert_eq!(harness.receive(20, Msg::PreVote { nonce: 1, cluster: 0 }), []);
     let beat = Msg::Heartbeat { epoch: epoch(1, 20), commit: Ballot::default(), nonce: 1, cluster: 0 };
     assert_eq!(harness.receive(20, beat), [(20, Msg::Alive)]);
     let learnt = |promised, ballot| {
--- a/consensus/tests/large.rs
+++ b/consensus/tests/large.rs
@@ -1,5 +1,5 @@
-//! Guards against flooding a slow link with a large value: it must not be resent to members that don't answer, or fetched
-//! again from a leader that doesn't, before it can have been transferred.
+//! Guards against flooding a slow link with a large value: it must not be resent to members that don't answer, or
+//! fetched again from a leader that doesn't, before it can have been transferred.
 
 mod common;
 
@@ -34,7 +34,7 @@
             };
             let (ballot, incarnation, incarnations) = (Ballot::default(), 0, Vec::new());
             let answer = match msg {
-                Msg::PreVote { n, .. } => Msg::PreVoteGranted { n, promised: 0 },
+                Msg::PreVote { nonce, .. } => Msg::PreVoteGranted { nonce, promised: 0 },
                 Msg::Prepare { epoch, .. } => {
                     Msg::Promise { epoch, ballot, value: None, incarnation, incarnations }
                 }
@@ -71,7 +71,8 @@
     }
 }
 
-/// Counts how often a member that is behind fetches the newest value within ten seconds from a leader that doesn't answer.
+/// Counts how often a member that is behind fetches the newest value within ten seconds from a leader that doesn't
+/// answer.
 fn count_fetches(body: usize) -> usize {
     let (epoch, index) = (1 << 32 | 2, 1);
     let value =
