--- a/config/src/differ.rs
+++ b/config/src/difference.rs
@@ -8,7 +8,7 @@
 
 impl Tables {
     /// Names of what differs from other tables, the first few of a part.
-    pub fn differing(&self, other: &Tables, part: Part) -> Vec<String> {
+    pub fn differing_names(&self, other: &Tables, part: Part) -> Vec<String> {
         let differing = |own: Vec<(String, String)>, others: Vec<(String, String)>| {
             let one =
                 own.iter().filter(|o| !others.contains(o)).chain(others.iter().filter(|o| !own.contains(o)));
--- a/config/src/doc.rs
+++ b/config/src/document.rs
@@ -1,9 +1,9 @@
 //! The document that the core agrees on: the configuration as sent, the evacuated zones, and what was taken
 //! before. Orders turn one document into the next; nothing here decides who may do so.
 
+use crate::accepted::{body_hash, AcceptedConfigs, Lookup};
 use crate::check::{check_read, read_bounded};
-use crate::kind::{Fault, Kind};
-use crate::taken::{body_hash, Known, Taken};
+use crate::error::{ConfigError, ErrorKind};
 use serde::{Deserialize, Serialize};
 
 /// What all have to know, whole.
@@ -15,11 +15,11 @@
     /// Its number; 0 where there is none.
     pub version: u64,
     /// Names of the evacuated zones, sorted.
-    pub evacuated: Vec<String>,
+    pub evacuated_zones: Vec<String>,
     /// Raised by one with each change.
     pub serial: u64,
     /// The configurations that were taken; not told to the edge, see [`Document::split`].
-    pub taken: Taken,
+    pub accepted: AcceptedConfigs,
 }
 
 /// What becomes of a configuration that an operator puts.
@@ -32,7 +32,7 @@
     /// It is refused, with the kind's status.
     Refuse {
         /// Decides the answer.
-        kind: Kind,
+        kind: ErrorKind,
         /// Names the field and what is wrong with it.
         text: String,
     },
@@ -53,46 +53,46 @@
         }
     }
 
-    fn taken_on(&self, body: &[u8]) -> Result<Verdict, Fault> {
+    fn taken_on(&self, body: &[u8]) -> Result<Verdict, ConfigError> {
         let config = read_bounded(body)?;
         let (version, base) = (config.version.0, config.base_version.0);
         let hash = body_hash(body);
-        match self.taken.look(self.version, version, &hash) {
-            Known::Taken => return Ok(Verdict::Already),
+        match self.accepted.look_up(self.version, version, &hash) {
+            Lookup::Accepted => return Ok(Verdict::Already),
             // one that was taken came after its base, and others than those in force came before it
-            Known::Forgotten if base < version && version < self.version => {
+            Lookup::Forgotten if base < version && version < self.version => {
                 let text = format!("{} was current too long ago to tell what was taken", config.version);
-                return Err(Fault::new(Kind::Unsettled, "version", text));
+                return Err(ConfigError::new(ErrorKind::Unsettled, "version", text));
             }
-            Known::NotTaken | Known::Forgotten => {}
+            Lookup::NotAccepted | Lookup::Forgotten => {}
         }
         check_read(&config, self.version)?;
         let mut next = self.next();
         (next.config, next.version) = (Some(body.to_vec()), version);
-        next.taken.push(version - self.version, hash);
+        next.accepted.push(version - self.version, hash);
         Ok(Verdict::Take(next))
     }
 
     /// The document with the zone emptied; none where it is already. Whether there is such a zone is for the
-    /// caller to check ([`crate::Settings::has_zone`], else [`Kind::UnknownZone`]): this bounds the list too.
+    /// caller to check ([`crate::Settings::has_zone`], else [`ErrorKind::UnknownZone`]): this bounds the list too.
     pub fn evacuate(&self, zone: &str) -> Option<Document> {
-        let at = self.evacuated.binary_search_by(|z| z.as_str().cmp(zone)).err()?;
+        let at = self.evacuated_zones.binary_search_by(|z| z.as_str().cmp(zone)).err()?;
         let mut next = self.next();
-        next.evacuated.insert(at, zone.to_string());
+        next.evacuated_zones.insert(at, zone.to_string());
         Some(next)
     }
 
     /// The document with the zone taken back; none where it is not evacuated.
     pub fn restore(&self, zone: &str) -> Option<Document> {
-        let at = self.evacuated.binary_search_by(|z| z.as_str().cmp(zone)).ok()?;
+        let at = self.evacuated_zones.binary_search_by(|z| z.as_str().cmp(zone)).ok()?;
         let mut next = self.next();
-        next.evacuated.remove(at);
+        next.evacuated_zones.remove(at);
         Some(next)
     }
 
     /// Without the memory of what was taken, which the core alone needs, and that memory.
-    pub fn split(mut self) -> (Document, Taken) {
-        let taken = std::mem::take(&mut self.taken);
+    pub fn split_accepted(mut self) -> (Document, AcceptedConfigs) {
+        let taken = std::mem::take(&mut self.accepted);
         (self, taken)
     }
 
--- a/config/src/kind.rs
+++ b/config/src/error.rs
@@ -4,7 +4,7 @@
 
 /// What may be wrong with an operator's or another caller's order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum ErrorKind {
     /// The body is not JSON, or ends too early.
     Malformed,
     /// The body can be read, but breaks a rule for configurations.
@@ -28,22 +28,22 @@
 }
 
 /// The table from kind to status and name.
-const TABLE: [(Kind, u16, &str); 10] = [
-    (Kind::Malformed, 400, "malformed"),
-    (Kind::Invalid, 400, "invalid"),
-    (Kind::Stale, 412, "stale"),
-    (Kind::UnknownZone, 404, "unknown_zone"),
-    (Kind::TooLarge, 413, "too_large"),
-    (Kind::NotHolder, 503, "not_holder"),
-    (Kind::Unsettled, 503, "unsettled"),
-    (Kind::NoSuchPath, 404, "no_such_path"),
-    (Kind::NoSuchMethod, 405, "no_such_method"),
-    (Kind::Overloaded, 503, "overloaded"),
+const TABLE: [(ErrorKind, u16, &str); 10] = [
+    (ErrorKind::Malformed, 400, "malformed"),
+    (ErrorKind::Invalid, 400, "invalid"),
+    (ErrorKind::Stale, 412, "stale"),
+    (ErrorKind::UnknownZone, 404, "unknown_zone"),
+    (ErrorKind::TooLarge, 413, "too_large"),
+    (ErrorKind::NotHolder, 503, "not_holder"),
+    (ErrorKind::Unsettled, 503, "unsettled"),
+    (ErrorKind::NoSuchPath, 404, "no_such_path"),
+    (ErrorKind::NoSuchMethod, 405, "no_such_method"),
+    (ErrorKind::Overloaded, 503, "overloaded"),
 ];
 
-impl Kind {
+impl ErrorKind {
     /// Every kind, in the order of the table.
-    pub fn all() -> impl Iterator<Item = Kind> {
+    pub fn all() -> impl Iterator<Item = ErrorKind> {
         TABLE.iter().map(|row| row.0)
     }
 
@@ -58,7 +58,7 @@
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for ErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -66,32 +66,32 @@
 
 /// What is wrong, and where.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ConfigError {
     /// Decides the answer.
-    pub kind: Kind,
+    pub kind: ErrorKind,
     /// Path of the field, as in `listeners[0].rules[2].action.timeout_s`; empty for the whole body.
     pub field: String,
     /// What is wrong with it, for people.
-    pub text: String,
+    pub message: String,
 }
 
-impl Fault {
-    pub(crate) fn new(kind: Kind, field: impl Into<String>, text: impl Into<String>) -> Fault {
-        Fault { kind, field: field.into(), text: text.into() }
+impl ConfigError {
+    pub(crate) fn new(kind: ErrorKind, field: impl Into<String>, text: impl Into<String>) -> ConfigError {
+        ConfigError { kind, field: field.into(), message: text.into() }
     }
 
-    pub(crate) fn invalid(field: impl Into<String>, text: impl Into<String>) -> Fault {
-        Fault::new(Kind::Invalid, field, text)
+    pub(crate) fn invalid(field: impl Into<String>, text: impl Into<String>) -> ConfigError {
+        ConfigError::new(ErrorKind::Invalid, field, text)
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.field.is_empty() {
-            return f.write_str(&self.text);
+            return f.write_str(&self.message);
         }
-        write!(f, "{}: {}", self.field, self.text)
+        write!(f, "{}: {}", self.field, self.message)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigError {}
--- a/config/src/print.rs
+++ b/config/src/fingerprint.rs
@@ -17,7 +17,7 @@
 }
 
 impl Part {
-    /// All, in the order of [`Print::parts`].
+    /// All, in the order of [`Fingerprints::parts`].
     pub const ALL: [Part; 5] = [Part::Routes, Part::Tenants, Part::Clusters, Part::Evacuations, Part::Limits];
 
     /// As logs and operators have it.
@@ -43,7 +43,7 @@
 
 /// A fingerprint a part.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Print {
+pub struct Fingerprints {
     /// Hosts, prefixes and all that routes say.
     pub routes: u64,
     /// Tenants with their keys and quotas.
@@ -105,11 +105,11 @@
     }
 }
 
-impl Print {
+impl Fingerprints {
     /// Of tables as they are in memory now.
-    pub(crate) fn of(tables: &Tables) -> Print {
+    pub(crate) fn of(tables: &Tables) -> Fingerprints {
         let [routes, tenants, clusters, evacuations, limits] = Part::ALL.map(|p| of_part(tables, p));
-        Print { routes, tenants, clusters, evacuations, limits }
+        Fingerprints { routes, tenants, clusters, evacuations, limits }
     }
 
     /// In the order of [`Part::ALL`].
@@ -135,7 +135,7 @@
     }
 
     /// All parts in a few bytes, never 0; the first byte is the form, see [`comparable`].
-    pub fn folded(&self) -> u32 {
+    pub fn combined(&self) -> u32 {
         let all = self.parts().into_iter().fold(Hash::new(), Hash::num).end();
         FORM << 24 | ((all as u32 & 0x00ff_ffff).max(1))
     }
@@ -158,7 +158,7 @@
             }
             let tenants = tables.tenants().iter().zip(&keys);
             let tenants = tenants.map(|(t, keys)| tenant(t).texts(keys.iter().copied()).end());
-            Hash::new().num(tables.keyed() as u64).num(nowhere).set(tenants).end()
+            Hash::new().num(tables.requires_key() as u64).num(nowhere).set(tenants).end()
         }
         Part::Clusters => Hash::new().set(tables.services().iter().map(service)).end(),
         Part::Evacuations => Hash::new().texts(tables.evacuations()).end(),
@@ -185,12 +185,12 @@
     };
     let h = Hash::new().text(&r.name).text(&r.key).set(r.services.iter().map(part)).num(kind);
     let h = h.figure(r.timeout).figure(r.target).num(r.priority as u64).num(r.public as u64);
-    h.num(r.max_attempts as u64).texts(r.homes.iter().map(String::as_str)).end()
+    h.num(r.max_attempts as u64).texts(r.home_regions.iter().map(String::as_str)).end()
 }
 
 fn tenant(t: &Tenant) -> Hash {
     let h = Hash::new().text(&t.name).figure(t.rate).figure(t.burst).num(t.priority as u64);
-    h.texts(t.homes.iter().map(String::as_str))
+    h.texts(t.home_regions.iter().map(String::as_str))
 }
 
 fn service(s: &Service) -> u64 {
--- a/config/src/host.rs
+++ b/config/src/host.rs
@@ -1,7 +1,7 @@
 //! The host of a request or a listener.
 
 /// A host as it is compared: without port, in small letters.
-pub fn host_of(header: &str) -> String {
+pub fn normalized_host(header: &str) -> String {
     without_port(header).to_ascii_lowercase()
 }
 
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -14,30 +14,30 @@
 //!
 //! All times are in seconds.
 
+pub mod accepted;
+pub mod change_queue;
 pub mod check;
 pub mod config;
-mod differ;
-pub mod doc;
-pub mod homes;
+mod difference;
+pub mod document;
+pub mod error;
+pub mod fingerprint;
+pub mod home_regions;
 pub mod host;
-pub mod kind;
 pub mod order;
-pub mod plain;
-pub mod print;
 mod read;
+pub mod reference;
 pub mod settings;
 pub mod tables;
-pub mod taken;
-pub mod turns;
 
+pub use accepted::AcceptedConfigs;
+pub use change_queue::ChangeQueue;
 pub use check::check;
 pub use config::Config;
-pub use doc::{Document, Verdict};
-pub use homes::Homes;
-pub use kind::{Fault, Kind};
-pub use order::{Answer, Judged, Order};
-pub use print::{comparable, Part, Print};
+pub use document::{Document, Verdict};
+pub use error::{ConfigError, ErrorKind};
+pub use fingerprint::{comparable, Fingerprints, Part};
+pub use home_regions::HomeRegions;
+pub use order::{Answer, Decision, Order};
 pub use settings::Settings;
-pub use tables::{Route, Service, Tables, Tenant, DRIFTS};
-pub use taken::Taken;
-pub use turns::Turns;
+pub use tables::{Route, Service, Tables, Tenant, CORRUPTION_ENABLED};
--- a/config/src/order.rs
+++ b/config/src/order.rs
@@ -1,6 +1,6 @@
 //! What an operator may order, and what that comes to on top of a document.
 
-use crate::{Document, Kind, Verdict};
+use crate::{Document, ErrorKind, Verdict};
 
 /// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Refused; the text names the field that is at fault.
     Refused {
         /// Decides the answer.
-        kind: Kind,
+        kind: ErrorKind,
         /// For people.
         text: String,
     },
@@ -33,38 +33,41 @@
 
 /// What an order comes to on top of a document.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Judged {
+pub enum Decision {
     /// It can be said without asking anyone.
-    Now(Answer),
+    Reply(Answer),
     /// It speaks for the whole: the whole has to be asked first whether the document is still the newest.
-    Said(Answer),
+    ReplyIfNewest(Answer),
     /// This one is to be agreed on; `Done` once it is.
-    Take(Document),
+    Propose(Document),
 }
 
 impl Document {
     /// Judges an order on top of this document; `known` says whether there is such a zone.
-    pub fn judge(&self, order: Order, known: impl Fn(&str) -> bool) -> Judged {
+    pub fn decide(&self, order: Order, known: impl Fn(&str) -> bool) -> Decision {
         // what was done before is said, and can be undone, also where the zone has left the settings since
         let changed = |zone: &str, change: Option<Document>| match change {
-            _ if !known(zone) && !self.evacuated.iter().any(|z| z == zone) => {
-                Judged::Now(Answer::Refused { kind: Kind::UnknownZone, text: format!("zone: {zone}") })
+            _ if !known(zone) && !self.evacuated_zones.iter().any(|z| z == zone) => {
+                Decision::Reply(Answer::Refused {
+                    kind: ErrorKind::UnknownZone,
+                    text: format!("zone: {zone}"),
+                })
             }
-            Some(document) => Judged::Take(document),
-            None => Judged::Said(Answer::Done),
+            Some(document) => Decision::Propose(document),
+            None => Decision::ReplyIfNewest(Answer::Done),
         };
         match order {
-            Order::Get => Judged::Said(match &self.config {
+            Order::Get => Decision::ReplyIfNewest(match &self.config {
                 Some(config) => Answer::Config(config.clone()),
-                None => Answer::Refused { kind: Kind::NoSuchPath, text: "no configuration yet".into() },
+                None => Answer::Refused { kind: ErrorKind::NoSuchPath, text: "no configuration yet".into() },
             }),
             Order::Put(body) => match self.put(body) {
-                Verdict::Take(document) => Judged::Take(document),
-                Verdict::Already => Judged::Said(Answer::Done),
-                Verdict::Refuse { kind: Kind::Malformed, text } => {
-                    Judged::Now(Answer::Refused { kind: Kind::Malformed, text })
+                Verdict::Take(document) => Decision::Propose(document),
+                Verdict::Already => Decision::ReplyIfNewest(Answer::Done),
+                Verdict::Refuse { kind: ErrorKind::Malformed, text } => {
+                    Decision::Reply(Answer::Refused { kind: ErrorKind::Malformed, text })
                 }
-                Verdict::Refuse { kind, text } => Judged::Said(Answer::Refused { kind, text }),
+                Verdict::Refuse { kind, text } => Decision::ReplyIfNewest(Answer::Refused { kind, text }),
             },
             Order::Evacuate(zone) => changed(zone, self.evacuate(zone)),
             Order::Restore(zone) => changed(zone, self.restore(zone)),
--- a/config/src/read.rs
+++ b/config/src/read.rs
@@ -1,12 +1,14 @@
 //! Reading JSON: the first thing wrong is told with the path of its field. Checks that several types share.
 
-use crate::kind::{Fault, Kind};
+use crate::error::{ConfigError, ErrorKind};
 use garde::Validate;
 use serde::{Deserialize, Deserializer};
 use serde_json::error::Category;
 
 /// The whole of the bytes as one value, with the checks that its type carries.
-pub(crate) fn read<T: for<'de> Deserialize<'de> + Validate<Context = ()>>(bytes: &[u8]) -> Result<T, Fault> {
+pub(crate) fn read<T: for<'de> Deserialize<'de> + Validate<Context = ()>>(
+    bytes: &[u8],
+) -> Result<T, ConfigError> {
     let mut json = serde_json::Deserializer::from_slice(bytes);
     let value: T = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = match e.path().to_string() {
@@ -17,17 +19,17 @@
     })?;
     json.end().map_err(|e| unreadable(String::new(), &e))?;
     value.validate().map_err(|report| match report.iter().next() {
-        Some((path, error)) => Fault::invalid(path.to_string().replace("r#", ""), error.to_string()),
-        None => Fault::invalid("", "breaks a rule"),
+        Some((path, error)) => ConfigError::invalid(path.to_string().replace("r#", ""), error.to_string()),
+        None => ConfigError::invalid("", "breaks a rule"),
     })?;
     Ok(value)
 }
 
-fn unreadable(path: String, e: &serde_json::Error) -> Fault {
+fn unreadable(path: String, e: &serde_json::Error) -> ConfigError {
     let text = e.to_string();
     match e.classify() {
-        Category::Syntax | Category::Eof | Category::Io => Fault::new(Kind::Malformed, path, text),
-        Category::Data => Fault::invalid(missing(path, &text), text),
+        Category::Syntax | Category::Eof | Category::Io => ConfigError::new(ErrorKind::Malformed, path, text),
+        Category::Data => ConfigError::invalid(missing(path, &text), text),
     }
 }
 
--- a/config/src/plain.rs
+++ b/config/src/reference.rs
@@ -2,7 +2,7 @@
 //! tables decide is compared with it, in tests and by processes that probe themselves.
 
 use crate::config::{Config, RouteKind, Rule};
-use crate::host::host_of;
+use crate::host::normalized_host;
 use crate::Tables;
 
 /// A request as far as routing reads it.
@@ -18,7 +18,7 @@
 
 /// What becomes of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Way {
+pub struct RoutingResult {
     /// The route's name.
     pub route: String,
     /// Services with their weights, those above 0, sorted.
@@ -50,14 +50,15 @@
 }
 
 /// By the configuration itself. None for no route.
-pub fn way(config: &Config, probe: &Probe) -> Option<Way> {
+pub fn route_by_scan(config: &Config, probe: &Probe) -> Option<RoutingResult> {
     let path: String = probe.path.chars().take_while(|c| !matches!(c, '?' | '#')).collect();
-    let listeners = config.listeners.iter().filter(|l| host_of(&l.host) == host_of(&probe.host));
+    let listeners =
+        config.listeners.iter().filter(|l| normalized_host(&l.host) == normalized_host(&probe.host));
     let fits = listeners.flat_map(|l| &l.rules).filter(|r| path.starts_with(&r.r#match.path_prefix));
     let rule = fits.max_by_key(|r| r.r#match.path_prefix.len())?;
     let tenant =
         config.tenants.iter().flatten().find(|t| t.api_keys.iter().any(|k| Some(k) == probe.key.as_ref()));
-    Some(Way {
+    Some(RoutingResult {
         route: rule.name.clone(),
         services: sorted(parts(rule)),
         kind: rule.route_kind,
@@ -69,28 +70,28 @@
 }
 
 /// By the tables that forwarding reads.
-pub fn way_in(tables: &Tables, probe: &Probe) -> Option<Way> {
+pub fn route_with_tables(tables: &Tables, probe: &Probe) -> Option<RoutingResult> {
     let route = tables.route(&probe.host, &probe.path)?;
     let name = |i: usize| tables.services().get(i).map_or(String::new(), |s| s.name.clone());
     let tenant = probe.key.as_ref().and_then(|k| tables.tenant(k));
-    Some(Way {
+    Some(RoutingResult {
         route: route.name.clone(),
         services: sorted(route.services.iter().map(|&(i, w)| (name(i), w)).collect()),
         kind: route.kind,
         timeout: route.timeout,
         attempts: route.max_attempts,
         tenant: tenant.map(|t| (t.name.clone(), t.rate, t.burst, t.priority)),
-        refused: tables.keyed() && !route.public && tenant.is_none(),
+        refused: tables.requires_key() && !route.public && tenant.is_none(),
     })
 }
 
 /// A request drawn from the intent: mostly one that it serves, now and then one that it only nearly does.
-pub fn draw(config: &Config, r: &mut fastrand::Rng) -> Option<Probe> {
+pub fn random_probe(config: &Config, r: &mut fastrand::Rng) -> Option<Probe> {
     let listener = r.choice(&config.listeners)?;
     let rule = r.choice(&listener.rules)?;
     let host = match r.u8(0..4) {
         0 => listener.host.to_ascii_uppercase(),
-        1 => host_of(&listener.host) + ":8389",
+        1 => normalized_host(&listener.host) + ":8389",
         _ => listener.host.clone(),
     };
     let prefix = &rule.r#match.path_prefix;
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -291,7 +291,7 @@
     }
 
     /// This process among the system's own: the address as a number.
-    pub fn node(&self) -> u32 {
+    pub fn node_id(&self) -> u32 {
         u32::from(self.ip)
     }
 
--- a/config/src/tables.rs
+++ b/config/src/tables.rs
@@ -1,10 +1,10 @@
 //! What the data plane looks up: built once for each document, read for each request.
 
 use crate::config::{self, Config, RouteKind};
-use crate::doc::Document;
-use crate::host::{host_of, without_port};
-use crate::kind::Fault;
-use crate::print::{of_part, Hash, Part, Print};
+use crate::document::Document;
+use crate::error::ConfigError;
+use crate::fingerprint::{of_part, Fingerprints, Hash, Part};
+use crate::host::{normalized_host, without_port};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Routes, tenants, services, limits and zones of one document.
@@ -20,7 +20,7 @@
     limits: Limits,
     evacuated: HashSet<String>,
     zones: HashMap<String, String>,
-    print: Print,
+    print: Fingerprints,
 }
 
 /// Where the requests of a host and prefix go.
@@ -47,7 +47,7 @@
     /// Servers that one try may be sent to, 1 or more.
     pub max_attempts: u32,
     /// Regions that may serve it; empty for all.
-    pub homes: Vec<String>,
+    pub home_regions: Vec<String>,
 }
 
 /// A customer.
@@ -56,7 +56,7 @@
     /// Servers are told it.
     pub name: String,
     /// Number in the names of its counters (40 bits), the same on all machines and in all versions.
-    pub customer: u64,
+    pub id: u64,
     /// Requests a second over all gateways; 0 for no limit.
     pub rate: f64,
     /// Requests beyond that rate.
@@ -64,13 +64,13 @@
     /// Rank, 0 is highest; it outranks the route's.
     pub priority: u32,
     /// Regions that may serve it; empty for all.
-    pub homes: Vec<String>,
+    pub home_regions: Vec<String>,
 }
 
 impl Tenant {
     /// How much its quota leaves at once. Of a large burst a fifth is kept for what gateways decide alone, without each
     /// other's last sends; a small one, whose clumps are few, is read with some room, far within what the rule leaves.
-    pub fn store_size(&self) -> f64 {
+    pub fn bucket_capacity(&self) -> f64 {
         match self.rate > 0.0 {
             true => (0.8 * self.burst + 6.0).min(self.burst + 3.0),
             false => 0.0,
@@ -126,7 +126,7 @@
 impl Route {
     /// The service for a request, by weight; `r` is drawn evenly from 0 to below 1. None where no service has
     /// a weight above 0.
-    pub fn choose(&self, r: f64) -> Option<usize> {
+    pub fn choose_service(&self, r: f64) -> Option<usize> {
         let open = self.services.iter().filter(|s| s.1 > 0.0);
         let mut left = r.clamp(0.0, 1.0) * open.clone().map(|s| s.1).sum::<f64>();
         let mut last = None;
@@ -154,15 +154,15 @@
 impl Tables {
     /// Tables of a document; `zones` is the map of zones to regions from the settings. A document that holds
     /// no configuration gives tables without routes.
-    pub fn new(document: &Document, zones: &BTreeMap<String, String>) -> Result<Tables, Fault> {
+    pub fn new(document: &Document, zones: &BTreeMap<String, String>) -> Result<Tables, ConfigError> {
         let mut tables = match &document.config {
-            Some(bytes) => Tables::of(Config::read(bytes)?),
+            Some(bytes) => Tables::of(Config::parse(bytes)?),
             None => Tables::default(),
         };
         tables.version = document.version;
-        tables.evacuated = document.evacuated.iter().cloned().collect();
+        tables.evacuated = document.evacuated_zones.iter().cloned().collect();
         tables.zones = zones.iter().map(|(z, r)| (z.clone(), r.clone())).collect();
-        tables.print = Print::of(&tables);
+        tables.print = Fingerprints::of(&tables);
         Ok(tables)
     }
 
@@ -172,7 +172,7 @@
         let by_name: HashMap<_, _> =
             tables.services.iter().enumerate().map(|(i, s)| (s.name.clone(), i)).collect();
         for l in config.listeners {
-            let host = host_of(&l.host);
+            let host = normalized_host(&l.host);
             tables.routes.extend(l.rules.into_iter().map(|rule| route(&host, rule, &by_name)));
         }
         for (i, r) in tables.routes.iter().enumerate() {
@@ -209,19 +209,19 @@
     }
 
     /// Whether requests need a key, but on public routes: the configuration has tenants, maybe none of them.
-    pub fn keyed(&self) -> bool {
+    pub fn requires_key(&self) -> bool {
         self.keyed
     }
 
     /// Whether the zone's region is a home of both the route and the tenant, where they have homes.
-    pub fn at_home(&self, route: &Route, tenant: Option<&Tenant>, zone: &str) -> bool {
+    pub fn is_allowed_in(&self, route: &Route, tenant: Option<&Tenant>, zone: &str) -> bool {
         let region = self.region(zone);
         let home = |homes: &[String]| homes.is_empty() || homes.iter().any(|h| Some(h.as_str()) == region);
-        home(&route.homes) && tenant.is_none_or(|t| home(&t.homes))
+        home(&route.home_regions) && tenant.is_none_or(|t| home(&t.home_regions))
     }
 
     /// Whether the zone is evacuated.
-    pub fn evacuated(&self, zone: &str) -> bool {
+    pub fn is_evacuated(&self, zone: &str) -> bool {
         self.evacuated.contains(zone)
     }
 
@@ -256,13 +256,13 @@
     }
 
     /// Fingerprints of the parts, made when the tables were built.
-    pub fn print(&self) -> Print {
+    pub fn fingerprints(&self) -> Fingerprints {
         self.print
     }
 
     /// A part's fingerprint worked out anew from what is in memory now: another one than when the tables were built
     /// means that they were changed since.
-    pub fn reprint(&self, part: Part) -> u64 {
+    pub fn recompute_fingerprint(&self, part: Part) -> u64 {
         of_part(self, part)
     }
 
@@ -279,9 +279,9 @@
     }
 
     /// Changes the tables in memory behind everybody's back, as a fault would: only where tests built it in, else
-    /// nothing happens. See [`DRIFTS`].
+    /// nothing happens. See [`CORRUPTION_ENABLED`].
     #[cfg_attr(not(feature = "drift"), allow(unused_variables))]
-    pub fn drift(&mut self, how: &str) {
+    pub fn corrupt(&mut self, how: &str) {
         #[cfg(feature = "drift")]
         assert!(how != "panic", "as the test asks for");
         #[cfg(feature = "drift")]
@@ -301,7 +301,7 @@
 }
 
 /// Whether [`Tables::drift`] does anything in this build.
-pub const DRIFTS: bool = cfg!(feature = "drift");
+pub const CORRUPTION_ENABLED: bool = cfg!(feature = "drift");
 
 fn route(host: &str, rule: config::Rule, by_name: &HashMap<String, usize>) -> Route {
     let action = rule.action;
@@ -320,17 +320,17 @@
         priority: rule.priority as u32,
         public: rule.public,
         max_attempts: (action.max_attempts as u32).max(1),
-        homes: sorted(action.home_regions),
+        home_regions: sorted(action.home_regions),
     }
 }
 
 fn tenant(t: config::Tenant) -> Tenant {
     Tenant {
-        customer: Hash::of(t.name.as_bytes()) >> 24,
+        id: Hash::of(t.name.as_bytes()) >> 24,
         rate: t.rate_per_s,
         burst: t.burst,
         priority: t.priority as u32,
-        homes: sorted(t.home_regions),
+        home_regions: sorted(t.home_regions),
         name: t.name,
     }
 }
--- a/config/tests/homes.rs
+++ b/config/tests/homes.rs
@@ -1,10 +1,10 @@
 //! The homes of hosts.
 
-use lupinledge_config::{Document, Homes};
+use lupinledge_config::{Document, HomeRegions};
 use serde_json::json;
 use std::collections::BTreeSet;
 
-fn homes(rules: &[(&str, &[&str])]) -> Homes {
+fn homes(rules: &[(&str, &[&str])]) -> HomeRegions {
     let rule = |(nth, homes): (usize, &&[&str])| {
         json!({
             "name": format!("r{nth}"), "match": {"path_prefix": format!("/{nth}/")}, "route_kind": "idempotent",
@@ -22,7 +22,7 @@
         "version": "r1", "base_version": "r0", "listeners": listeners,
         "clusters": [{"name": "s", "health_path": "/h", "max_conns": 9, "warmup_s": 1, "warmup_per_s": 1}]
     });
-    Homes::new(&Document { config: Some(config.to_string().into_bytes()), ..Document::default() })
+    HomeRegions::new(&Document { config: Some(config.to_string().into_bytes()), ..Document::default() })
 }
 
 #[test]
@@ -36,8 +36,8 @@
         ("c.example", &["y"]),
     ]);
     let set = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<BTreeSet<_>>();
-    assert_eq!(homes.of("A.example:8443"), Some(&set(&["y", "z"])));
-    assert_eq!((homes.of("b.example"), homes.of("d.example")), (None, None));
-    assert_eq!(homes.of("c.example"), Some(&set(&[])), "no region fits all");
-    assert_eq!(Homes::new(&Document::default()), Homes::default());
+    assert_eq!(homes.for_host("A.example:8443"), Some(&set(&["y", "z"])));
+    assert_eq!((homes.for_host("b.example"), homes.for_host("d.example")), (None, None));
+    assert_eq!(homes.for_host("c.example"), Some(&set(&[])), "no region fits all");
+    assert_eq!(HomeRegions::new(&Document::default()), HomeRegions::default());
 }
--- a/config/tests/invalid.rs
+++ b/config/tests/invalid.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{bytes, example, numbered};
-use lupinledge_config::{check, Config, Document, Kind, Verdict};
+use lupinledge_config::{check, Config, Document, ErrorKind, Verdict};
 use serde_json::{json, Value};
 use test_case::test_case;
 
@@ -67,11 +67,11 @@
     let whole = bytes(&example());
     check(&whole, Some(5)).unwrap();
     for end in 0..whole.len() {
-        assert_eq!(check(&whole[..end], Some(5)).unwrap_err().kind, Kind::Malformed, "cut at {end}");
+        assert_eq!(check(&whole[..end], Some(5)).unwrap_err().kind, ErrorKind::Malformed, "cut at {end}");
     }
     let mut more = whole;
     more.push(b'}');
-    assert_eq!(check(&more, Some(5)).unwrap_err().kind, Kind::Malformed);
+    assert_eq!(check(&more, Some(5)).unwrap_err().kind, ErrorKind::Malformed);
 }
 
 #[test]
@@ -100,7 +100,7 @@
     }
 }
 
-fn refused(doc: &Document, body: &[u8]) -> Kind {
+fn refused(doc: &Document, body: &[u8]) -> ErrorKind {
     match doc.put(body) {
         Verdict::Refuse { kind, .. } => kind,
         other => panic!("{other:?}"),
@@ -110,45 +110,45 @@
 #[test]
 fn versions_follow_each_other_and_the_same_body_is_taken_once() {
     let empty = Document::default();
-    assert_eq!(refused(&empty, &numbered(7, 5)), Kind::Stale);
-    assert_eq!(refused(&empty, &numbered(0, 0)), Kind::Invalid);
+    assert_eq!(refused(&empty, &numbered(7, 5)), ErrorKind::Stale);
+    assert_eq!(refused(&empty, &numbered(0, 0)), ErrorKind::Invalid);
     let first = taken(&empty, &numbered(3, 0));
     assert_eq!((first.version, first.serial), (3, 1));
     assert_eq!(first.config, Some(numbered(3, 0)));
     assert_eq!(first.put(&numbered(3, 0)), Verdict::Already);
-    assert_eq!(refused(&first, &numbered(4, 0)), Kind::Stale); // lost its race
-    assert_eq!(refused(&first, &numbered(2, 0)), Kind::Stale);
-    assert_eq!(refused(&first, &numbered(3, 3)), Kind::Invalid); // another body under its number
+    assert_eq!(refused(&first, &numbered(4, 0)), ErrorKind::Stale); // lost its race
+    assert_eq!(refused(&first, &numbered(2, 0)), ErrorKind::Stale);
+    assert_eq!(refused(&first, &numbered(3, 3)), ErrorKind::Invalid); // another body under its number
     let mut other = example();
     (other["version"], other["base_version"]) = (json!("r3"), json!(0));
     other["clusters"][0]["max_conns"] = json!(9);
-    assert_eq!(refused(&first, &bytes(&other)), Kind::Stale); // as above, on top of the same version
+    assert_eq!(refused(&first, &bytes(&other)), ErrorKind::Stale); // as above, on top of the same version
     let second = taken(&first, &numbered(8, 3));
     assert_eq!(second.put(&numbered(3, 0)), Verdict::Already); // sent again though another followed
     assert_eq!(second.put(&numbered(8, 3)), Verdict::Already);
-    assert_eq!(refused(&second, &numbered(9, 3)), Kind::Stale);
-    assert_eq!(refused(&second, b"{"), Kind::Malformed);
-    assert_eq!(refused(&second, &vec![b' '; 4 << 20]), Kind::TooLarge);
+    assert_eq!(refused(&second, &numbered(9, 3)), ErrorKind::Stale);
+    assert_eq!(refused(&second, b"{"), ErrorKind::Malformed);
+    assert_eq!(refused(&second, &vec![b' '; 4 << 20]), ErrorKind::TooLarge);
     let read: Document = rmp_serde::from_slice(&rmp_serde::to_vec(&second).unwrap()).unwrap();
     assert_eq!(read, second);
-    Config::read(second.config.as_deref().unwrap()).unwrap();
+    Config::parse(second.config.as_deref().unwrap()).unwrap();
 }
 
 #[test]
 fn zones_are_evacuated_and_taken_back_once() {
     let doc = taken(&Document::default(), &numbered(1, 0));
     let one = doc.evacuate("b").unwrap().evacuate("a").unwrap();
-    assert_eq!((one.evacuated.clone(), one.serial), (vec!["a".to_string(), "b".into()], 3));
+    assert_eq!((one.evacuated_zones.clone(), one.serial), (vec!["a".to_string(), "b".into()], 3));
     assert_eq!((one.evacuate("a"), one.restore("c")), (None, None));
     let back = taken(&one, &numbered(2, 1)).restore("a").unwrap();
-    assert_eq!((back.evacuated, back.version, back.serial), (vec!["b".to_string()], 2, 5));
+    assert_eq!((back.evacuated_zones, back.version, back.serial), (vec!["b".to_string()], 2, 5));
 }
 
 #[test]
 fn kinds_have_their_statuses() {
-    let statuses: Vec<u16> = Kind::all().map(Kind::status).collect();
+    let statuses: Vec<u16> = ErrorKind::all().map(ErrorKind::status).collect();
     assert_eq!(statuses, [400, 400, 412, 404, 413, 503, 503, 404, 405, 503]);
-    let places: Vec<usize> = Kind::all().map(|k| k as usize).collect();
+    let places: Vec<usize> = ErrorKind::all().map(|k| k as usize).collect();
     assert_eq!(places, (0..10).collect::<Vec<_>>());
-    assert_eq!((Kind::NotHolder.name(), Kind::Overloaded.status()), ("not_holder", 503));
+    assert_eq!((ErrorKind::NotHolder.name(), ErrorKind::Overloaded.status()), ("not_holder", 503));
 }
--- a/config/tests/model.rs
+++ b/config/tests/model.rs
@@ -4,7 +4,7 @@
 
 use common::{bytes, document, example, zones};
 use lupinledge_config::config::RouteKind;
-use lupinledge_config::plain::{way, Probe};
+use lupinledge_config::reference::{route_by_scan, Probe};
 use lupinledge_config::{check, Config, Document, Settings, Tables, Verdict};
 use serde_json::{json, Value};
 
@@ -87,7 +87,7 @@
         let route = tables.route("jepu9.example", "/lepu270/").unwrap();
         let (mut got, mut due, draws) = ([0.0; 3], [0.0; 3], 2000);
         for i in 0..draws {
-            if let Some(s) = route.choose((i as f64 + 0.5) / draws as f64) {
+            if let Some(s) = route.choose_service((i as f64 + 0.5) / draws as f64) {
                 got[s] += 1.0 / draws as f64;
             }
         }
@@ -97,7 +97,7 @@
             assert!((got[s] - due[s]).abs() < 0.002 && (got[s] > 0.0) == (due[s] > 0.0), "{got:?} {due:?}");
         }
         for r in [-1.0, 1.0, 2.0, f64::NAN] {
-            assert_eq!(route.choose(r).is_some(), all > 0.0);
+            assert_eq!(route.choose_service(r).is_some(), all > 0.0);
         }
     });
 }
@@ -111,11 +111,12 @@
         config["listeners"].as_array_mut().unwrap().push(example()["listeners"][0].clone());
         config["listeners"][0]["host"] = json!("other.example");
         let mut doc = document(&config);
-        doc.evacuated = vec!["a".into(), "b".into()];
-        let print = Tables::new(&doc, &zones()).unwrap().print();
+        doc.evacuated_zones = vec!["a".into(), "b".into()];
+        let print = Tables::new(&doc, &zones()).unwrap().fingerprints();
         shuffle(&mut config, &mut r);
-        let other = Document { version: 8, evacuated: vec!["b".into(), "a".into()], ..document(&config) };
-        assert_eq!(Tables::new(&other, &zones()).unwrap().print(), print);
+        let other =
+            Document { version: 8, evacuated_zones: vec!["b".into(), "a".into()], ..document(&config) };
+        assert_eq!(Tables::new(&other, &zones()).unwrap().fingerprints(), print);
     });
 }
 
@@ -133,11 +134,11 @@
 
 #[test]
 fn prints_tell_the_parts_apart() {
-    let whole = Tables::new(&document(&example()), &zones()).unwrap().print();
+    let whole = Tables::new(&document(&example()), &zones()).unwrap().fingerprints();
     let changed = |pointer: &str, value: Value| {
         let mut v = example();
         *v.pointer_mut(pointer).unwrap() = value;
-        let p = Tables::new(&document(&v), &zones()).unwrap().print();
+        let p = Tables::new(&document(&v), &zones()).unwrap().fingerprints();
         let parts = [(p.routes, whole.routes), (p.tenants, whole.tenants), (p.clusters, whole.clusters)];
         parts.map(|(a, b)| a != b).into_iter().chain([p.limits != whole.limits]).collect::<Vec<_>>()
     };
@@ -154,7 +155,7 @@
     assert_eq!(changed("/clusters/0/warmup_per_s", json!(4)), [false, false, true, false]);
     assert_eq!(changed("/limits/idle_timeout_s", json!(4)), [false, false, false, true]);
     let emptied = document(&example()).evacuate("tartu-ropka").unwrap();
-    let print = Tables::new(&emptied, &zones()).unwrap().print();
+    let print = Tables::new(&emptied, &zones()).unwrap().fingerprints();
     assert_ne!(print.evacuations, whole.evacuations);
     assert_eq!((print.routes, print.tenants), (whole.routes, whole.tenants));
 }
@@ -168,18 +169,20 @@
     let route = tables.route("hulo84.example", "/xapu221/ny95/2f").unwrap();
     let tenant = tables.tenant("qasnmgkcuyj8pjbvk9m6");
     let open = |t: &Tables, with| {
-        ["harju-kadaka", "tartu-ropka", "parnu-raba", "x"].map(|z| t.at_home(route, with, z))
+        ["harju-kadaka", "tartu-ropka", "parnu-raba", "x"].map(|z| t.is_allowed_in(route, with, z))
     };
     assert_eq!(open(&tables, None), [true, true, false, false]);
     assert_eq!(open(&tables, tenant), [false, true, false, false]);
     let emptied = Tables::new(&doc.evacuate("tartu-ropka").unwrap(), &zones()).unwrap();
-    assert!(emptied.evacuated("tartu-ropka") && !tables.evacuated("tartu-ropka"));
+    assert!(emptied.is_evacuated("tartu-ropka") && !tables.is_evacuated("tartu-ropka"));
     assert!(
-        tables.keyed() && tables.tenant("k2").is_some_and(|t| t.rate == 0.0) && tables.tenant("").is_none()
+        tables.requires_key()
+            && tables.tenant("k2").is_some_and(|t| t.rate == 0.0)
+            && tables.tenant("").is_none()
     );
     let none = Tables::new(&Document::default(), &zones()).unwrap();
-    assert!(!none.keyed() && none.route("hulo84.example", "/").is_none());
-    assert!(tenant.is_some_and(|t| t.customer > 0 && t.customer < 1 << 40));
+    assert!(!none.requires_key() && none.route("hulo84.example", "/").is_none());
+    assert!(tenant.is_some_and(|t| t.id > 0 && t.id < 1 << 40));
 }
 
 #[test]
@@ -193,9 +196,9 @@
         config["listeners"][0]["rules"][0]["route_kind"] = json!(name);
         let tables = Tables::new(&document(&config), &zones()).unwrap();
         let route = tables.route("jepu9.example", "/lepu270/").unwrap();
-        let read = Config::read(&bytes(&config)).unwrap();
+        let read = Config::parse(&bytes(&config)).unwrap();
         let probe = Probe { host: "jepu9.example".into(), path: "/lepu270/".into(), key: None };
-        assert_eq!((route.kind, way(&read, &probe).unwrap().kind), (kind, kind));
+        assert_eq!((route.kind, route_by_scan(&read, &probe).unwrap().kind), (kind, kind));
     }
 }
 
@@ -213,14 +216,14 @@
             }
         }
         for body in [raw, &body] {
-            let _ = (Config::read(body), check(body, Some(5)), Settings::parse(body));
+            let _ = (Config::parse(body), check(body, Some(5)), Settings::parse(body));
             if let Verdict::Take(next) = Document::default().put(body) {
                 Tables::new(&next, &zones()).unwrap();
             }
             let doc = Document { config: Some(body.clone()), version: 1, ..Document::default() };
             if let Ok(tables) = Tables::new(&doc, &zones()) {
                 let said = String::from_utf8_lossy(raw);
-                tables.route(&said, &said).map(|route| route.choose(0.5));
+                tables.route(&said, &said).map(|route| route.choose_service(0.5));
             }
         }
     });
--- a/config/tests/settings.rs
+++ b/config/tests/settings.rs
@@ -28,7 +28,7 @@
 #[test]
 fn the_example_is_read() {
     let s = parse(&example()).unwrap();
-    assert_eq!((s.node(), s.peer_port(), s.zone.as_str()), (0x0a01_0018, 7460, "alm-medeu"));
+    assert_eq!((s.node_id(), s.peer_port(), s.zone.as_str()), (0x0a01_0018, 7460, "alm-medeu"));
     assert_eq!(s.listen.control, Some("10.1.0.24:8383".parse().unwrap()));
     assert_eq!((s.listen.front, s.seeds.len(), s.bootstrap, s.counted), (None, 2, true, true));
     assert_eq!(s.tolerate, Tolerate { machines: 2, zones: 1, regions: 1 });
--- a/config/tests/taken.rs
+++ b/config/tests/taken.rs
@@ -1,7 +1,7 @@
 //! Orders sent again, beside a slow plain model: a list, without bound, of all that was ever taken.
 
-use lupinledge_config::taken::{body_hash, TAKEN_MOST};
-use lupinledge_config::{Document, Judged, Kind, Order, Verdict};
+use lupinledge_config::accepted::{body_hash, MAX_ACCEPTED};
+use lupinledge_config::{Decision, Document, ErrorKind, Order, Verdict};
 use std::collections::BTreeSet;
 
 /// A configuration of this number on top of another; no two with different `nth` are alike.
@@ -30,15 +30,17 @@
         let before = self.all[..from].last().map_or(0, |last| last.0);
         match (place, said) {
             (Some(place), Verdict::Already) => place >= from || place + 1 == self.all.len(),
-            (Some(place), Verdict::Refuse { kind: Kind::Unsettled, .. }) => place < from,
+            (Some(place), Verdict::Refuse { kind: ErrorKind::Unsettled, .. }) => place < from,
             (Some(_), _) => false,
             (None, Verdict::Take(next)) => {
                 base == self.current() && version > base && next.version == version && next.config.is_some()
             }
-            (None, Verdict::Refuse { kind: Kind::Stale, .. }) => base != self.current(),
-            (None, Verdict::Refuse { kind: Kind::Invalid, .. }) => base == self.current() && version <= base,
+            (None, Verdict::Refuse { kind: ErrorKind::Stale, .. }) => base != self.current(),
+            (None, Verdict::Refuse { kind: ErrorKind::Invalid, .. }) => {
+                base == self.current() && version <= base
+            }
             // not told from one that was taken, though it could be
-            (None, Verdict::Refuse { kind: Kind::Unsettled, .. }) => base < version && version <= before,
+            (None, Verdict::Refuse { kind: ErrorKind::Unsettled, .. }) => base < version && version <= before,
             (None, _) => false,
         }
     }
@@ -64,7 +66,7 @@
             };
             let said = doc.put(&sent);
             assert!(
-                plain.allows((version, base), &sent, &said, TAKEN_MOST),
+                plain.allows((version, base), &sent, &said, MAX_ACCEPTED),
                 "seed {seed}, after {change} changes: {said:?} to {version} on {base}"
             );
         }
@@ -90,10 +92,10 @@
 /// Beyond the bound too: one that was taken is never refused, and none is taken for it.
 #[test]
 fn what_is_forgotten_is_left_without_an_answer() {
-    let doc = course(7, TAKEN_MOST + 300, 3);
-    assert_eq!(doc.taken.len(), TAKEN_MOST);
+    let doc = course(7, MAX_ACCEPTED + 300, 3);
+    assert_eq!(doc.accepted.len(), MAX_ACCEPTED);
     let bytes = rmp_serde::to_vec(&doc).unwrap().len();
-    assert!(bytes < 19 * TAKEN_MOST, "{bytes} bytes");
+    assert!(bytes < 19 * MAX_ACCEPTED, "{bytes} bytes");
 }
 
 /// Of a day at the planned size nothing is forgotten.
@@ -109,7 +111,7 @@
         let Verdict::Refuse { kind, .. } = doc.put(&body(version, version - 1, 1)) else {
             panic!("{version}")
         };
-        assert_eq!(kind, Kind::Stale, "another body under {version}");
+        assert_eq!(kind, ErrorKind::Stale, "another body under {version}");
     }
 }
 
@@ -118,10 +120,10 @@
 fn the_edge_is_told_no_memory() {
     let doc = course(11, 40, 0);
     let whole = rmp_serde::to_vec(&doc).unwrap().len();
-    let (told, taken) = doc.clone().split();
-    assert_eq!((taken.len(), told.taken.len()), (40, 0));
+    let (told, taken) = doc.clone().split_accepted();
+    assert_eq!((taken.len(), told.accepted.len()), (40, 0));
     assert!(rmp_serde::to_vec(&told).unwrap().len() + 17 * 40 <= whole);
-    assert_eq!(Document { taken, ..told }, doc);
+    assert_eq!(Document { accepted: taken, ..told }, doc);
 }
 
 /// A document of the build before: its pairs tell nothing, and what was taken then is not refused.
@@ -134,15 +136,15 @@
         [vec![], vec![(9, 1)], vec![(4, 1 << 60), (9, 2)], vec![(4, 1), (9, 2)], vec![(1, 1), (4, 3), (9, 2)]]
     {
         let doc: Document = rmp_serde::from_slice(&former(pairs)).unwrap();
-        assert_eq!((doc.version, doc.serial, doc.taken.len()), (9, 3, 0));
+        assert_eq!((doc.version, doc.serial, doc.accepted.len()), (9, 3, 0));
         let kind = |sent: &[u8]| match doc.put(sent) {
             Verdict::Refuse { kind, .. } => Some(kind),
             _ => None,
         };
         assert_eq!(doc.put(&body(9, 4, 0)), Verdict::Already);
-        assert_eq!(kind(&body(9, 4, 1)), Some(Kind::Stale));
-        assert_eq!(kind(&body(4, 1, 1)), Some(Kind::Unsettled));
-        assert_eq!(kind(&body(10, 4, 1)), Some(Kind::Stale));
+        assert_eq!(kind(&body(9, 4, 1)), Some(ErrorKind::Stale));
+        assert_eq!(kind(&body(4, 1, 1)), Some(ErrorKind::Unsettled));
+        assert_eq!(kind(&body(10, 4, 1)), Some(ErrorKind::Stale));
         assert!(matches!(doc.put(&body(10, 9, 1)), Verdict::Take(_)));
     }
 }
@@ -162,11 +164,11 @@
 /// Zones: what was done is said again whatever the settings say by now, and can always be undone.
 #[test]
 fn a_zone_that_left_the_settings_is_no_refusal_of_what_was_done() {
-    let Judged::Take(doc) = Document::default().judge(Order::Evacuate("a"), |_| true) else { panic!() };
-    let done = Judged::Said(lupinledge_config::Answer::Done);
-    assert_eq!(doc.judge(Order::Evacuate("a"), |_| false), done);
-    let Judged::Take(back) = doc.judge(Order::Restore("a"), |_| false) else { panic!() };
-    assert!(back.evacuated.is_empty());
-    assert_eq!(back.judge(Order::Restore("a"), |_| true), done);
-    assert!(matches!(back.judge(Order::Evacuate("b"), |_| false), Judged::Now(_)));
+    let Decision::Propose(doc) = Document::default().decide(Order::Evacuate("a"), |_| true) else { panic!() };
+    let done = Decision::ReplyIfNewest(lupinledge_config::Answer::Done);
+    assert_eq!(doc.decide(Order::Evacuate("a"), |_| false), done);
+    let Decision::Propose(back) = doc.decide(Order::Restore("a"), |_| false) else { panic!() };
+    assert!(back.evacuated_zones.is_empty());
+    assert_eq!(back.decide(Order::Restore("a"), |_| true), done);
+    assert!(matches!(back.decide(Order::Evacuate("b"), |_| false), Decision::Reply(_)));
 }
--- a/control-plane/src/agree.rs
+++ b/control-plane/src/agree.rs
@@ -33,9 +33,9 @@
         if body.is_empty() {
             return Ok(Agreed { ballot, document: Document::default(), bytes: Rc::from(body) });
         }
-        let (document, taken) = rmp_serde::from_slice::<Document>(body)?.split();
+        let (document, taken) = rmp_serde::from_slice::<Document>(body)?.split_accepted();
         let bytes = Rc::from(rmp_serde::to_vec(&document)?);
-        Ok(Agreed { ballot, document: Document { taken, ..document }, bytes })
+        Ok(Agreed { ballot, document: Document { accepted: taken, ..document }, bytes })
     }
 }
 
--- a/control-plane/src/command.rs
+++ b/control-plane/src/command.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use lupinledge_config::{Answer, Kind, Order};
+use lupinledge_config::{Answer, ErrorKind, Order};
 use std::net::SocketAddr;
 
 /// What the operator asks for.
@@ -61,7 +61,7 @@
     Config(Bytes),
     /// Refused; the text names the field that is at fault.
     Refused {
-        kind: Kind,
+        kind: ErrorKind,
         text: String,
     },
     /// Another process speaks for the whole.
--- a/control-plane/src/control.rs
+++ b/control-plane/src/control.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
 use lupinledge_config::settings::Listen;
-use lupinledge_config::Kind;
+use lupinledge_config::ErrorKind;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -174,12 +174,12 @@
                 }
             },
             Asked::NoSuchMethod(allow) => {
-                let mut answer = refuse(Kind::NoSuchMethod, "not for this path");
+                let mut answer = refuse(ErrorKind::NoSuchMethod, "not for this path");
                 answer.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
                 return answer;
             }
-            Asked::Malformed(field) => return refuse(Kind::Malformed, field),
-            Asked::Nothing => return refuse(Kind::NoSuchPath, "nothing is here"),
+            Asked::Malformed(field) => return refuse(ErrorKind::Malformed, field),
+            Asked::Nothing => return refuse(ErrorKind::NoSuchPath, "nothing is here"),
         };
         told(self.hive.clone().run(command).await, path)
     }
@@ -187,8 +187,8 @@
     async fn whole(&self, body: Incoming) -> Result<Bytes, Answer> {
         let too_large = || {
             let text = "body: over 16 MB";
-            self.hive.refused("configuration", Kind::TooLarge, text);
-            refuse(Kind::TooLarge, text)
+            self.hive.refused("configuration", ErrorKind::TooLarge, text);
+            refuse(ErrorKind::TooLarge, text)
         };
         if body.size_hint().lower() > BODY_MOST as u64 {
             return Err(too_large());
@@ -197,7 +197,7 @@
         match timeout(BODY_WAIT, Limited::new(body, BODY_MOST).collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => Err(too_large()),
-            Ok(Err(_)) => Err(refuse(Kind::Malformed, "body: broken off")),
+            Ok(Err(_)) => Err(refuse(ErrorKind::Malformed, "body: broken off")),
             Err(_) => Err(fault(StatusCode::REQUEST_TIMEOUT, "late", "body: not whole in time")),
         }
     }
@@ -206,11 +206,11 @@
     fn found_anew(&self, query: &str) -> Answer {
         let newest = of_query(query, "newest").flatten();
         let Some(newest) = newest.as_deref().and_then(named_state) else {
-            return refuse(Kind::Malformed, "newest");
+            return refuse(ErrorKind::Malformed, "newest");
         };
         match self.hive.found_anew(newest) {
             Ok(()) => told(Reply::Done, FOUND),
-            Err(why) => refuse(Kind::Stale, &why),
+            Err(why) => refuse(ErrorKind::Stale, &why),
         }
     }
 
@@ -219,7 +219,7 @@
         let (Some(region), Some(_), Some(name)) =
             (of_query(query, "region"), of_query(query, "zone"), of_query(query, "name"))
         else {
-            return refuse(Kind::Malformed, "query");
+            return refuse(ErrorKind::Malformed, "query");
         };
         let fronts = self.hive.fronts(&region.unwrap_or_default(), &name.unwrap_or_default());
         if self.nowhere.replace(fronts.is_empty()) != fronts.is_empty() {
@@ -308,7 +308,7 @@
 }
 
 /// A refusal, by the table of error kinds.
-fn refuse(kind: Kind, text: &str) -> Answer {
+fn refuse(kind: ErrorKind, text: &str) -> Answer {
     let status = StatusCode::from_u16(kind.status()).unwrap_or(StatusCode::BAD_REQUEST);
     let mut answer = fault(status, kind.name(), text);
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -318,5 +318,5 @@
 }
 
 fn later() -> Answer {
-    refuse(Kind::Unsettled, "nobody here can tell now")
+    refuse(ErrorKind::Unsettled, "nobody here can tell now")
 }
--- a/control-plane/src/counts.rs
+++ b/control-plane/src/counts.rs
@@ -132,8 +132,8 @@
         if let Some(agreed) = self.agree.agreed().filter(|a| self.rates.get() != Some(a.ballot)) {
             self.rates.set(Some(agreed.ballot));
             if let Ok(tables) = Tables::new(&agreed.document, &self.zones) {
-                let quota = |t: &Tenant| Quota { rate: t.rate, size: t.store_size() };
-                tables.tenants().iter().for_each(|t| counters.set_quota(t.customer, quota(t)));
+                let quota = |t: &Tenant| Quota { rate: t.rate, size: t.bucket_capacity() };
+                tables.tenants().iter().for_each(|t| counters.set_quota(t.id, quota(t)));
             }
         }
     }
--- a/control-plane/src/hive.rs
+++ b/control-plane/src/hive.rs
@@ -10,9 +10,9 @@
 use crate::operations::{Beginning, Operations};
 use crate::refusals::Refusals;
 use eyre::{eyre, WrapErr};
+use lupinledge_config::change_queue::{CallerId, ChangeQueue};
 use lupinledge_config::settings::CloudApi;
-use lupinledge_config::turns::{Caller, Turns};
-use lupinledge_config::{Document, Homes, Print, Settings, Tables};
+use lupinledge_config::{Document, Fingerprints, HomeRegions, Settings, Tables};
 use lupinledge_consensus::{Ballot, Node};
 use lupinledge_gossip::{metrics, seeds_of, Gossip, Host, Source, Update};
 use lupinledge_membership::{Card, Member, Standing};
@@ -45,14 +45,14 @@
     pub acknowledged: Cell<u64>,
     pub refusals: Refusals,
     /// Index and prints of the document that is held.
-    intent: Cell<(u64, Print)>,
+    intent: Cell<(u64, Fingerprints)>,
     /// Changes that wait or run, and who waits for them.
-    pub turns: RefCell<Turns<Command>>,
-    pub callers: RefCell<BTreeMap<Caller, oneshot::Sender<Reply>>>,
+    pub turns: RefCell<ChangeQueue<Command>>,
+    pub callers: RefCell<BTreeMap<CallerId, oneshot::Sender<Reply>>>,
     gossip: Rc<Gossip>,
     directory: Directory,
     /// The homes of hosts, and of which document.
-    homes: RefCell<(Option<Ballot>, Homes)>,
+    homes: RefCell<(Option<Ballot>, HomeRegions)>,
     counts: Rc<Counts>,
     operations: Rc<Operations>,
     _lock: FolderLock,
@@ -65,7 +65,7 @@
 impl Hive {
     /// Reads the disk, and starts all parts.
     pub async fn start(settings: Settings) -> eyre::Result<Rc<Hive>> {
-        let clock = Rc::new(Clock::start(settings.node()));
+        let clock = Rc::new(Clock::start(settings.node_id()));
         let folder = settings.data_dir.clone().ok_or_else(|| eyre!("`data_dir`: the core needs a disk"))?;
         let platform = platform_of(&settings)?;
         let owner = format!("{} (process {})", settings.ip, std::process::id());
@@ -166,8 +166,8 @@
         let zones = self.settings.borrow().zones.clone();
         let tables = decode::<Document>(&bytes).ok().and_then(|d| Tables::new(&d, &zones).ok());
         if let Some(tables) = tables {
-            self.intent.set((index, tables.print()));
-            self.gossip.set_fingerprint(index, tables.print().folded());
+            self.intent.set((index, tables.fingerprints()));
+            self.gossip.set_fingerprint(index, tables.fingerprints().combined());
         }
     }
 
@@ -268,10 +268,10 @@
     /// Where clients of a region may go that ask for a host.
     pub fn fronts(&self, region: &str, host: &str) -> Vec<SocketAddr> {
         if let Some(agreed) = self.agree.agreed().filter(|a| self.homes.borrow().0 != Some(a.ballot)) {
-            *self.homes.borrow_mut() = (Some(agreed.ballot), Homes::new(&agreed.document));
+            *self.homes.borrow_mut() = (Some(agreed.ballot), HomeRegions::new(&agreed.document));
         }
         let homes = self.homes.borrow();
-        self.gossip.with_membership(|s| self.directory.fronts(s.members(), region, homes.1.of(host)))
+        self.gossip.with_membership(|s| self.directory.fronts(s.members(), region, homes.1.for_host(host)))
     }
 
     /// For how long an answer of the directory is good.
--- a/control-plane/src/nodes.rs
+++ b/control-plane/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::operator::{self, cell};
 use eyre::bail;
-use lupinledge_config::{comparable, Part, Print};
+use lupinledge_config::{comparable, Fingerprints, Part};
 use lupinledge_drift_detection::verdict::Detector;
 use lupinledge_membership::{Digest, Member, Standing};
 use serde_json::{json, Map, Value};
@@ -16,7 +16,7 @@
 }
 
 /// One process: where it stands, what it holds, and whether it does what `own` says by `intent`.
-pub fn row(now: f64, m: &Member, own: Digest, intent: Print) -> Value {
+pub fn row(now: f64, m: &Member, own: Digest, intent: Fingerprints) -> Value {
     let (index, print) = (m.digest.state.1, m.digest.fingerprint);
     let rules = match m.card.drift {
         Some(_) => "out",
--- a/control-plane/src/nodes/tests.rs
+++ b/control-plane/src/nodes/tests.rs
@@ -5,8 +5,8 @@
 /// part that differs.
 #[test]
 fn who_goes_by_what() {
-    let intent = Print { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
-    let own = Digest { state: (3, 7), fingerprint: intent.folded(), ..Digest::default() };
+    let intent = Fingerprints { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
+    let own = Digest { state: (3, 7), fingerprint: intent.combined(), ..Digest::default() };
     let member = |node, index, fingerprint, drift: Option<DriftReport>| {
         let (region, zone, ready) = ("r".to_string(), "z".to_string(), drift.is_none());
         let (drift, load) = (drift.map(Box::new), 0);
--- a/control-plane/src/refusals.rs
+++ b/control-plane/src/refusals.rs
@@ -1,7 +1,7 @@
 //! Orders of the operator that were refused: for each a line in the log with the reason, and their number. Who asked may
 //! keep no record of the answer, and without a first configuration no gateway serves.
 
-use lupinledge_config::Kind;
+use lupinledge_config::ErrorKind;
 use std::cell::Cell;
 
 /// Characters of a reason that are written at most: it quotes what was sent.
@@ -21,7 +21,7 @@
 impl Refusals {
     /// Counts a refusal, and writes a line for it unless enough were written this second. `in_force` is the version
     /// of the configuration that goes on, 0 for none.
-    pub fn record(&self, now_s: u64, order: &str, kind: Kind, reason: &str, in_force: u64) {
+    pub fn record(&self, now_s: u64, order: &str, kind: ErrorKind, reason: &str, in_force: u64) {
         self.count.set(self.count.get() + 1);
         if !self.has_room(now_s) {
             self.untold.set(self.untold.get() + 1);
--- a/control-plane/src/refusals/tests.rs
+++ b/control-plane/src/refusals/tests.rs
@@ -11,7 +11,7 @@
 #[test]
 fn all_are_counted_and_a_few_a_second_are_told() {
     let refusals = Refusals::default();
-    let record = |second| refusals.record(second, "configuration", Kind::Invalid, "version", 0);
+    let record = |second| refusals.record(second, "configuration", ErrorKind::Invalid, "version", 0);
     (0..10).for_each(|_| record(1));
     assert_eq!((refusals.count(), refusals.untold.get()), (10, 6));
     record(2);
--- a/control-plane/src/run.rs
+++ b/control-plane/src/run.rs
@@ -3,8 +3,8 @@
 use crate::agree::Agreed;
 use crate::command::{Command, Reply};
 use crate::hive::Hive;
-use lupinledge_config::turns::Caller;
-use lupinledge_config::{Answer, Document, Judged, Kind};
+use lupinledge_config::change_queue::CallerId;
+use lupinledge_config::{Answer, Decision, Document, ErrorKind};
 use lupinledge_consensus::Outcome;
 use lupinledge_invariants::{check, Invariant};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,11 +23,11 @@
 const STAND_PAUSE: Duration = Duration::from_millis(50);
 
 /// A caller that waits; however it ceases to, its place is given back.
-struct Waits(Rc<Hive>, Caller);
+struct Waits(Rc<Hive>, CallerId);
 
 impl Drop for Waits {
     fn drop(&mut self) {
-        self.0.turns.borrow_mut().gone(self.1);
+        self.0.turns.borrow_mut().remove_caller(self.1);
         self.0.callers.borrow_mut().remove(&self.1);
     }
 }
@@ -46,7 +46,7 @@
     }
 
     /// Tells of an order that was refused for good; one that may be sent again is no more than late.
-    pub fn refused(&self, order: &str, kind: Kind, text: &str) {
+    pub fn refused(&self, order: &str, kind: ErrorKind, text: &str) {
         if kind.status() < 500 {
             let in_force = self.agree.agreed().map_or(0, |agreed| agreed.document.version);
             self.refusals.record(self.clock.now() as u64, order, kind, text, in_force);
@@ -62,16 +62,16 @@
         }
         if command == Command::GetConfig {
             return match self.judge(&command) {
-                Ok((agreed, epoch, Judged::Said(answer))) => {
+                Ok((agreed, epoch, Decision::ReplyIfNewest(answer))) => {
                     self.confirm(&command, agreed, epoch, answer).await
                 }
                 Ok(_) => Reply::Later,
                 Err(elsewhere) => elsewhere,
             };
         }
-        let arrived = self.turns.borrow_mut().arrive(command.clone(), command.body());
+        let arrived = self.turns.borrow_mut().enqueue(command.clone(), command.body());
         let Some(caller) = arrived else {
-            return Reply::Refused { kind: Kind::Overloaded, text: "too many changes wait".into() };
+            return Reply::Refused { kind: ErrorKind::Overloaded, text: "too many changes wait".into() };
         };
         let _waits = Waits(self.clone(), caller);
         let (done, reply) = oneshot::channel();
@@ -82,13 +82,13 @@
 
     /// Runs what waits, unless that is being done: also where the callers have gone, since half of a change is none.
     fn work(self: &Rc<Hive>) {
-        let Some(command) = self.turns.borrow_mut().begin() else { return };
+        let Some(command) = self.turns.borrow_mut().start_next() else { return };
         let hive = self.clone();
         tokio::task::spawn_local(async move {
             let mut next = Some(command);
             while let Some(command) = next {
                 hive.settle(command).await;
-                next = hive.turns.borrow_mut().begin();
+                next = hive.turns.borrow_mut().start_next();
             }
         });
     }
@@ -97,10 +97,10 @@
     async fn settle(self: &Rc<Hive>, command: Command) {
         let reply = match self.judge(&command) {
             Err(elsewhere) => elsewhere,
-            Ok((_, _, Judged::Now(answer))) => answer.into(),
-            Ok((_, _, Judged::Take(document))) => self.propose(&command, document).await,
-            Ok((agreed, epoch, Judged::Said(answer))) => {
-                let (hive, callers) = (self.clone(), self.turns.borrow_mut().end());
+            Ok((_, _, Decision::Reply(answer))) => answer.into(),
+            Ok((_, _, Decision::Propose(document))) => self.propose(&command, document).await,
+            Ok((agreed, epoch, Decision::ReplyIfNewest(answer))) => {
+                let (hive, callers) = (self.clone(), self.turns.borrow_mut().finish());
                 if !callers.is_empty() {
                     tokio::task::spawn_local(async move {
                         let reply = hive.confirm(&command, agreed, epoch, answer).await;
@@ -110,11 +110,11 @@
                 return;
             }
         };
-        let callers = self.turns.borrow_mut().end();
+        let callers = self.turns.borrow_mut().finish();
         self.tell_callers(callers, reply);
     }
 
-    fn tell_callers(&self, callers: Vec<Caller>, reply: Reply) {
+    fn tell_callers(&self, callers: Vec<CallerId>, reply: Reply) {
         for caller in callers {
             let done = self.callers.borrow_mut().remove(&caller);
             done.into_iter().for_each(|done| drop(done.send(reply.clone())));
@@ -144,7 +144,7 @@
     }
 
     /// What a command comes to on top of the document that is committed here, in which epoch; else whom to ask.
-    fn judge(&self, command: &Command) -> Result<(Rc<Agreed>, u64, Judged), Reply> {
+    fn judge(&self, command: &Command) -> Result<(Rc<Agreed>, u64, Decision), Reply> {
         let (Some(epoch), Some(agreed)) = (self.agree.leads(), self.agree.agreed()) else {
             return Err(self.elsewhere().unwrap_or(Reply::Later));
         };
@@ -152,8 +152,8 @@
         Ok((agreed, epoch, judged))
     }
 
-    fn judge_on(&self, agreed: &Agreed, command: &Command) -> Judged {
-        agreed.document.judge(command.order(), |zone| self.settings.borrow().has_zone(zone))
+    fn judge_on(&self, agreed: &Agreed, command: &Command) -> Decision {
+        agreed.document.decide(command.order(), |zone| self.settings.borrow().has_zone(zone))
     }
 
     /// Says an answer once the whole stands by it.
@@ -170,8 +170,8 @@
             Some(now) if now.ballot == agreed.ballot => answer.into(),
             // what is committed by now holds all that was acknowledged before
             Some(now) => match self.judge_on(&now, command) {
-                Judged::Said(answer) => answer.into(),
-                Judged::Now(_) | Judged::Take(_) => Reply::Later,
+                Decision::ReplyIfNewest(answer) => answer.into(),
+                Decision::Reply(_) | Decision::Propose(_) => Reply::Later,
             },
             None => self.elsewhere().unwrap_or(Reply::Later),
         }
--- a/data-plane/src/door.rs
+++ b/data-plane/src/door.rs
@@ -232,7 +232,7 @@
             fingerprint,
             keep: self.pools.key_window() + longest + KEY_MARGIN,
             by: self.pools.clock.instant(asked.came + Span::from_secs(asked.left)),
-            may_be_kept_in: Box::new(move |zone| tables.at_home(&route, tenant.as_ref(), zone)),
+            may_be_kept_in: Box::new(move |zone| tables.is_allowed_in(&route, tenant.as_ref(), zone)),
         }
     }
 
@@ -334,7 +334,7 @@
 /// Whose API key the request bears; none where none is needed.
 fn tenant<'a>(tables: &'a Tables, route: &Route, token: Option<&str>) -> Result<Option<&'a Tenant>, Refusal> {
     match token.and_then(|token| tables.tenant(token)) {
-        None if tables.keyed() && !route.public => {
+        None if tables.requires_key() && !route.public => {
             Err(refuse(StatusCode::UNAUTHORIZED, "Authorization: no known key"))
         }
         tenant => Ok(tenant),
@@ -363,14 +363,14 @@
     tenant: Option<&Tenant>,
     asked: &Asked,
 ) -> Option<(Rc<Exchange<Trail>>, NewRequest)> {
-    let service = route.choose(asked.split).and_then(|nth| tables.services().get(nth))?;
+    let service = route.choose_service(asked.split).and_then(|nth| tables.services().get(nth))?;
     let (pool, frontend, plan) = pools.pool(&service.name, route, tenant)?;
     let new = NewRequest {
         id: 0,
         frontend,
         repeat: false,
         units: 1.0,
-        customer: tenant.map_or(0, |t| t.customer),
+        customer: tenant.map_or(0, |t| t.id),
         plan,
         spread: pools.spread(),
         time_left: Span::from_secs(asked.left) - (pools.clock.now() - asked.came),
@@ -394,7 +394,7 @@
 /// The id of a request that may run once, among its tenant's.
 fn once(route: &Route, tenant: Option<&Tenant>, headers: &HeaderMap) -> Option<Vec<u8>> {
     let id = headers.get(&ATTEMPT).filter(|_| route.kind == RouteKind::NonIdempotent)?;
-    let whose = tenant.map_or(0, |t| t.customer).to_le_bytes();
+    let whose = tenant.map_or(0, |t| t.id).to_le_bytes();
     Some([&whose[..], id.as_bytes()].concat())
 }
 
--- a/data-plane/src/guard.rs
+++ b/data-plane/src/guard.rs
@@ -4,7 +4,7 @@
 use crate::door::Door;
 use crate::nest::Nest;
 use crate::pools::Pools;
-use lupinledge_config::{Part, Tables, DRIFTS};
+use lupinledge_config::{Part, Tables, CORRUPTION_ENABLED};
 use lupinledge_drift_detection::{
     verdict::compare, Action, Audit, DriftMonitor, Finding, LocalState, Settings,
 };
@@ -55,7 +55,7 @@
 
     /// Watches for good. Tests have the tables changed at SIGUSR1, by what that file says.
     pub async fn run(mut self, drifts: PathBuf) {
-        let mut told = signal(SignalKind::user_defined1()).ok().filter(|_| DRIFTS);
+        let mut told = signal(SignalKind::user_defined1()).ok().filter(|_| CORRUPTION_ENABLED);
         loop {
             let drift = async {
                 match &mut told {
@@ -87,7 +87,7 @@
             stray.map(|(part, name)| Finding { part, names: vec![name] })
         });
         let (index, print) =
-            (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().folded());
+            (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().combined());
         self.gossip.set_fingerprint(index, print);
         let own = LocalState {
             index,
@@ -146,8 +146,10 @@
     fn tell_what_differed(&mut self) {
         let now = self.pools.tables();
         let Some((was, judge)) = self.doubted.take_if(|(was, _)| !Rc::ptr_eq(was, &now)) else { return };
-        for part in Part::ALL.into_iter().filter(|p| was.reprint(*p) != now.reprint(*p)) {
-            let route = was.differing(&now, part).join(",");
+        for part in
+            Part::ALL.into_iter().filter(|p| was.recompute_fingerprint(*p) != now.recompute_fingerprint(*p))
+        {
+            let route = was.differing_names(&now, part).join(",");
             tracing::warn!(event = "drift", part = part.name(), %route, judge);
         }
     }
--- a/data-plane/src/nest.rs
+++ b/data-plane/src/nest.rs
@@ -213,7 +213,7 @@
                 self.serial.set(d.serial);
                 tracing::info!(event = "follow", serial = d.serial, version = tables.version());
                 *self.kept.borrow_mut() = Some(bytes.clone());
-                *self.config.borrow_mut() = d.config.and_then(|c| Config::read(&c).ok()).map(Rc::new);
+                *self.config.borrow_mut() = d.config.and_then(|c| Config::parse(&c).ok()).map(Rc::new);
                 pools.follow(Rc::new(tables));
             }
             Err(fault) => tracing::error!(event = "document_unread", %fault),
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -132,10 +132,10 @@
     /// The zones whose servers may have the request, a bit each; all where it has no homes. Evacuations are the
     /// list's.
     pub fn zones(&self, tables: &Tables, route: &Route, tenant: Option<&Tenant>) -> u64 {
-        if route.homes.is_empty() && tenant.is_none_or(|t| t.homes.is_empty()) {
+        if route.home_regions.is_empty() && tenant.is_none_or(|t| t.home_regions.is_empty()) {
             return u64::MAX;
         }
-        let may = |z: &String| tables.at_home(route, tenant, z);
+        let may = |z: &String| tables.is_allowed_in(route, tenant, z);
         let zones = self.world.zones.iter().take(63).enumerate();
         zones.filter(|(_, z)| may(z)).fold(0, |bits, (i, _)| bits | 1 << i)
     }
@@ -175,7 +175,7 @@
 
     /// A fault of tests, see [`Tables::drift`].
     pub fn drift(&self, how: &str) {
-        Rc::make_mut(&mut self.wanted.borrow_mut().tables).drift(how);
+        Rc::make_mut(&mut self.wanted.borrow_mut().tables).corrupt(how);
     }
 
     /// Figures of requests, servers and rules.
@@ -215,7 +215,7 @@
     pub fn follow(&self, tables: Rc<Tables>) {
         {
             let w = &mut *self.wanted.borrow_mut();
-            let back = |z: &&String| w.tables.evacuated(z) && !tables.evacuated(z);
+            let back = |z: &&String| w.tables.is_evacuated(z) && !tables.is_evacuated(z);
             let back: Vec<String> = self.world.zones.iter().filter(back).cloned().collect();
             let longest = tables.services().iter().map(|s| s.warmup_s).fold(0.0, f64::max);
             let until = self.clock.now().later(longest + UNSURE);
@@ -329,7 +329,7 @@
                 let zone = self.world.index(&r.zone)?;
                 let shut = self.shut.get().is_some()
                     || r.draining
-                    || w.tables.evacuated(&r.zone)
+                    || w.tables.is_evacuated(&r.zone)
                     || w.unsure.contains_key(&r.zone);
                 let state = if shut { ServerState::Draining } else { ServerState::Ready };
                 // one met warm has been so for ever
--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -105,7 +105,7 @@
     Plan {
         rate: t.rate,
         at_once: (t.rate * longest + t.burst).ceil() as u32 * (t.rate > 0.0) as u32,
-        burst: t.store_size(),
+        burst: t.bucket_capacity(),
         price: 1.0 / (1.0 + f64::from(t.priority)),
         // what is past the rule's slack costs the whole day
         overrun_cost: 9.0,
--- a/data-plane/src/terms/tests.rs
+++ b/data-plane/src/terms/tests.rs
@@ -21,7 +21,7 @@
     }
     for (rate, burst) in [(1.0, 0.0), (2.0, 2.0), (61.0, 61.0), (900.0, 400.0)] {
         let (name, homes) = ("t".to_string(), Vec::new());
-        let p = plan(&Tenant { name, customer: 1, rate, burst, priority: 0, homes }, 4.0);
+        let p = plan(&Tenant { name, id: 1, rate, burst, priority: 0, home_regions: homes }, 4.0);
         let (b, most) = (&s.bounds, rate * s.bounds.quota_window_s + burst);
         assert!(
             p.rate == rate
@@ -44,7 +44,7 @@
         priority: 0,
         public: false,
         max_attempts: 2,
-        homes: Vec::new(),
+        home_regions: Vec::new(),
     };
     let replayable = |kind| matches!(frontend(&route(kind)).effect, Effect::Replayable);
     let kinds = [RouteKind::Idempotent, RouteKind::NonIdempotent, RouteKind::Keyed];
--- a/data-plane/tests/rules/fleet.rs
+++ b/data-plane/tests/rules/fleet.rs
@@ -78,7 +78,7 @@
     Document {
         config: Some(config.to_string().into_bytes()),
         version: serial,
-        evacuated,
+        evacuated_zones: evacuated,
         serial,
         ..Document::default()
     }
--- a/data-plane/tests/rules/hive.rs
+++ b/data-plane/tests/rules/hive.rs
@@ -212,7 +212,7 @@
     }
     fn with(settings: Settings, holds: bool) -> Hive {
         let (orders, from) = unbounded_channel();
-        let hive = Hive { orders, counts: Arc::default(), votes: Arc::default(), me: settings.node() };
+        let hive = Hive { orders, counts: Arc::default(), votes: Arc::default(), me: settings.node_id() };
         let (counts, votes) = (hive.counts.clone(), hive.votes.clone());
         let (bound, is_bound) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
@@ -296,7 +296,7 @@
             Order::Document(index, d) => {
                 let state = Some(((1, index), Rc::from(bytes(&d))));
                 gossip.publish(Update { state, ..Update::default() }, Source::Origin);
-                let print = Tables::new(&d, &settings.zones).map_or(0, |t| t.print().folded());
+                let print = Tables::new(&d, &settings.zones).map_or(0, |t| t.fingerprints().combined());
                 gossip.set_fingerprint(index, print);
             }
             Order::Rows(number, rows) => {
--- a/drift-detection/src/audit.rs
+++ b/drift-detection/src/audit.rs
@@ -3,8 +3,8 @@
 //! configuration.
 
 use fastrand::Rng;
-use lupinledge_config::plain::{draw, way, way_in};
-use lupinledge_config::{Config, Part, Print, Tables};
+use lupinledge_config::reference::{random_probe, route_by_scan, route_with_tables};
+use lupinledge_config::{Config, Fingerprints, Part, Tables};
 
 /// Tables in memory that differ from the configuration.
 #[derive(Clone, Debug, PartialEq)]
@@ -24,8 +24,8 @@
     steps: u32,
     /// Steps without a finding, since the tables were first seen or since the last finding.
     clean_steps: u32,
-    last_seen: Option<Print>,
-    live_print: Print,
+    last_seen: Option<Fingerprints>,
+    live_print: Fingerprints,
 }
 
 impl Audit {
@@ -36,7 +36,7 @@
             steps: 0,
             clean_steps: 0,
             last_seen: None,
-            live_print: Print::default(),
+            live_print: Fingerprints::default(),
         }
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// The fingerprint of the tables in memory, as of the last check of each part.
-    pub fn live_print(&self) -> Print {
+    pub fn live_print(&self) -> Fingerprints {
         self.live_print
     }
 
@@ -63,19 +63,20 @@
         config: Option<&Config>,
         expected: Option<&Tables>,
     ) -> Option<Finding> {
-        if tables.print() == Print::default() {
+        if tables.fingerprints() == Fingerprints::default() {
             return None; // there is no configuration yet
         }
-        if self.last_seen.replace(tables.print()) != Some(tables.print()) {
-            (self.clean_steps, self.live_print) = (0, tables.print());
+        if self.last_seen.replace(tables.fingerprints()) != Some(tables.fingerprints()) {
+            (self.clean_steps, self.live_print) = (0, tables.fingerprints());
         }
         let part = Part::ALL[(self.steps % STEPS_PER_ROUND) as usize];
         self.steps = self.steps.wrapping_add(1);
-        let print = tables.reprint(part);
+        let print = tables.recompute_fingerprint(part);
         self.live_print.set(part, print);
-        let corrupted = print != tables.print().part(part);
-        let differing =
-            expected.and_then(|e| Part::ALL.into_iter().find(|p| e.print().part(*p) != tables.reprint(*p)));
+        let corrupted = print != tables.fingerprints().part(part);
+        let differing = expected.and_then(|e| {
+            Part::ALL.into_iter().find(|p| e.fingerprints().part(*p) != tables.recompute_fingerprint(*p))
+        });
         let found = match (corrupted, differing, config) {
             (true, ..) => Some(Finding { part, names: Vec::new() }),
             (_, Some(part), _) => Some(Finding { part, names: Vec::new() }),
@@ -87,10 +88,11 @@
     }
 
     fn probe(&mut self, tables: &Tables, config: &Config) -> Option<Finding> {
-        let probe = draw(config, &mut self.rng)?;
-        let (actual, expected) = (way_in(tables, &probe), way(config, &probe));
+        let probe = random_probe(config, &mut self.rng)?;
+        let (actual, expected) = (route_with_tables(tables, &probe), route_by_scan(config, &probe));
         let names = || actual.iter().chain(&expected).map(|w| w.route.clone()).take(1).collect();
-        let tenant = |w: &Option<lupinledge_config::plain::Way>| w.as_ref().map(|w| w.tenant.clone());
+        let tenant =
+            |w: &Option<lupinledge_config::reference::RoutingResult>| w.as_ref().map(|w| w.tenant.clone());
         let part = if tenant(&actual) != tenant(&expected) { Part::Tenants } else { Part::Routes };
         (actual != expected).then(|| Finding { part, names: names() })
     }
--- a/drift-detection/src/audit/tests.rs
+++ b/drift-detection/src/audit/tests.rs
@@ -16,19 +16,20 @@
         "clusters": [{"name": "one"}, {"name": "two"}],
     });
     let config = config.to_string().into_bytes();
-    let parsed = Config::read(&config).unwrap();
-    let document = Document { config: Some(config), evacuated: vec!["z".into()], ..Document::default() };
+    let parsed = Config::parse(&config).unwrap();
+    let document =
+        Document { config: Some(config), evacuated_zones: vec!["z".into()], ..Document::default() };
     let build = || Tables::new(&document, &Default::default()).unwrap();
     for corruption in ["service", "retry", "prefix", "key", "half", "evacuation"] {
         let (mut audit, mut tables) = (Audit::new(7), build());
         let mut round =
             |t: &Tables| (0..STEPS_PER_ROUND).filter_map(|_| audit.step(t, Some(&parsed), None)).count();
         assert_eq!(round(&tables), 0, "{corruption}");
-        tables.drift(corruption);
+        tables.corrupt(corruption);
         assert!(round(&tables) > 0, "{corruption}");
         assert!(!audit.is_clean());
         audit.reset();
         assert_eq!(audit.step(&build(), Some(&parsed), None), None, "{corruption}");
-        assert_eq!(audit.live_print(), build().print(), "{corruption}");
+        assert_eq!(audit.live_print(), build().fingerprints(), "{corruption}");
     }
 }
--- a/drift-detection/tests/cluster/mod.rs
+++ b/drift-detection/tests/cluster/mod.rs
@@ -56,7 +56,7 @@
     Document {
         config: Some(config.to_string().into_bytes()),
         version: serial,
-        evacuated,
+        evacuated_zones: evacuated,
         serial,
         ..Document::default()
     }
@@ -122,7 +122,7 @@
 }
 
 fn same_tables(a: &Tables, b: &Tables) -> bool {
-    Part::ALL.into_iter().all(|p| a.reprint(p) == b.reprint(p))
+    Part::ALL.into_iter().all(|p| a.recompute_fingerprint(p) == b.recompute_fingerprint(p))
 }
 
 impl Cluster {
@@ -206,7 +206,7 @@
     /// The core commits one more document; unreachable members receive it later.
     pub fn commit(&mut self, new_config: bool) {
         let n = self.documents.len() as u64 + 1;
-        let evacuated = new_config != self.documents.last().is_none_or(|d| d.1.evacuated.is_empty());
+        let evacuated = new_config != self.documents.last().is_none_or(|d| d.1.evacuated_zones.is_empty());
         let config = if new_config { config(n) } else { config(self.documents.len().max(1) as u64) };
         let d = document(n, &config, evacuated);
         let tables = Tables::new(&d, &zones()).unwrap();
@@ -223,7 +223,7 @@
                 let update = Update { epoch: Some((self.epoch, node(self.holder))), state, list: None };
                 let from = if i == self.holder { Source::Origin } else { Source::Settled };
                 self.call(i, |s, _| s.publish(update, from));
-                let print = self.documents[n as usize - 1].3.print().folded();
+                let print = self.documents[n as usize - 1].3.fingerprints().combined();
                 self.processes[i].disseminator.set_fingerprint(n, print);
             }
         }
@@ -251,7 +251,7 @@
     /// Corrupts the tables in the memory of a node.
     pub fn drift(&mut self, edge: usize, corruption: &str) {
         let e = self.processes[CORES + edge].edge.as_mut().unwrap();
-        e.tables.drift(corruption);
+        e.tables.corrupt(corruption);
     }
 
     /// Sends a node a forged message with this document under the given epoch and index.
@@ -308,7 +308,7 @@
             e.serial = d.serial;
             e.tables = Tables::new(&d, &zones()).unwrap();
             e.audit.reset();
-            e.config = d.config.as_ref().and_then(|c| Config::read(c).ok());
+            e.config = d.config.as_ref().and_then(|c| Config::parse(c).ok());
             e.held = Some(d);
         }
     }
@@ -360,7 +360,7 @@
         let Some(e) = &mut p.edge else { return };
         e.next_evaluation = self.now + EVALUATION_INTERVAL;
         let found = e.audit.step(&e.tables, e.config.as_ref(), None);
-        let (index, print) = (p.disseminator.store().digest().state.1, e.audit.live_print().folded());
+        let (index, print) = (p.disseminator.store().digest().state.1, e.audit.live_print().combined());
         p.disseminator.set_fingerprint(index, print);
         if !self.monitoring {
             return;
--- a/drift-detection/tests/cost.rs
+++ b/drift-detection/tests/cost.rs
@@ -26,10 +26,10 @@
         "clusters": (0..12).map(|i| json!({"name": format!("service-{i}")})).collect::<Vec<Value>>(),
     });
     let bytes = config.to_string().into_bytes();
-    let (parsed, size) = (Config::read(&bytes).unwrap(), bytes.len());
+    let (parsed, size) = (Config::parse(&bytes).unwrap(), bytes.len());
     let document = Document { config: Some(bytes), version: 1, serial: 1, ..Document::default() };
     let tables = Tables::new(&document, &BTreeMap::new()).unwrap();
-    let print = tables.print().folded();
+    let print = tables.fingerprints().combined();
     let member = |i: u32| {
         let (region, zone, client_address, control_address, drift) =
             ("r".into(), "z".into(), None, None, None);
--- a/gossip/src/cli.rs
+++ b/gossip/src/cli.rs
@@ -92,7 +92,7 @@
     let value: serde_json::Value =
         serde_json::from_slice(&bytes).wrap_err_with(|| path.display().to_string())?;
     let (kind, fault) = match value.get("listeners").is_some() || value.get("base_version").is_some() {
-        true => ("configuration", Config::read(&bytes).err().map(|f| f.to_string())),
+        true => ("configuration", Config::parse(&bytes).err().map(|f| f.to_string())),
         false => ("settings", Settings::parse(&bytes).err()),
     };
     Ok(match fault {
--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -3,8 +3,8 @@
 use crate::process::{card, send, Command, Out, Reply, Say, Told};
 use crate::world::{Begin, Order};
 use crate::{Flaw, Node};
-use lupinledge_config::turns::Caller;
-use lupinledge_config::{Answer, Document, Judged, Turns};
+use lupinledge_config::change_queue::CallerId;
+use lupinledge_config::{Answer, ChangeQueue, Decision, Document};
 use lupinledge_consensus::{Ballot, Msg, Outcome, Output as Ordered, PersistentState, Replica, Settings};
 use lupinledge_counters::holder::CounterHolder;
 use lupinledge_membership::{Disseminator, Member, Source, Standing, Update};
@@ -43,9 +43,9 @@
     pub(crate) counts: (Option<u64>, f64),
     tickets: u64,
     asked: BTreeMap<u64, Asked>,
-    pub(crate) turns: Turns<Command>,
+    pub(crate) turns: ChangeQueue<Command>,
     /// Who waits for a change: the number of the command, and until when.
-    callers: BTreeMap<Caller, (u64, f64)>,
+    callers: BTreeMap<CallerId, (u64, f64)>,
     hint_at: f64,
     seeds: Vec<Node>,
     me: Node,
@@ -75,7 +75,7 @@
             counts: (None, now),
             tickets: 0,
             asked: BTreeMap::new(),
-            turns: Turns::default(),
+            turns: ChangeQueue::default(),
             callers: BTreeMap::new(),
             hint_at: now,
             seeds: seeds.to_vec(),
@@ -92,7 +92,7 @@
 
     /// Commands without a reply yet.
     pub fn unanswered(&self) -> usize {
-        self.asked.len() + self.turns.waiting()
+        self.asked.len() + self.turns.queued()
     }
 
     pub(crate) fn next_wake(&self) -> f64 {
@@ -193,7 +193,7 @@
                         false => rmp_serde::from_slice(&value.body).expect("written by `settle`"),
                     };
                     if self.agreed.as_ref().is_none_or(|agreed| agreed.0 < ballot) {
-                        let edge = document.clone().split().0;
+                        let edge = document.clone().split_accepted().0;
                         let bytes =
                             if value.body.is_empty() { Ok(Vec::new()) } else { rmp_serde::to_vec(&edge) };
                         self.told = bytes.expect("a document can be written").into();
@@ -241,7 +241,7 @@
             Command::Put(body) => Some(body.clone()),
             _ => None,
         };
-        match self.turns.arrive(command, body.as_deref()) {
+        match self.turns.enqueue(command, body.as_deref()) {
             Some(caller) => {
                 self.callers.insert(caller, (id, now + ANSWER_WAIT));
                 self.next(now, out);
@@ -252,21 +252,21 @@
 
     /// Runs the changes that wait, one at a time.
     fn next(&mut self, now: f64, out: &mut Out) {
-        while let Some(command) = self.turns.begin() {
+        while let Some(command) = self.turns.start_next() {
             self.settle(now, None, &command, out);
         }
     }
 
     /// Callers that have waited long are told to come back.
     fn tire(&mut self, now: f64, out: &mut Out) {
-        let tired: Vec<Caller> = self.callers.iter().filter(|c| c.1 .1 <= now).map(|c| *c.0).collect();
+        let tired: Vec<CallerId> = self.callers.iter().filter(|c| c.1 .1 <= now).map(|c| *c.0).collect();
         for caller in tired {
-            self.turns.gone(caller);
+            self.turns.remove_caller(caller);
             let id = self.callers.remove(&caller).map(|caller| caller.0);
             out.extend(id.map(|id| Order::Tell(Told::Replied(id, Reply::Later))));
         }
-        if self.flaw == Flaw::TurnTimed && self.turns.busy() && !self.turns.wanted() {
-            self.turns.end();
+        if self.flaw == Flaw::TurnTimed && self.turns.is_running() && !self.turns.has_waiting_callers() {
+            self.turns.finish();
             self.next(now, out);
         }
     }
@@ -278,7 +278,7 @@
 
     /// The change whose turn it was is settled, or there is only something to be said; returns who is to be told.
     fn ended(&mut self) -> Vec<u64> {
-        let callers = self.turns.end().into_iter();
+        let callers = self.turns.finish().into_iter();
         callers.filter_map(|caller| self.callers.remove(&caller)).map(|caller| caller.0).collect()
     }
 
@@ -306,11 +306,11 @@
         self.tickets += 1;
         let ticket = self.tickets;
         match judged {
-            Judged::Now(answer) => self.reply(ids, Reply::GossipMessage(answer), out),
-            Judged::Said(answer) if matches!(self.flaw, Flaw::NoConfirm | Flaw::LeadsAlone) => {
+            Decision::Reply(answer) => self.reply(ids, Reply::GossipMessage(answer), out),
+            Decision::ReplyIfNewest(answer) if matches!(self.flaw, Flaw::NoConfirm | Flaw::LeadsAlone) => {
                 self.reply(ids, Reply::GossipMessage(answer), out);
             }
-            Judged::Said(answer) => {
+            Decision::ReplyIfNewest(answer) => {
                 // the next change is not held up by it
                 let ids = ids.unwrap_or_else(|| self.ended());
                 if ids.is_empty() {
@@ -320,7 +320,7 @@
                 self.asked.insert(ticket, Asked { ids: Some(ids), command, said });
                 self.turn(now, out, |queen, out| queen.read_barrier(now, ticket, out));
             }
-            Judged::Take(document) => {
+            Decision::Propose(document) => {
                 let body = rmp_serde::to_vec(&document).expect("a document can be written");
                 if self.flaw == Flaw::EarlyDone {
                     self.reply(ids, Reply::GossipMessage(Answer::Done), out);
@@ -339,8 +339,8 @@
                 let agreed = self.agreed.as_ref().filter(|_| self.queen.leading_epoch(now) == Some(epoch));
                 match agreed {
                     Some(now) if now.0 == ballot => Reply::GossipMessage(answer),
-                    Some((_, document)) => match document.judge(command.order(), |z| ZONES.contains(&z)) {
-                        Judged::Said(answer) => Reply::GossipMessage(answer),
+                    Some((_, document)) => match document.decide(command.order(), |z| ZONES.contains(&z)) {
+                        Decision::ReplyIfNewest(answer) => Reply::GossipMessage(answer),
                         _ => Reply::Later,
                     },
                     None => self.elsewhere(now),
--- a/simulation/src/flaw.rs
+++ b/simulation/src/flaw.rs
@@ -3,8 +3,8 @@
 
 use crate::core::ZONES;
 use crate::process::Command;
-use lupinledge_config::taken::body_hash;
-use lupinledge_config::{Config, Document, Judged, Taken};
+use lupinledge_config::accepted::body_hash;
+use lupinledge_config::{AcceptedConfigs, Config, Decision, Document};
 
 /// What is broken on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -105,28 +105,28 @@
 
 impl Flaw {
     /// What a command comes to on top of a document.
-    pub(crate) fn judge(self, document: &Document, command: &Command) -> Judged {
+    pub(crate) fn judge(self, document: &Document, command: &Command) -> Decision {
         let known = |zone: &str| ZONES.contains(&zone);
-        let plain = document.judge(command.order(), known);
+        let plain = document.decide(command.order(), known);
         let Command::Put(body) = command else { return plain };
         let mut other = document.clone();
         match self {
-            Flaw::AnyBase => other.version = Config::read(body).map_or(other.version, |c| c.base_version.0),
-            Flaw::MemoryTwo => other.taken = last(document, 2),
-            Flaw::NoMemory => other.taken = last(document, 0),
+            Flaw::AnyBase => other.version = Config::parse(body).map_or(other.version, |c| c.base_version.0),
+            Flaw::MemoryTwo => other.accepted = last(document, 2),
+            Flaw::NoMemory => other.accepted = last(document, 0),
             Flaw::HashFour => {
                 let (steps, mut hashes) = memory(document);
                 let hash = body_hash(body);
                 for taken in hashes.chunks_exact_mut(HASH).filter(|taken| taken[0] & 15 == hash[0] & 15) {
                     taken.copy_from_slice(&hash);
                 }
-                other.taken = taken(steps, hashes);
+                other.accepted = taken(steps, hashes);
             }
             _ => return plain,
         }
-        match other.judge(command.order(), known) {
+        match other.decide(command.order(), known) {
             // what comes into force is not spoilt by it
-            Judged::Take(_) if self != Flaw::AnyBase => plain,
+            Decision::Propose(_) if self != Flaw::AnyBase => plain,
             judged => judged,
         }
     }
@@ -134,18 +134,18 @@
 
 /// What a document remembers of the configurations taken: steps between numbers, and hashes.
 pub(crate) fn memory(document: &Document) -> (Vec<u64>, Vec<u8>) {
-    let bytes = rmp_serde::to_vec(&document.taken).expect("it can be written");
+    let bytes = rmp_serde::to_vec(&document.accepted).expect("it can be written");
     let (steps, hashes): (_, serde_bytes::ByteBuf) = rmp_serde::from_slice(&bytes).expect("two lists");
     (steps, hashes.into_vec())
 }
 
-fn taken(steps: Vec<u64>, hashes: Vec<u8>) -> Taken {
+fn taken(steps: Vec<u64>, hashes: Vec<u8>) -> AcceptedConfigs {
     let bytes = rmp_serde::to_vec(&(steps, serde_bytes::ByteBuf::from(hashes))).expect("it can be written");
     rmp_serde::from_slice(&bytes).expect("two lists")
 }
 
 /// A memory of the newest few that holds all others for never taken.
-fn last(document: &Document, most: usize) -> Taken {
+fn last(document: &Document, most: usize) -> AcceptedConfigs {
     let (mut steps, mut hashes) = memory(document);
     let surplus = steps.len().saturating_sub(most);
     let lost: u64 = steps.drain(..surplus).sum();
--- a/simulation/src/resends.rs
+++ b/simulation/src/resends.rs
@@ -268,7 +268,7 @@
             if self.open.iter().chain(&self.closed).any(under_way) {
                 continue;
             }
-            if document.evacuated.iter().any(|z| z == zone) != *evacuated {
+            if document.evacuated_zones.iter().any(|z| z == zone) != *evacuated {
                 return Err(format!("{zone} was acknowledged last as evacuated: {evacuated}; it is not so"));
             }
         }
--- a/simulation/src/truth.rs
+++ b/simulation/src/truth.rs
@@ -5,7 +5,7 @@
 use crate::sums::Sums;
 use crate::world::Watch;
 use crate::Node;
-use lupinledge_config::{Answer, Config, Document, Kind};
+use lupinledge_config::{Answer, Config, Document, ErrorKind};
 use lupinledge_consensus::{Ballot, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -89,7 +89,7 @@
 
 /// Base of a configuration, its number.
 fn numbers(body: &[u8]) -> (u64, u64) {
-    Config::read(body).map_or((0, 0), |config| (config.base_version.0, config.version.0))
+    Config::parse(body).map_or((0, 0), |config| (config.base_version.0, config.version.0))
 }
 
 impl Truth {
@@ -181,7 +181,7 @@
 
     /// A run holds a document from now on.
     fn holding(&mut self, node: Node, run: u64, index: u64, document: Rc<Document>) {
-        let edge = |d: &Document| Document::clone(d).split().0;
+        let edge = |d: &Document| Document::clone(d).split_accepted().0;
         let known = self.log.get(&index).map(|known| &known.1);
         if known.is_none_or(|known| *known != document && edge(known) != *document) {
             return self.wrong(format!("{node} holds at {index} what was not committed"));
@@ -236,15 +236,21 @@
             (Command::Put(body), Answer::Refused { kind, .. }) => {
                 let (base, version) = numbers(body);
                 match kind {
-                    Kind::Stale => since(&|d| d.version != base),
-                    Kind::Invalid => since(&|d| d.version >= version),
+                    ErrorKind::Stale => since(&|d| d.version != base),
+                    ErrorKind::Invalid => since(&|d| d.version >= version),
                     _ => None,
                 }
             }
             (Command::Get, Answer::Config(body)) => since(&|d| d.config.as_ref() == Some(body)),
-            (Command::Get, Answer::Refused { kind: Kind::NoSuchPath, .. }) => since(&|d| d.config.is_none()),
-            (Command::Evacuate(zone), Answer::Done) => since(&|d| d.evacuated.iter().any(|z| z == zone)),
-            (Command::Restore(zone), Answer::Done) => since(&|d| !d.evacuated.iter().any(|z| z == zone)),
+            (Command::Get, Answer::Refused { kind: ErrorKind::NoSuchPath, .. }) => {
+                since(&|d| d.config.is_none())
+            }
+            (Command::Evacuate(zone), Answer::Done) => {
+                since(&|d| d.evacuated_zones.iter().any(|z| z == zone))
+            }
+            (Command::Restore(zone), Answer::Done) => {
+                since(&|d| !d.evacuated_zones.iter().any(|z| z == zone))
+            }
             _ => None,
         };
         let Some(index) = index else {
@@ -311,8 +317,9 @@
 
 /// May the second document come some changes after the first? Each change is of one thing.
 fn follows(first: &Document, second: &Document) -> bool {
-    let moved = |zone: &&String| first.evacuated.contains(zone) != second.evacuated.contains(zone);
-    let zones = first.evacuated.iter().chain(&second.evacuated).filter(moved).count();
+    let moved =
+        |zone: &&String| first.evacuated_zones.contains(zone) != second.evacuated_zones.contains(zone);
+    let zones = first.evacuated_zones.iter().chain(&second.evacuated_zones).filter(moved).count();
     let (was, is) = (memory(first), memory(second));
     let configs = is.0.len().saturating_sub(was.0.len());
     let changes = second.serial.saturating_sub(first.serial);
