--- a/config/src/accepted.rs
+++ b/config/src/accepted.rs
@@ -1,100 +1,103 @@
-//! What the core remembers of the configurations that were taken, for operators that send again.
+//! The history of accepted configurations, which recognizes a configuration that an operator sends again.
 //!
-//! Each is kept by its number and 128 bits of its SHA-256, the newest [`MAX_ACCEPTED`] of them: 17 bytes each where
-//! numbers rise by less than 128. What lies further back can't be told from what was never taken, and is said so.
+//! An entry holds the version and 128 bits of the SHA-256 of the body; the newest [`MAX_ACCEPTED`] entries are kept. One
+//! takes 17 bytes where versions rise by less than 128. For an older version it is not known whether a body was
+//! accepted, and the lookup returns [`Lookup::Forgotten`].
 
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// How many taken configurations are remembered: those of 29 hours at 2,100 changes a day, in 43 KB.
+/// The most accepted configurations that are kept: those of 29 hours at 2,100 changes a day, in 43 KB.
 pub const MAX_ACCEPTED: usize = 2_560;
 
 /// Bytes of a [`BodyHash`].
-const HASH: usize = 16;
+const HASH_BYTES: usize = 16;
 
 /// The first 128 bits of a body's SHA-256.
-pub type BodyHash = [u8; HASH];
+pub type BodyHash = [u8; HASH_BYTES];
 
-/// Of a body as it was sent.
+/// Hashes a body as the operator sent it.
 pub fn body_hash(body: &[u8]) -> BodyHash {
-    let mut hash = [0; HASH];
-    hash.copy_from_slice(&Sha256::digest(body)[..HASH]);
+    let mut hash = [0; HASH_BYTES];
+    hash.copy_from_slice(&Sha256::digest(body)[..HASH_BYTES]);
     hash
 }
 
-/// What is known of a number.
+/// Whether a body was accepted under a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// This body was taken under it.
+    /// This body was accepted under the version.
     Accepted,
-    /// This body was not: another one was, or none.
+    /// Another body, or none, was accepted under the version.
     NotAccepted,
-    /// It lies before what is remembered.
+    /// The version is older than the history.
     Forgotten,
 }
 
-/// The configurations taken, from the newest back. The newest one's number is that of the document's configuration.
+/// The newest accepted configurations. The version of the newest one is [`crate::Document::version`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "Form")]
+#[serde(from = "StoredForm")]
 pub struct AcceptedConfigs {
-    /// By how much each number rose over the one taken before it; the newest last.
+    /// The difference of each version to the one accepted before it; the newest is last.
     steps: Vec<u64>,
-    /// The [`BodyHash`]es, one after the other.
+    /// The [`BodyHash`]es of the same configurations, concatenated.
     #[serde(with = "serde_bytes")]
     hashes: Vec<u8>,
 }
 
-/// As it is read: builds before this one wrote pairs of a number and 64 bits of another hash, which tell nothing here.
+/// The forms that are read. Earlier builds wrote pairs of a version and 64 bits of another hash, which can't be compared
+/// with the hashes here and are dropped.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum Form {
-    Now(Vec<u64>, #[serde(with = "serde_bytes")] Vec<u8>),
+enum StoredForm {
+    Current(Vec<u64>, #[serde(with = "serde_bytes")] Vec<u8>),
     Former(IgnoredAny),
 }
 
-impl From<Form> for AcceptedConfigs {
-    fn from(form: Form) -> AcceptedConfigs {
+impl From<StoredForm> for AcceptedConfigs {
+    fn from(form: StoredForm) -> AcceptedConfigs {
         match form {
-            Form::Now(steps, hashes) if steps.len() * HASH == hashes.len() => {
+            StoredForm::Current(steps, hashes) if steps.len() * HASH_BYTES == hashes.len() => {
                 AcceptedConfigs { steps, hashes }
             }
-            Form::Now(..) | Form::Former(IgnoredAny) => AcceptedConfigs::default(),
+            StoredForm::Current(..) | StoredForm::Former(IgnoredAny) => AcceptedConfigs::default(),
         }
     }
 }
 
 impl AcceptedConfigs {
-    /// How many are remembered.
+    /// The number of configurations in the history.
     pub fn len(&self) -> usize {
         self.steps.len()
     }
 
-    /// Whether none is.
+    /// Whether the history is empty.
     pub fn is_empty(&self) -> bool {
         self.steps.is_empty()
     }
 
-    /// Adds one whose number is so much higher than the newest, and forgets the oldest beyond [`MAX_ACCEPTED`].
+    /// Adds a configuration whose version is `step` above the newest, and drops the oldest beyond [`MAX_ACCEPTED`].
     pub(crate) fn push(&mut self, step: u64, hash: BodyHash) {
         self.steps.push(step);
         self.hashes.extend(hash);
         let surplus = self.steps.len().saturating_sub(MAX_ACCEPTED);
         self.steps.drain(..surplus);
-        self.hashes.drain(..surplus * HASH);
+        self.hashes.drain(..surplus * HASH_BYTES);
     }
 
-    /// What is known of a body under a number, where the newest one taken has the number `newest` (0: none was).
+    /// Looks up a body under a version. `newest` is the version of the newest accepted configuration, 0 if there is
+    /// none.
     pub fn look_up(&self, newest: u64, version: u64, hash: &BodyHash) -> Lookup {
-        let mut at = newest;
-        for (step, taken) in self.steps.iter().zip(self.hashes.chunks_exact(HASH)).rev() {
-            if version >= at {
-                let same = version == at && taken == hash;
+        let mut current = newest;
+        for (step, accepted) in self.steps.iter().zip(self.hashes.chunks_exact(HASH_BYTES)).rev() {
+            if version >= current {
+                let same = version == current && accepted == hash;
                 return if same { Lookup::Accepted } else { Lookup::NotAccepted };
             }
-            at = at.saturating_sub(*step);
+            current = current.saturating_sub(*step);
         }
-        if at == 0 || version > at {
+        if current == 0 || version > current {
             Lookup::NotAccepted
         } else {
             Lookup::Forgotten
--- a/config/src/check.rs
+++ b/config/src/check.rs
@@ -1,57 +1,63 @@
-//! The checks of a configuration across its fields, and of its place among the versions.
+//! The checks of a configuration across its fields, and of its version against the current one.
 
 use crate::config::{Action, Config, Version};
 use crate::error::{ConfigError, ErrorKind};
 use crate::host::normalized_host;
-use crate::read::read;
+use crate::parse::parse;
 use std::collections::{HashMap, HashSet};
 
-/// Bytes of the largest configuration that is taken: it has to fit into a message between own processes.
+/// Bytes of the largest configuration that is accepted: it has to fit into a message between processes of the system.
 pub const MAX_CONFIG_BYTES: usize = 3 << 20;
 
 impl Config {
-    /// Reads a configuration and checks all but its place among the versions.
+    /// Parses a configuration and makes all checks except that of its version against the current one.
     pub fn parse(bytes: &[u8]) -> Result<Config, ConfigError> {
-        let config: Config = read(bytes)?;
-        config.across()?;
+        let config: Config = parse(bytes)?;
+        config.check_across_fields()?;
         Ok(config)
     }
 
-    /// What no field can tell by itself.
-    fn across(&self) -> Result<(), ConfigError> {
+    /// The checks that concern more than one field.
+    fn check_across_fields(&self) -> Result<(), ConfigError> {
         let mut services = HashSet::new();
         for (i, c) in self.clusters.iter().enumerate() {
             if !services.insert(c.name.as_str()) {
-                return Err(ConfigError::invalid(format!("clusters[{i}].name"), "is there twice"));
+                return Err(ConfigError::invalid(
+                    format!("clusters[{i}].name"),
+                    "another cluster has the same name",
+                ));
             }
         }
-        let mut places = HashSet::new();
+        let mut matches = HashSet::new();
         for (i, l) in self.listeners.iter().enumerate() {
             let host = normalized_host(&l.host);
             for (j, r) in l.rules.iter().enumerate() {
-                let at = format!("listeners[{i}].rules[{j}]");
-                if !places.insert((host.clone(), r.r#match.path_prefix.as_str())) {
-                    let at = at + ".match.path_prefix";
-                    return Err(ConfigError::invalid(at, "another route has the same host and prefix"));
+                let field = format!("listeners[{i}].rules[{j}]");
+                if !matches.insert((host.clone(), r.r#match.path_prefix.as_str())) {
+                    let field = field + ".match.path_prefix";
+                    return Err(ConfigError::invalid(field, "another route has the same host and prefix"));
                 }
                 r.action
-                    .known(&services)
-                    .map_err(|(field, text)| ConfigError::invalid(format!("{at}.action{field}"), text))?;
+                    .check_services(&services)
+                    .map_err(|(name, text)| ConfigError::invalid(format!("{field}.action{name}"), text))?;
             }
         }
-        self.keys()
+        self.check_tenants()
     }
 
-    fn keys(&self) -> Result<(), ConfigError> {
+    fn check_tenants(&self) -> Result<(), ConfigError> {
         let (mut names, mut owners) = (HashSet::new(), HashMap::new());
         for (i, t) in self.tenants.iter().flatten().enumerate() {
             if !names.insert(t.name.as_str()) {
-                return Err(ConfigError::invalid(format!("tenants[{i}].name"), "is there twice"));
+                return Err(ConfigError::invalid(
+                    format!("tenants[{i}].name"),
+                    "another tenant has the same name",
+                ));
             }
             for (j, key) in t.api_keys.iter().enumerate() {
                 if *owners.entry(key.as_str()).or_insert(i) != i {
-                    let at = format!("tenants[{i}].api_keys[{j}]");
-                    return Err(ConfigError::invalid(at, "another tenant has the same key"));
+                    let field = format!("tenants[{i}].api_keys[{j}]");
+                    return Err(ConfigError::invalid(field, "another tenant has the same key"));
                 }
             }
         }
@@ -60,13 +66,15 @@
 }
 
 impl Action {
-    fn known(&self, services: &HashSet<&str>) -> Result<(), (String, String)> {
+    /// Whether the action names a service, and only existing ones. The error holds the field, relative to the action,
+    /// and the message.
+    fn check_services(&self, services: &HashSet<&str>) -> Result<(), (String, String)> {
         let parts = self.split.iter().enumerate().map(|(i, s)| (format!(".split[{i}].service"), &s.service));
         let all = self.service.iter().map(|s| (".service".to_string(), s)).chain(parts);
         for (field, service) in all {
             if !services.contains(service.as_str()) {
                 let short: String = service.chars().take(80).collect();
-                return Err((field, format!("no service is named {short:?}")));
+                return Err((field, format!("no cluster is named {short:?}")));
             }
         }
         match self.service.is_none() && self.split.is_empty() {
@@ -76,22 +84,23 @@
     }
 }
 
-/// Reads and checks a configuration that is to follow version `current` (none: it is the first).
+/// Parses and checks a configuration that is to follow version `current` (`None` if it is the first).
 ///
-/// Faults in this order: what can't be read (400), another base than `current` (412), the rest (400).
+/// Reports the first error in this order: unreadable (400), another base than `current` (412), the rest (400).
 pub fn check(bytes: &[u8], current: Option<u64>) -> Result<Config, ConfigError> {
-    let config = read_bounded(bytes)?;
-    check_read(&config, current.unwrap_or(0))?;
+    let config = parse_bounded(bytes)?;
+    check_parsed(&config, current.unwrap_or(0))?;
     Ok(config)
 }
 
-/// The checks that are left once a configuration could be read; 0 where there is no current one.
-pub(crate) fn check_read(config: &Config, current: u64) -> Result<(), ConfigError> {
-    follows(config, current)?;
-    config.across()
+/// The checks that are left after parsing; `current` is 0 if there is no current version.
+pub(crate) fn check_parsed(config: &Config, current: u64) -> Result<(), ConfigError> {
+    check_versions(config, current)?;
+    config.check_across_fields()
 }
 
-pub(crate) fn read_bounded(bytes: &[u8]) -> Result<Config, ConfigError> {
+/// Parses a configuration of up to [`MAX_CONFIG_BYTES`].
+pub(crate) fn parse_bounded(bytes: &[u8]) -> Result<Config, ConfigError> {
     if bytes.len() > MAX_CONFIG_BYTES {
         return Err(ConfigError::new(
             ErrorKind::TooLarge,
@@ -99,18 +108,18 @@
             format!("is larger than {MAX_CONFIG_BYTES} bytes"),
         ));
     }
-    read(bytes)
+    parse(bytes)
 }
 
-/// Whether the configuration may follow the current version.
-fn follows(config: &Config, current: u64) -> Result<(), ConfigError> {
+/// Checks that the configuration may follow the current version.
+fn check_versions(config: &Config, current: u64) -> Result<(), ConfigError> {
     let (version, base) = (config.version, config.base_version);
     if base.0 != current {
-        let text = format!("builds on {base}, but {} is in place", Version(current));
+        let text = format!("builds on {base}, but {} is current", Version(current));
         return Err(ConfigError::new(ErrorKind::Stale, "base_version", text));
     }
     if version.0 <= current {
-        let text = format!("{version} is not above {}", Version(current));
+        let text = format!("{version} is not above the current {}", Version(current));
         return Err(ConfigError::invalid("version", text));
     }
     Ok(())
--- a/config/src/config.rs
+++ b/config/src/config.rs
@@ -1,7 +1,7 @@
-//! A configuration as the operator sends it, with the checks that a field carries by itself; those across
-//! fields are in [`mod@crate::check`]. What the pages don't name is ignored.
+//! A configuration as the operator sends it, with the checks of single fields; those across fields are in
+//! [`mod@crate::check`]. Unknown fields are ignored.
 
-use crate::read::{not_negative, or_default, positive, printable};
+use crate::parse::{not_negative, or_default, positive, printable};
 use garde::Validate;
 use serde::de::{Deserializer, Error, Visitor};
 use serde::Deserialize;
@@ -10,22 +10,22 @@
 /// A whole configuration.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Config {
-    /// Its own number.
+    /// The version of this configuration.
     #[garde(skip)]
     pub version: Version,
-    /// The version that it builds on; 0 for the first.
+    /// The version that it replaces; 0 for the first.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(skip)]
     pub base_version: Version,
-    /// What a client may send, and how long it may take.
+    /// Limits on requests and client connections.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(dive)]
     pub limits: Limits,
-    /// The tenants; where this is missing, requests need no key.
+    /// The tenants; without this field, requests need no key.
     #[serde(default)]
     #[garde(length(max = 20_000), dive)]
     pub tenants: Option<Vec<Tenant>>,
-    /// The routes, by host.
+    /// The routes, grouped by host.
     #[garde(length(max = 20_000), dive)]
     pub listeners: Vec<Listener>,
     /// The services.
@@ -33,16 +33,16 @@
     pub clusters: Vec<Cluster>,
 }
 
-/// The number of a configuration: `r12`, or plainly 12.
+/// The version of a configuration, written as `"r12"` or 12.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version(pub u64);
 
 impl Version {
-    /// `r` and a number of up to 19 digits.
+    /// Parses `r` followed by decimal digits; `None` also if the number exceeds 64 bits.
     pub fn parse(text: &str) -> Option<Version> {
         let digits = text.strip_prefix('r')?;
-        let plain = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-        plain.then(|| digits.parse().ok().map(Version)).flatten()
+        let only_digits = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
+        only_digits.then(|| digits.parse().ok().map(Version)).flatten()
     }
 }
 
@@ -54,8 +54,8 @@
 
 impl<'de> Deserialize<'de> for Version {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        struct Seen;
-        impl Visitor<'_> for Seen {
+        struct VersionVisitor;
+        impl Visitor<'_> for VersionVisitor {
             type Value = Version;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a version such as \"r12\"")
@@ -65,24 +65,25 @@
             }
             fn visit_str<E: Error>(self, v: &str) -> Result<Version, E> {
                 let short: String = v.chars().take(40).collect();
-                Version::parse(v).ok_or_else(|| E::custom(format!("{short:?} is no version such as \"r12\"")))
+                Version::parse(v)
+                    .ok_or_else(|| E::custom(format!("{short:?} is not a version such as \"r12\"")))
             }
         }
-        d.deserialize_any(Seen)
+        d.deserialize_any(VersionVisitor)
     }
 }
 
-/// What a client may send, and how long it may take or stay idle.
+/// Limits on requests and client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Validate)]
 #[serde(default)]
 pub struct Limits {
-    /// Bytes of a request's line and headers.
+    /// The most bytes of a request line with its headers.
     #[garde(custom(positive))]
     pub max_header_bytes: f64,
-    /// Bytes of a request's body.
+    /// The most bytes of a request body.
     #[garde(custom(not_negative))]
     pub max_body_bytes: f64,
-    /// Seconds that the headers may take.
+    /// Seconds within which the headers must arrive.
     #[garde(custom(positive))]
     pub header_timeout_s: f64,
     /// Seconds that a connection may stay idle.
@@ -97,39 +98,39 @@
     }
 }
 
-/// A customer.
+/// A tenant, whose requests carry one of its API keys.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Tenant {
-    /// Servers are told it.
+    /// The name, which is sent to servers in a request header.
     #[garde(length(min = 1, max = 4096), custom(printable))]
     pub name: String,
-    /// Who shows one of these is this tenant.
+    /// Requests with one of these keys belong to the tenant.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 20_000), inner(length(min = 1, max = 4096)))]
     pub api_keys: Vec<String>,
-    /// Rank, 0 is highest; it outranks the route's.
+    /// Priority, 0 is highest; takes precedence over the priority of the route.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(custom(not_negative))]
     pub priority: f64,
-    /// Requests a second over all gateways; 0 for no limit.
+    /// Requests per second over all gateways; 0 for no limit.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(custom(not_negative))]
     pub rate_per_s: f64,
-    /// Requests beyond that rate.
+    /// Requests allowed beyond that rate.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(custom(not_negative))]
     pub burst: f64,
-    /// Regions it may be served in; empty for all.
+    /// Regions that may serve the requests; empty for all.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 4096))]
     pub home_regions: Vec<String>,
 }
 
-/// The routes of a host.
+/// The routes of one host.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Listener {
-    /// As in the header of requests.
-    #[garde(length(min = 1, max = 4096), custom(printable), custom(bare))]
+    /// The host as in the header of requests; port and letter case are ignored.
+    #[garde(length(min = 1, max = 4096), custom(printable), custom(host_only))]
     pub host: String,
     /// The routes.
     #[garde(length(max = 20_000), dive)]
@@ -139,85 +140,85 @@
 /// A route.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Rule {
-    /// For people.
+    /// A name for people.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 4096), custom(printable))]
     pub name: String,
     /// Whether requests may run more than once.
     #[garde(skip)]
     pub route_kind: RouteKind,
-    /// Seconds within which an answer earns its full worth.
+    /// Seconds within which a response has its full value; without it, `action.timeout_s`.
     #[serde(default)]
     #[garde(inner(custom(not_negative)))]
     pub target_s: Option<f64>,
-    /// Rank, 0 is highest.
+    /// Priority, 0 is highest.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(custom(not_negative))]
     pub priority: f64,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(skip)]
     pub public: bool,
-    /// Which requests.
+    /// Which requests the route matches.
     #[garde(dive)]
     pub r#match: Match,
-    /// Where to, and how.
+    /// How the requests are forwarded.
     #[garde(dive)]
     pub action: Action,
 }
 
-/// What may be repeated.
+/// Whether the requests of a route may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// Requests may run more than once.
+    /// Requests may be executed more than once.
     Idempotent,
-    /// Requests run at most once for each try.
+    /// A request is executed at most once for each attempt of the client.
     NonIdempotent,
-    /// Requests of a tenant that share an operation key run at most once between them.
+    /// Of the requests of a tenant with the same operation key, at most one is executed.
     Keyed,
 }
 
-/// Which requests a route takes.
+/// Which requests a route matches.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Match {
-    /// Starts and ends with a slash.
-    #[garde(length(max = 16_384), custom(printable), custom(slashed))]
+    /// Prefix of the path; starts and ends with a slash.
+    #[garde(length(max = 16_384), custom(printable), custom(slash_at_both_ends))]
     pub path_prefix: String,
 }
 
-/// Where the requests of a route go.
+/// How the requests of a route are forwarded.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Action {
-    /// One service.
+    /// The service, if there is only one.
     #[serde(default)]
     #[garde(skip)]
     pub service: Option<String>,
-    /// Several, by weight; it goes before `service`.
+    /// Several services, by weight; takes precedence over `service`.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 4096), dive)]
     pub split: Vec<Split>,
-    /// Seconds that a request may be held.
+    /// Seconds after which a request is given up.
     #[garde(custom(positive))]
     pub timeout_s: f64,
-    /// Servers that one try may be sent to.
-    #[serde(default = "one")]
+    /// The most servers that one attempt of the client may be sent to.
+    #[serde(default = "default_one")]
     #[garde(custom(not_negative))]
     pub max_attempts: f64,
-    /// Regions it may be served in; empty for all.
+    /// Regions that may serve the requests; empty for all.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 4096))]
     pub home_regions: Vec<String>,
 }
 
-/// A service's part of a route.
+/// The share of a service in a route.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Split {
-    /// Its name.
+    /// Name of the service.
     #[garde(skip)]
     pub service: String,
-    /// In proportion to the other weights.
-    #[serde(default = "one")]
+    /// The share, relative to the other weights.
+    #[serde(default = "default_one")]
     #[garde(custom(not_negative))]
     pub weight: f64,
 }
@@ -225,52 +226,52 @@
 /// A service.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Cluster {
-    /// As in the platform's list.
+    /// The name, as in the platform's list of servers.
     #[garde(length(min = 1, max = 4096), custom(printable))]
     pub name: String,
-    /// Where servers are asked whether they are well.
-    #[serde(default = "health")]
-    #[garde(length(max = 16_384), custom(printable), custom(rooted))]
+    /// Path of the health check.
+    #[serde(default = "default_health_path")]
+    #[garde(length(max = 16_384), custom(printable), custom(absolute_path))]
     pub health_path: String,
-    /// Connections that a server takes from all callers together; 0 where it isn't told.
+    /// Connections that a server accepts from all callers together; 0 if unknown.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(custom(not_negative))]
     pub max_conns: f64,
-    /// Seconds that a server stays cold.
+    /// Seconds that a server takes to warm up.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(custom(not_negative))]
     pub warmup_s: f64,
-    /// Requests a second that a cold server bears; 0 where it isn't told.
+    /// Requests per second that a server handles while it warms up; 0 if unknown.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(custom(not_negative))]
     pub warmup_per_s: f64,
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
-fn health() -> String {
+fn default_health_path() -> String {
     "/health".to_string()
 }
 
-fn bare(host: &str, _: &()) -> garde::Result {
+fn host_only(host: &str, _: &()) -> garde::Result {
     match host.contains(['/', ' ']) {
-        true => Err(garde::Error::new("has to be a host alone")),
+        true => Err(garde::Error::new("must be a host without path or spaces")),
         false => Ok(()),
     }
 }
 
-fn rooted(path: &str, _: &()) -> garde::Result {
+fn absolute_path(path: &str, _: &()) -> garde::Result {
     match path.starts_with('/') && !path.contains(' ') {
         true => Ok(()),
-        false => Err(garde::Error::new("has to start with a slash and hold no space")),
+        false => Err(garde::Error::new("must start with a slash and contain no space")),
     }
 }
 
-fn slashed(path: &str, _: &()) -> garde::Result {
+fn slash_at_both_ends(path: &str, _: &()) -> garde::Result {
     match path.starts_with('/') && path.ends_with('/') {
         true => Ok(()),
-        false => Err(garde::Error::new("has to start and end with a slash")),
+        false => Err(garde::Error::new("must start and end with a slash")),
     }
 }
--- a/config/src/document.rs
+++ b/config/src/document.rs
@@ -1,99 +1,100 @@
-//! The document that the core agrees on: the configuration as sent, the evacuated zones, and what was taken
-//! before. Orders turn one document into the next; nothing here decides who may do so.
+//! The document that the core agrees on: the configuration as sent, the evacuated zones, and the history of accepted
+//! configurations. Orders turn one document into the next; who may do so is decided elsewhere.
 
 use crate::accepted::{body_hash, AcceptedConfigs, Lookup};
-use crate::check::{check_read, read_bounded};
+use crate::check::{check_parsed, parse_bounded};
 use crate::error::{ConfigError, ErrorKind};
 use serde::{Deserialize, Serialize};
 
-/// What all have to know, whole.
+/// The replicated state that the operator controls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
     /// The bytes of the newest configuration as the operator sent them.
     #[serde(with = "serde_bytes")]
     pub config: Option<Vec<u8>>,
-    /// Its number; 0 where there is none.
+    /// The version of the newest configuration; 0 if there is none.
     pub version: u64,
     /// Names of the evacuated zones, sorted.
     pub evacuated_zones: Vec<String>,
-    /// Raised by one with each change.
+    /// Incremented with each change.
     pub serial: u64,
-    /// The configurations that were taken; not told to the edge, see [`Document::split`].
+    /// The configurations that were accepted; not sent to the edge, see [`Document::split_accepted`].
     pub accepted: AcceptedConfigs,
 }
 
-/// What becomes of a configuration that an operator puts.
+/// The result of putting a configuration on top of a document.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
-    /// Exactly this one was taken before: 200.
-    Already,
-    /// The document that is to be agreed on; 200 once it is.
-    Take(Document),
-    /// It is refused, with the kind's status.
-    Refuse {
-        /// Decides the answer.
+pub enum PutResult {
+    /// Exactly this configuration was accepted before: 200.
+    AlreadyAccepted,
+    /// The document to be committed; 200 after the commit.
+    Accepted(Document),
+    /// The configuration is refused, with the status of the error kind.
+    Refused {
+        /// Decides the status of the response.
         kind: ErrorKind,
-        /// Names the field and what is wrong with it.
+        /// Names the field and describes the error.
         text: String,
     },
 }
 
 impl Document {
-    /// Judges a configuration put on top of this document.
+    /// Puts a configuration on top of this document.
     ///
-    /// In this order: unreadable, 400; taken before, 200; maybe taken so long ago that nobody can tell, 503; built on
-    /// another version, 412; the other checks, 400.
-    pub fn put(&self, body: &[u8]) -> Verdict {
+    /// The checks are made in this order: unreadable, 400; accepted before, 200; so old that it is not known whether
+    /// it was accepted, 503; built on another version, 412; the other checks, 400.
+    pub fn put(&self, body: &[u8]) -> PutResult {
         if self.config.as_deref() == Some(body) {
-            return Verdict::Already;
+            return PutResult::AlreadyAccepted;
         }
-        match self.taken_on(body) {
-            Ok(verdict) => verdict,
-            Err(fault) => Verdict::Refuse { kind: fault.kind, text: fault.to_string() },
+        match self.put_parsed(body) {
+            Ok(result) => result,
+            Err(error) => PutResult::Refused { kind: error.kind, text: error.to_string() },
         }
     }
 
-    fn taken_on(&self, body: &[u8]) -> Result<Verdict, ConfigError> {
-        let config = read_bounded(body)?;
+    fn put_parsed(&self, body: &[u8]) -> Result<PutResult, ConfigError> {
+        let config = parse_bounded(body)?;
         let (version, base) = (config.version.0, config.base_version.0);
         let hash = body_hash(body);
         match self.accepted.look_up(self.version, version, &hash) {
-            Lookup::Accepted => return Ok(Verdict::Already),
-            // one that was taken came after its base, and others than those in force came before it
+            Lookup::Accepted => return Ok(PutResult::AlreadyAccepted),
+            // the version of an accepted configuration is above its base and, unless it is in force, below the current
+            // version; any other version can't have been accepted
             Lookup::Forgotten if base < version && version < self.version => {
-                let text = format!("{} was current too long ago to tell what was taken", config.version);
+                let text = format!("{} is too old to tell whether it was accepted", config.version);
                 return Err(ConfigError::new(ErrorKind::Unsettled, "version", text));
             }
             Lookup::NotAccepted | Lookup::Forgotten => {}
         }
-        check_read(&config, self.version)?;
+        check_parsed(&config, self.version)?;
         let mut next = self.next();
         (next.config, next.version) = (Some(body.to_vec()), version);
         next.accepted.push(version - self.version, hash);
-        Ok(Verdict::Take(next))
+        Ok(PutResult::Accepted(next))
     }
 
-    /// The document with the zone emptied; none where it is already. Whether there is such a zone is for the
-    /// caller to check ([`crate::Settings::has_zone`], else [`ErrorKind::UnknownZone`]): this bounds the list too.
+    /// The document with the zone evacuated; `None` if it is evacuated already. The caller checks first that the zone
+    /// exists ([`crate::Settings::has_zone`], else [`ErrorKind::UnknownZone`]), which also bounds the list.
     pub fn evacuate(&self, zone: &str) -> Option<Document> {
-        let at = self.evacuated_zones.binary_search_by(|z| z.as_str().cmp(zone)).err()?;
+        let index = self.evacuated_zones.binary_search_by(|z| z.as_str().cmp(zone)).err()?;
         let mut next = self.next();
-        next.evacuated_zones.insert(at, zone.to_string());
+        next.evacuated_zones.insert(index, zone.to_string());
         Some(next)
     }
 
-    /// The document with the zone taken back; none where it is not evacuated.
+    /// The document with the zone restored; `None` if it is not evacuated.
     pub fn restore(&self, zone: &str) -> Option<Document> {
-        let at = self.evacuated_zones.binary_search_by(|z| z.as_str().cmp(zone)).ok()?;
+        let index = self.evacuated_zones.binary_search_by(|z| z.as_str().cmp(zone)).ok()?;
         let mut next = self.next();
-        next.evacuated_zones.remove(at);
+        next.evacuated_zones.remove(index);
         Some(next)
     }
 
-    /// Without the memory of what was taken, which the core alone needs, and that memory.
+    /// Splits off the history of accepted configurations, which only the core needs.
     pub fn split_accepted(mut self) -> (Document, AcceptedConfigs) {
-        let taken = std::mem::take(&mut self.accepted);
-        (self, taken)
+        let accepted = std::mem::take(&mut self.accepted);
+        (self, accepted)
     }
 
     fn next(&self) -> Document {
--- a/config/src/error.rs
+++ b/config/src/error.rs
@@ -1,34 +1,34 @@
-//! The closed list of the kinds of errors, and the table from kind to answer.
+//! The closed list of error kinds, with the HTTP status and the outer name of each.
 
 use std::fmt;
 
-/// What may be wrong with an operator's or another caller's order.
+/// What may be wrong with an order or with another caller's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ErrorKind {
     /// The body is not JSON, or ends too early.
     Malformed,
     /// The body can be read, but breaks a rule for configurations.
     Invalid,
-    /// It builds on another version than the current one.
+    /// The configuration builds on another version than the current one.
     Stale,
-    /// No zone of that name is in the settings.
+    /// The settings name no such zone.
     UnknownZone,
-    /// The body is larger than any that is taken.
+    /// The body is larger than [`crate::check::MAX_CONFIG_BYTES`].
     TooLarge,
-    /// This process does not hold the duty; another one is to be asked.
+    /// This process does not hold the duty; the caller has to ask another one.
     NotHolder,
     /// Whether the order is in force could not be settled in time.
     Unsettled,
     /// Nothing is served under that path.
     NoSuchPath,
-    /// That path does not take this method.
+    /// That path does not support this method.
     NoSuchMethod,
     /// Too many orders at once.
     Overloaded,
 }
 
-/// The table from kind to status and name.
-const TABLE: [(ErrorKind, u16, &str); 10] = [
+/// Status and name by kind, in the order of the variants.
+const STATUS_AND_NAME: [(ErrorKind, u16, &str); 10] = [
     (ErrorKind::Malformed, 400, "malformed"),
     (ErrorKind::Invalid, 400, "invalid"),
     (ErrorKind::Stale, 412, "stale"),
@@ -42,19 +42,19 @@
 ];
 
 impl ErrorKind {
-    /// Every kind, in the order of the table.
+    /// Every kind, in the order of the variants.
     pub fn all() -> impl Iterator<Item = ErrorKind> {
-        TABLE.iter().map(|row| row.0)
+        STATUS_AND_NAME.iter().map(|row| row.0)
     }
 
-    /// The HTTP status that answers it.
+    /// The HTTP status of a response with this error.
     pub fn status(self) -> u16 {
-        TABLE[self as usize].1
+        STATUS_AND_NAME[self as usize].1
     }
 
-    /// Its name in logs and bodies.
+    /// The name in logs and response bodies.
     pub fn name(self) -> &'static str {
-        TABLE[self as usize].2
+        STATUS_AND_NAME[self as usize].2
     }
 }
 
@@ -64,24 +64,24 @@
     }
 }
 
-/// What is wrong, and where.
+/// An error in a configuration or a settings file, with the field that has it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigError {
-    /// Decides the answer.
+    /// Decides the status of the response.
     pub kind: ErrorKind,
     /// Path of the field, as in `listeners[0].rules[2].action.timeout_s`; empty for the whole body.
     pub field: String,
-    /// What is wrong with it, for people.
+    /// Describes the error for people.
     pub message: String,
 }
 
 impl ConfigError {
-    pub(crate) fn new(kind: ErrorKind, field: impl Into<String>, text: impl Into<String>) -> ConfigError {
-        ConfigError { kind, field: field.into(), message: text.into() }
+    pub(crate) fn new(kind: ErrorKind, field: impl Into<String>, message: impl Into<String>) -> ConfigError {
+        ConfigError { kind, field: field.into(), message: message.into() }
     }
 
-    pub(crate) fn invalid(field: impl Into<String>, text: impl Into<String>) -> ConfigError {
-        ConfigError::new(ErrorKind::Invalid, field, text)
+    pub(crate) fn invalid(field: impl Into<String>, message: impl Into<String>) -> ConfigError {
+        ConfigError::new(ErrorKind::Invalid, field, message)
     }
 }
 
--- a/config/src/home_regions.rs
+++ b/config/src/home_regions.rs
@@ -1,36 +1,38 @@
-//! Which regions are homes to all that a host serves, for those who send clients somewhere before a route is known.
+//! The regions that may serve every route of a host. The directory uses them to choose a region for a client before the
+//! route of its requests is known.
 
 use crate::host::normalized_host;
 use crate::{Config, Document};
 use std::collections::{BTreeSet, HashMap};
 
-/// By host; see the module. HomeRegions of tenants are not in it: who sends clients doesn't know them.
+/// Home regions by host, see the module. Those of tenants are not included, since the directory doesn't know which
+/// tenant a client belongs to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HomeRegions {
     by_host: HashMap<String, BTreeSet<String>>,
 }
 
 impl HomeRegions {
-    /// Of the document's configuration; none where it has none.
+    /// Collects the home regions from the document's configuration; empty if it has none.
     pub fn new(document: &Document) -> HomeRegions {
         let config = document.config.as_deref().and_then(|body| Config::parse(body).ok());
         let mut by_host: HashMap<String, BTreeSet<String>> = HashMap::new();
         for listener in config.into_iter().flat_map(|config| config.listeners) {
             let host = normalized_host(&listener.host);
-            let homes = listener.rules.into_iter().map(|rule| rule.action.home_regions);
-            for homes in homes.filter(|homes| !homes.is_empty()) {
-                let homes: BTreeSet<String> = homes.into_iter().collect();
+            let regions_by_rule = listener.rules.into_iter().map(|rule| rule.action.home_regions);
+            for regions in regions_by_rule.filter(|regions| !regions.is_empty()) {
+                let regions: BTreeSet<String> = regions.into_iter().collect();
                 by_host
                     .entry(host.clone())
-                    .and_modify(|all| all.retain(|r| homes.contains(r)))
-                    .or_insert(homes);
+                    .and_modify(|common| common.retain(|r| regions.contains(r)))
+                    .or_insert(regions);
             }
         }
         HomeRegions { by_host }
     }
 
-    /// The regions that are homes of all routes of the host that have homes; `None` if no route of it has. The host is
-    /// taken as in a request's header: a port and the size of letters say nothing.
+    /// The regions that may serve every route of the host; `None` if no route restricts its regions. The host is the
+    /// header of a request; port and letter case are ignored.
     pub fn for_host(&self, host: &str) -> Option<&BTreeSet<String>> {
         self.by_host.get(&normalized_host(host))
     }
--- a/config/src/lib.rs
+++ b/config/src/lib.rs
@@ -1,16 +1,17 @@
-//! Configurations and settings files: decoded, checked, made into tables; no I/O.
+//! Parses and checks configurations and settings files, and builds lookup tables from them. Does no I/O.
 //!
-//! - [`kind`]: the closed list of the kinds of errors, with the table from kind to answer.
-//! - [`config`]: a configuration as the operator sends it; [`mod@check`]: the checks of it.
-//! - [`doc`]: the document that the core agrees on, and how orders change it.
-//! - [`order`]: what an operator's order comes to on top of a document.
-//! - [`tables`]: what the data plane looks up: routes, tenants, services, zones.
-//! - [`plain`]: the slow plain reading of a configuration, and requests drawn from it.
-//! - [`mod@print`]: fingerprints of the parts of the tables, the same whatever the order things came in.
-//! - [`homes`]: the regions that are homes to a whole host.
+//! - [`error`]: the closed list of error kinds, with the status of each.
+//! - [`config`]: a configuration as the operator sends it; [`mod@check`]: its checks across fields.
+//! - [`document`]: the document that the core agrees on, and how orders change it.
+//! - [`accepted`]: the history of accepted configurations.
+//! - [`order`]: how an operator's order is handled on top of a document.
+//! - [`change_queue`]: the queue that runs changes one after the other.
+//! - [`tables`]: the lookup tables of the data plane: routes, tenants, services, zones.
+//! - [`mod@reference`]: a simple reference implementation of routing, and random requests to compare the tables with it.
+//! - [`fingerprint`]: fingerprints of the parts of the tables, independent of the order of entries.
+//! - [`home_regions`]: the regions that may serve every route of a host.
+//! - [`host`]: normalization of hosts.
 //! - [`settings`]: the settings file of a process.
-//! - [`taken`]: what is remembered of the configurations that were taken.
-//! - [`turns`]: changes one after the other, and who waits for them.
 //!
 //! All times are in seconds.
 
@@ -25,7 +26,7 @@
 pub mod home_regions;
 pub mod host;
 pub mod order;
-mod read;
+mod parse;
 pub mod reference;
 pub mod settings;
 pub mod tables;
@@ -34,7 +35,7 @@
 pub use change_queue::ChangeQueue;
 pub use check::check;
 pub use config::Config;
-pub use document::{Document, Verdict};
+pub use document::{Document, PutResult};
 pub use error::{ConfigError, ErrorKind};
 pub use fingerprint::{comparable, Fingerprints, Part};
 pub use home_regions::HomeRegions;
--- a/config/src/order.rs
+++ b/config/src/order.rs
@@ -1,53 +1,53 @@
-//! What an operator may order, and what that comes to on top of a document.
+//! The orders of operators, and how one is handled on top of a document.
 
-use crate::{Document, ErrorKind, Verdict};
+use crate::{Document, ErrorKind, PutResult};
 
-/// What an operator asks for.
+/// An order of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order<'a> {
-    /// To put these bytes in force as configuration.
+    /// Puts these bytes in force as the configuration.
     Put(&'a [u8]),
-    /// To read the configuration in force.
+    /// Reads the configuration in force.
     Get,
-    /// To empty a zone.
+    /// Evacuates a zone.
     Evacuate(&'a str),
-    /// To take a zone back.
+    /// Restores an evacuated zone.
     Restore(&'a str),
 }
 
-/// What an operator is told.
+/// The response to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It is in force.
+    /// The order is in force.
     Done,
     /// The configuration in force.
     Config(Vec<u8>),
-    /// Refused; the text names the field that is at fault.
+    /// The order is refused.
     Refused {
-        /// Decides the answer.
+        /// Decides the status of the response.
         kind: ErrorKind,
-        /// For people.
+        /// Names the field and describes the error for people.
         text: String,
     },
 }
 
-/// What an order comes to on top of a document.
+/// How an order is handled on top of a document.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It can be said without asking anyone.
+    /// The answer can be sent without asking other processes.
     Reply(Answer),
-    /// It speaks for the whole: the whole has to be asked first whether the document is still the newest.
+    /// The answer depends on the document: the core has to confirm first that the document is still the newest.
     ReplyIfNewest(Answer),
-    /// This one is to be agreed on; `Done` once it is.
+    /// This document is to be committed; the answer is `Done` after the commit.
     Propose(Document),
 }
 
 impl Document {
-    /// Judges an order on top of this document; `known` says whether there is such a zone.
-    pub fn decide(&self, order: Order, known: impl Fn(&str) -> bool) -> Decision {
-        // what was done before is said, and can be undone, also where the zone has left the settings since
-        let changed = |zone: &str, change: Option<Document>| match change {
-            _ if !known(zone) && !self.evacuated_zones.iter().any(|z| z == zone) => {
+    /// Decides how to handle an order on top of this document; `zone_exists` tells whether there is such a zone.
+    pub fn decide(&self, order: Order, zone_exists: impl Fn(&str) -> bool) -> Decision {
+        // a zone that has left the settings since its evacuation can still be restored, and its evacuation repeated
+        let zone_change = |zone: &str, change: Option<Document>| match change {
+            _ if !zone_exists(zone) && !self.evacuated_zones.iter().any(|z| z == zone) => {
                 Decision::Reply(Answer::Refused {
                     kind: ErrorKind::UnknownZone,
                     text: format!("zone: {zone}"),
@@ -59,18 +59,21 @@
         match order {
             Order::Get => Decision::ReplyIfNewest(match &self.config {
                 Some(config) => Answer::Config(config.clone()),
-                None => Answer::Refused { kind: ErrorKind::NoSuchPath, text: "no configuration yet".into() },
+                None => Answer::Refused {
+                    kind: ErrorKind::NoSuchPath,
+                    text: "no configuration has been accepted yet".into(),
+                },
             }),
             Order::Put(body) => match self.put(body) {
-                Verdict::Take(document) => Decision::Propose(document),
-                Verdict::Already => Decision::ReplyIfNewest(Answer::Done),
-                Verdict::Refuse { kind: ErrorKind::Malformed, text } => {
+                PutResult::Accepted(document) => Decision::Propose(document),
+                PutResult::AlreadyAccepted => Decision::ReplyIfNewest(Answer::Done),
+                PutResult::Refused { kind: ErrorKind::Malformed, text } => {
                     Decision::Reply(Answer::Refused { kind: ErrorKind::Malformed, text })
                 }
-                Verdict::Refuse { kind, text } => Decision::ReplyIfNewest(Answer::Refused { kind, text }),
+                PutResult::Refused { kind, text } => Decision::ReplyIfNewest(Answer::Refused { kind, text }),
             },
-            Order::Evacuate(zone) => changed(zone, self.evacuate(zone)),
-            Order::Restore(zone) => changed(zone, self.restore(zone)),
+            Order::Evacuate(zone) => zone_change(zone, self.evacuate(zone)),
+            Order::Restore(zone) => zone_change(zone, self.restore(zone)),
         }
     }
 }
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -1,26 +1,26 @@
-//! The settings file of a process (`LUPINLEDGE_NODE_FILE`). Fields that are not known are ignored; those that
-//! may be missing get the figures of the example in the deploy pages.
+//! The settings file of a process (`LUPINLEDGE_NODE_FILE`). Unknown fields are ignored; the defaults of optional fields
+//! are those of the example in the deployment documentation.
 
-use crate::read::{not_negative, or_default, positive, printable, read};
+use crate::parse::{not_negative, or_default, parse, positive, printable};
 use garde::Validate;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// Where no key window is told, seconds.
-const KEY_WINDOW: f64 = 60.0;
-/// The longest key window, seconds: keys are kept in memory for that long.
-const KEY_WINDOW_MOST: f64 = 3000.0;
+/// The default of `key_window_s`.
+const DEFAULT_KEY_WINDOW_S: f64 = 60.0;
+/// The longest `key_window_s`: operation keys are kept in memory for that long.
+const MAX_KEY_WINDOW_S: f64 = 3000.0;
 
-/// What a process is told at its start, and again after SIGHUP.
+/// The settings of a process, read at its start and again after SIGHUP.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Settings {
     /// Name of the machine.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 1024), custom(printable))]
     pub node_name: String,
-    /// Name of the role in the deploy file.
+    /// Name of the role in the deployment file.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 1024), custom(printable))]
     pub role: String,
@@ -28,12 +28,12 @@
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 1024), custom(printable))]
     pub machine_class: String,
-    /// What the role serves to the outside: `edge`, `control`, `directory`.
+    /// The external interfaces of the role: `edge`, `control`, `directory`.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 64))]
     pub serves: Vec<String>,
     /// Address of the machine.
-    #[garde(custom(told))]
+    #[garde(custom(specified))]
     pub ip: Ipv4Addr,
     /// Zone of the machine.
     #[garde(length(min = 1, max = 1024), custom(printable))]
@@ -45,89 +45,89 @@
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 4096))]
     pub zones: BTreeMap<String, String>,
-    /// Where to listen for what the role serves.
+    /// The addresses to listen on.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(skip)]
     pub listen: Listen,
-    /// First and last of the ports kept free for messages between own processes.
+    /// First and last of the ports reserved for messages between processes of the system.
     #[garde(custom(ports))]
     pub port_range: (u16, u16),
-    /// `control` addresses of up to three machines; some may be down.
+    /// `control` addresses of up to three machines to contact first; some may be down.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 256))]
     pub seeds: Vec<SocketAddr>,
-    /// Only at the first start of the whole system, with empty disks.
+    /// Set only at the first start of the whole system, with empty disks.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(skip)]
     pub bootstrap: bool,
-    /// Whether this machine is among those of which only `tolerate.machines` may be lost at once.
+    /// Whether this machine counts towards `tolerate.machines`, the number of machines that may be lost at once.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(skip)]
     pub counted: bool,
-    /// What the process may use.
+    /// The resources that the process may use.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(dive)]
     pub limits: Limits,
-    /// The folder on disk, where there is one.
+    /// The data directory, if the machine has a disk.
     #[serde(default)]
     #[garde(skip)]
     pub data_dir: Option<PathBuf>,
-    /// Seconds.
-    #[serde(default = "beat")]
+    /// Seconds between heartbeats.
+    #[serde(default = "default_beat_s")]
     #[garde(custom(positive))]
     pub beat_s: f64,
-    /// The parts of the rules in force.
+    /// The parts of the rules that are in force.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 1024))]
     pub contracts: Vec<String>,
-    /// What may be lost at once.
+    /// The losses that the system must tolerate at once.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(skip)]
     pub tolerate: Tolerate,
-    /// The figures of the rules.
+    /// The bounds that the rules refer to.
     #[serde(default, deserialize_with = "or_default")]
     #[garde(dive)]
     pub bounds: Bounds,
-    /// Where the platform keeps the list of servers.
+    /// The platform's list of servers.
     #[serde(default)]
     #[garde(dive)]
     pub cloud_api: Option<CloudApi>,
 }
 
-/// Addresses to listen at; those that the role does not serve are missing.
+/// The addresses to listen on; `None` for interfaces that the role does not serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Listen {
-    /// Clients.
+    /// For requests of clients.
     pub front: Option<SocketAddr>,
-    /// The platform's question whether the gateway is ready.
+    /// For the platform's readiness check of the gateway.
     pub ready: Option<SocketAddr>,
-    /// The operator.
+    /// For operators.
     pub control: Option<SocketAddr>,
-    /// Clients that ask where to go.
+    /// For clients that look up gateway addresses.
     pub directory: Option<SocketAddr>,
 }
 
-/// What the process may use.
+/// The resources that the process may use.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(default)]
 pub struct Limits {
-    /// Share of a core.
+    /// Share of a processor core.
     #[garde(custom(positive))]
     pub cpu_share: f64,
-    /// How many times as fast that share runs.
+    /// Speed factor of that share.
     #[garde(custom(positive))]
     pub cores: f64,
-    /// Megabytes.
+    /// Memory in megabytes.
     #[garde(custom(positive))]
     pub memory_mb: f64,
-    /// Descriptors, of which 200 are held back.
+    /// File descriptors, of which 200 are reserved.
     #[garde(skip)]
     pub max_fds: u64,
-    /// Megabits a second.
+    /// Network bandwidth in megabits per second.
     #[garde(custom(positive))]
     pub link_mbps: f64,
-    /// Megabytes; 0 where there is no disk.
+    /// Disk space in megabytes; 0 without a disk.
     #[garde(custom(not_negative))]
     pub disk_mb: f64,
 }
@@ -145,11 +145,11 @@
     }
 }
 
-/// What may be lost at once: machines that count, or zones, or regions.
+/// The losses that the system must tolerate at once: machines, or zones, or regions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Tolerate {
-    /// Machines with `counted`.
+    /// Machines whose settings have `counted`.
     pub machines: u32,
     /// Whole zones.
     pub zones: u32,
@@ -163,116 +163,116 @@
     }
 }
 
-/// The platform's list of servers.
+/// Access to the platform's list of servers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 pub struct CloudApi {
-    /// Where it is asked.
+    /// Address of the platform's API.
     #[garde(skip)]
     pub address: SocketAddr,
-    /// Calls a second from all gateways together.
-    #[serde(default = "calls")]
+    /// Calls per second allowed from all gateways together.
+    #[serde(default = "default_rate_per_s")]
     #[garde(custom(positive))]
     pub rate_per_s: f64,
-    /// Seconds that the list lags.
-    #[serde(default = "lag")]
+    /// Seconds by which the list may lag behind.
+    #[serde(default = "default_lag_s")]
     #[garde(custom(not_negative))]
     pub lag_s: f64,
 }
 
 macro_rules! bounds {
     ($($(#[$doc:meta])* $name:ident = $value:literal,)*) => {
-        /// The figures of the rules; those ending in `_s` are seconds.
+        /// The bounds that the rules refer to; those ending in `_s` are seconds.
         #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
         #[serde(default)]
         pub struct Bounds {
             $($(#[$doc])* #[garde(custom(not_negative))] pub $name: f64,)*
-            /// For how long after its first request an operation key runs once.
+            /// Seconds after the first request with an operation key within which the key is executed only once.
             #[garde(custom(key_window))]
             pub key_window_s: f64,
-            /// Whether a node that is cut off has to stop serving keys it can't confirm.
+            /// Whether a node that is cut off has to refuse API keys that it can't confirm.
             #[garde(skip)]
             pub revoked_closed: bool,
         }
 
         impl Default for Bounds {
             fn default() -> Self {
-                Bounds { $($name: $value,)* key_window_s: KEY_WINDOW, revoked_closed: false }
+                Bounds { $($name: $value,)* key_window_s: DEFAULT_KEY_WINDOW_S, revoked_closed: false }
             }
         }
     };
 }
 
 bounds! {
-    /// How much the operator's list of gateways lags.
+    /// How long the operator's list of gateways may lag behind.
     seed_lag_s = 3.0,
-    /// When the address of a server that ended may be given to another.
+    /// How long after the end of a server its address may be reused.
     reuse_after_s = 2.0,
-    /// How long a machine runs undisturbed before it counts as in touch.
+    /// How long a machine runs undisturbed before it counts as connected.
     contact_s = 5.0,
-    /// When an order has to be acknowledged.
+    /// How long until an order has to be acknowledged.
     ack_s = 8.0,
-    /// How long a machine that returned still counts as lost.
+    /// How long a machine that has returned still counts as lost.
     catch_up_s = 4.0,
-    /// How long a server may get requests after it was told to be draining.
+    /// How long a server may receive requests after it was listed as draining.
     drain_s = 2.5,
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL.
     grace_s = 6.0,
-    /// Slack for a request that was read but not passed on.
+    /// Time allowed for a request that was read but not yet forwarded.
     slack_s = 0.2,
-    /// When a configuration has to be in force after its acknowledgement.
+    /// How long after its acknowledgement a configuration has to be in force.
     config_apply_s = 2.5,
-    /// Slack for going back to an older version.
+    /// Time allowed for a return to an older version.
     revert_slack_s = 0.25,
-    /// Most by which an unsettled core extends bounds.
+    /// The longest time by which an unsettled core extends other bounds.
     stretch_max_s = 10.0,
-    /// When a revoked key has to be refused.
+    /// How long after its revocation an API key has to be refused.
     revoke_s = 5.0,
-    /// Repeats a request for a service.
+    /// Retries allowed per request, for each service.
     retry_ratio = 0.2,
-    /// Window of the budget for repeats.
+    /// Window of the retry budget.
     retry_window_s = 10.0,
-    /// Repeats allowed beyond the ratio.
+    /// Retries allowed beyond the ratio.
     retry_slack = 58.0,
     /// Window of the quotas.
     quota_window_s = 5.0,
-    /// Part by which a quota may be passed.
+    /// Fraction by which a quota may be exceeded.
     quota_excess = 0.1,
-    /// Requests by which a quota may be passed.
+    /// Requests by which a quota may be exceeded.
     quota_slack = 20.0,
-    /// Factor on the requests a second of a cold server.
+    /// Factor on the requests per second of a server that warms up.
     warmup_excess = 1.5,
-    /// Requests beyond it.
+    /// Requests allowed beyond that rate.
     warmup_slack = 5.0,
-    /// When a zone has to be empty after its evacuation was acknowledged.
+    /// How long after the acknowledgement of its evacuation a zone has to be empty.
     evacuate_s = 5.0,
-    /// When the system has to serve after a loss.
+    /// How long after a loss the system has to serve again.
     recover_s = 15.0,
-    /// Most of `ttl_s` that counts in answers of the directory.
+    /// The largest `ttl_s` that counts in responses of the directory.
     ttl_max_s = 5.0,
 }
 
-fn beat() -> f64 {
+fn default_beat_s() -> f64 {
     1.5
 }
 
-fn calls() -> f64 {
+fn default_rate_per_s() -> f64 {
     39.0
 }
 
-fn lag() -> f64 {
+fn default_lag_s() -> f64 {
     0.8
 }
 
 fn key_window(seconds: &f64, _: &()) -> garde::Result {
-    match *seconds > 0.0 && *seconds <= KEY_WINDOW_MOST {
+    match *seconds > 0.0 && *seconds <= MAX_KEY_WINDOW_S {
         true => Ok(()),
-        false => Err(garde::Error::new(format!("has to be above 0, and {KEY_WINDOW_MOST} at most"))),
+        false => Err(garde::Error::new(format!("must be above 0, up to {MAX_KEY_WINDOW_S}"))),
     }
 }
 
-fn told(ip: &Ipv4Addr, _: &()) -> garde::Result {
+fn specified(ip: &Ipv4Addr, _: &()) -> garde::Result {
     match ip.is_unspecified() {
-        true => Err(garde::Error::new("has to be the machine's own address")),
+        true => Err(garde::Error::new("must be the machine's own address")),
         false => Ok(()),
     }
 }
@@ -280,27 +280,27 @@
 fn ports(range: &(u16, u16), _: &()) -> garde::Result {
     match range.0 > 0 && range.0 <= range.1 {
         true => Ok(()),
-        false => Err(garde::Error::new("has to be two ports, the lower first")),
+        false => Err(garde::Error::new("must be two ports above 0, the lower one first")),
     }
 }
 
 impl Settings {
-    /// The bytes of a settings file. The error names the field.
+    /// Parses a settings file. The error names the field.
     pub fn parse(bytes: &[u8]) -> Result<Settings, String> {
-        read(bytes).map_err(|fault| fault.to_string())
+        parse(bytes).map_err(|error| error.to_string())
     }
 
-    /// This process among the system's own: the address as a number.
+    /// Identifies this process within the system: the IP address as a number.
     pub fn node_id(&self) -> u32 {
         u32::from(self.ip)
     }
 
-    /// The port for messages between own processes, the same on all machines.
+    /// The port for messages between processes of the system, the same on all machines.
     pub fn peer_port(&self) -> u16 {
         self.port_range.0
     }
 
-    /// Whether the zone is one of this deployment.
+    /// Whether the deployment has a zone of this name.
     pub fn has_zone(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
     }
--- a/config/src/tables.rs
+++ b/config/src/tables.rs
@@ -1,75 +1,79 @@
-//! What the data plane looks up: built once for each document, read for each request.
+//! The tables that the data plane looks up for each request; they are built once for each document.
 
 use crate::config::{self, Config, RouteKind};
 use crate::document::Document;
 use crate::error::ConfigError;
-use crate::fingerprint::{of_part, Fingerprints, Hash, Part};
+use crate::fingerprint::{compute, Fingerprints, Hash, Part};
 use crate::host::{normalized_host, without_port};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Routes, tenants, services, limits and zones of one document.
+/// Routes, tenants, services, limits and zones of one document, indexed for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
     version: u64,
     routes: Vec<Route>,
-    hosts: HashMap<String, Vec<usize>>, // routes of the host, the longest prefix first
+    /// Indexes of the routes of each host, the longest prefix first.
+    hosts: HashMap<String, Vec<usize>>,
+    /// Index of the tenant by API key.
     keys: HashMap<String, usize>,
-    keyed: bool,
+    requires_key: bool,
     tenants: Vec<Tenant>,
     services: Vec<Service>,
     limits: Limits,
     evacuated: HashSet<String>,
+    /// Region by zone.
     zones: HashMap<String, String>,
-    print: Fingerprints,
+    fingerprints: Fingerprints,
 }
 
-/// Where the requests of a host and prefix go.
+/// How the requests of a host with a path prefix are forwarded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The operator's name for it.
+    /// The operator's name for the route.
     pub name: String,
-    /// Host and prefix, which no other route has.
+    /// Host and path prefix, concatenated; unique among the routes.
     pub key: String,
     /// Length of the host in `key`, in bytes.
     pub host_len: usize,
     /// Indexes into [`Tables::services`], each with its weight (0 or more).
     pub services: Vec<(usize, f64)>,
-    /// What may be repeated.
+    /// Whether requests may be executed more than once.
     pub kind: RouteKind,
-    /// Seconds that a request may be held.
+    /// Seconds after which a request is given up.
     pub timeout: f64,
-    /// Seconds within which an answer earns its full worth.
+    /// Seconds within which a response has its full value.
     pub target: f64,
-    /// Rank, 0 is highest.
+    /// Priority, 0 is highest.
     pub priority: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
-    /// Servers that one try may be sent to, 1 or more.
+    /// The most servers that one attempt of the client may be sent to, 1 or more.
     pub max_attempts: u32,
-    /// Regions that may serve it; empty for all.
+    /// Regions that may serve the requests; empty for all.
     pub home_regions: Vec<String>,
 }
 
-/// A customer.
+/// A tenant, whose requests carry one of its API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Servers are told it.
+    /// The name, which is sent to servers in a request header.
     pub name: String,
-    /// Number in the names of its counters (40 bits), the same on all machines and in all versions.
+    /// A 40-bit hash of the name, the same on all machines and in all versions; part of the names of the tenant's counters.
     pub id: u64,
-    /// Requests a second over all gateways; 0 for no limit.
+    /// Requests per second over all gateways; 0 for no limit.
     pub rate: f64,
-    /// Requests beyond that rate.
+    /// Requests allowed beyond that rate.
     pub burst: f64,
-    /// Rank, 0 is highest; it outranks the route's.
+    /// Priority, 0 is highest; takes precedence over the priority of the route.
     pub priority: u32,
-    /// Regions that may serve it; empty for all.
+    /// Regions that may serve the requests; empty for all.
     pub home_regions: Vec<String>,
 }
 
 impl Tenant {
-    /// How much its quota leaves at once. Of a large burst a fifth is kept for what gateways decide alone, without each
-    /// other's last sends; a small one, whose clumps are few, is read with some room, far within what the rule leaves.
+    /// The capacity of the token bucket that enforces the quota. Of a large burst, a fifth is reserved for requests that
+    /// gateways admit on their own before they receive each other's latest counts. A small burst causes few such
+    /// requests, so its bucket is made slightly larger than the burst, well within the excess that the rule allows.
     pub fn bucket_capacity(&self) -> f64 {
         match self.rate > 0.0 {
             true => (0.8 * self.burst + 6.0).min(self.burst + 3.0),
@@ -81,26 +85,26 @@
 /// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// As in the platform's list.
+    /// The name, as in the platform's list of servers.
     pub name: String,
-    /// Where servers are asked whether they are well.
+    /// Path of the health check.
     pub health_path: String,
-    /// Connections that a server takes from all callers together; 0 where it isn't told.
+    /// Connections that a server accepts from all callers together; 0 if unknown.
     pub max_conns: u32,
-    /// Seconds that a server stays cold.
+    /// Seconds that a server takes to warm up.
     pub warmup_s: f64,
-    /// Requests a second that a cold server bears; 0 where it isn't told.
+    /// Requests per second that a server handles while it warms up; 0 if unknown.
     pub warmup_per_s: f64,
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on requests and client connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's line and headers.
+    /// The most bytes of a request line with its headers.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// The most bytes of a request body.
     pub max_body_bytes: u64,
-    /// Seconds that the headers may take.
+    /// Seconds within which the headers must arrive.
     pub header_timeout: f64,
     /// Seconds that a connection may stay idle.
     pub idle_timeout: f64,
@@ -124,49 +128,49 @@
 }
 
 impl Route {
-    /// The service for a request, by weight; `r` is drawn evenly from 0 to below 1. None where no service has
-    /// a weight above 0.
-    pub fn choose_service(&self, r: f64) -> Option<usize> {
-        let open = self.services.iter().filter(|s| s.1 > 0.0);
-        let mut left = r.clamp(0.0, 1.0) * open.clone().map(|s| s.1).sum::<f64>();
+    /// Chooses a service for a request in proportion to the weights; `fraction` is drawn uniformly from 0 to below 1.
+    /// Returns `None` if no service has a weight above 0.
+    pub fn choose_service(&self, fraction: f64) -> Option<usize> {
+        let candidates = self.services.iter().filter(|s| s.1 > 0.0);
+        let mut remaining = fraction.clamp(0.0, 1.0) * candidates.clone().map(|s| s.1).sum::<f64>();
         let mut last = None;
-        for &(service, weight) in open {
-            if left < weight {
+        for &(service, weight) in candidates {
+            if remaining < weight {
                 return Some(service);
             }
-            left -= weight;
+            remaining -= weight;
             last = Some(service);
         }
         last
     }
 
-    /// Host, without port and in small letters.
+    /// The host, without port and in lower case.
     pub fn host(&self) -> &str {
         &self.key[..self.host_len]
     }
 
-    /// Path prefix, with slashes at both ends.
+    /// The path prefix, with slashes at both ends.
     pub fn prefix(&self) -> &str {
         &self.key[self.host_len..]
     }
 }
 
 impl Tables {
-    /// Tables of a document; `zones` is the map of zones to regions from the settings. A document that holds
-    /// no configuration gives tables without routes.
+    /// Builds the tables of a document; `zones` maps zones to regions, from the settings. A document without
+    /// configuration gives tables without routes.
     pub fn new(document: &Document, zones: &BTreeMap<String, String>) -> Result<Tables, ConfigError> {
         let mut tables = match &document.config {
-            Some(bytes) => Tables::of(Config::parse(bytes)?),
+            Some(bytes) => Tables::from_config(Config::parse(bytes)?),
             None => Tables::default(),
         };
         tables.version = document.version;
         tables.evacuated = document.evacuated_zones.iter().cloned().collect();
         tables.zones = zones.iter().map(|(z, r)| (z.clone(), r.clone())).collect();
-        tables.print = Fingerprints::of(&tables);
+        tables.fingerprints = Fingerprints::of(&tables);
         Ok(tables)
     }
 
-    fn of(config: Config) -> Tables {
+    fn from_config(config: Config) -> Tables {
         let mut tables = Tables { limits: config.limits.into(), ..Tables::default() };
         tables.services = config.clusters.into_iter().map(service).collect();
         let by_name: HashMap<_, _> =
@@ -181,7 +185,7 @@
         for list in tables.hosts.values_mut() {
             list.sort_by_key(|&i| std::cmp::Reverse(tables.routes[i].key.len()));
         }
-        tables.keyed = config.tenants.is_some();
+        tables.requires_key = config.tenants.is_some();
         for (i, mut t) in config.tenants.into_iter().flatten().enumerate() {
             tables.keys.extend(std::mem::take(&mut t.api_keys).into_iter().map(|key| (key, i)));
             tables.tenants.push(tenant(t));
@@ -189,35 +193,35 @@
         tables
     }
 
-    /// The route of a request: of its host's, the one with the longest prefix that begins the path.
+    /// The route of a request: the one of its host with the longest prefix that matches the path.
     ///
-    /// `host` is the header as it came (a port and the size of letters say nothing), `path` the raw path; a
-    /// query is cut off.
+    /// `host` is the header as received (port and letter case are ignored), `path` the raw path (a query is ignored).
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let bare = without_port(host);
-        let list = match bare.bytes().any(|b| b.is_ascii_uppercase()) {
-            true => self.hosts.get(&bare.to_ascii_lowercase()),
-            false => self.hosts.get(bare),
+        let bare_host = without_port(host);
+        let list = match bare_host.bytes().any(|b| b.is_ascii_uppercase()) {
+            true => self.hosts.get(&bare_host.to_ascii_lowercase()),
+            false => self.hosts.get(bare_host),
         }?;
         let path = path.split(['?', '#']).next().unwrap_or_default();
         list.iter().filter_map(|&i| self.routes.get(i)).find(|r| path.starts_with(r.prefix()))
     }
 
-    /// The tenant that holds the key.
+    /// The tenant that has the API key.
     pub fn tenant(&self, key: &str) -> Option<&Tenant> {
         self.keys.get(key).and_then(|&i| self.tenants.get(i))
     }
 
-    /// Whether requests need a key, but on public routes: the configuration has tenants, maybe none of them.
+    /// Whether requests need an API key except on public routes: the configuration has a list of tenants, even an empty one.
     pub fn requires_key(&self) -> bool {
-        self.keyed
+        self.requires_key
     }
 
-    /// Whether the zone's region is a home of both the route and the tenant, where they have homes.
+    /// Whether the zone's region is among the home regions of the route and of the tenant; an empty list allows all regions.
     pub fn is_allowed_in(&self, route: &Route, tenant: Option<&Tenant>, zone: &str) -> bool {
         let region = self.region(zone);
-        let home = |homes: &[String]| homes.is_empty() || homes.iter().any(|h| Some(h.as_str()) == region);
-        home(&route.home_regions) && tenant.is_none_or(|t| home(&t.home_regions))
+        let allowed =
+            |regions: &[String]| regions.is_empty() || regions.iter().any(|r| Some(r.as_str()) == region);
+        allowed(&route.home_regions) && tenant.is_none_or(|t| allowed(&t.home_regions))
     }
 
     /// Whether the zone is evacuated.
@@ -225,12 +229,12 @@
         self.evacuated.contains(zone)
     }
 
-    /// The zone's region.
+    /// The region of the zone.
     pub fn region(&self, zone: &str) -> Option<&str> {
         self.zones.get(zone).map(String::as_str)
     }
 
-    /// Number of the configuration; 0 where there is none.
+    /// The version of the configuration; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -250,20 +254,20 @@
         &self.services
     }
 
-    /// What clients may send.
+    /// Limits on requests and client connections.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Fingerprints of the parts, made when the tables were built.
+    /// The fingerprints of the parts, computed when the tables were built.
     pub fn fingerprints(&self) -> Fingerprints {
-        self.print
+        self.fingerprints
     }
 
-    /// A part's fingerprint worked out anew from what is in memory now: another one than when the tables were built
-    /// means that they were changed since.
+    /// Computes the fingerprint of a part from the tables in memory. If it differs from [`Tables::fingerprints`], the
+    /// tables were changed since they were built.
     pub fn recompute_fingerprint(&self, part: Part) -> u64 {
-        of_part(self, part)
+        compute(self, part)
     }
 
     pub(crate) fn by_host(&self) -> impl Iterator<Item = (&str, &[usize])> {
@@ -278,17 +282,17 @@
         self.evacuated.iter().map(String::as_str)
     }
 
-    /// Changes the tables in memory behind everybody's back, as a fault would: only where tests built it in, else
-    /// nothing happens. See [`CORRUPTION_ENABLED`].
+    /// Corrupts the tables in memory as a fault would, for tests; `how` names the corruption. Does nothing unless
+    /// [`CORRUPTION_ENABLED`].
     #[cfg_attr(not(feature = "drift"), allow(unused_variables))]
     pub fn corrupt(&mut self, how: &str) {
         #[cfg(feature = "drift")]
-        assert!(how != "panic", "as the test asks for");
+        assert!(how != "panic", "requested by the test");
         #[cfg(feature = "drift")]
         match (how, self.services.len()) {
             ("service", n @ 2..) => {
-                let to = self.routes.iter_mut().flat_map(|r| &mut r.services);
-                to.for_each(|s| s.0 = (s.0 + 1) % n);
+                let targets = self.routes.iter_mut().flat_map(|r| &mut r.services);
+                targets.for_each(|s| s.0 = (s.0 + 1) % n);
             }
             ("retry", _) => self.routes.iter_mut().for_each(|r| r.max_attempts += 1),
             ("prefix", _) => self.hosts.values_mut().for_each(|list| list.reverse()),
@@ -300,7 +304,7 @@
     }
 }
 
-/// Whether [`Tables::drift`] does anything in this build.
+/// Whether [`Tables::corrupt`] has an effect in this build.
 pub const CORRUPTION_ENABLED: bool = cfg!(feature = "drift");
 
 fn route(host: &str, rule: config::Rule, by_name: &HashMap<String, usize>) -> Route {
@@ -320,7 +324,7 @@
         priority: rule.priority as u32,
         public: rule.public,
         max_attempts: (action.max_attempts as u32).max(1),
-        home_regions: sorted(action.home_regions),
+        home_regions: sorted_unique(action.home_regions),
     }
 }
 
@@ -330,7 +334,7 @@
         rate: t.rate_per_s,
         burst: t.burst,
         priority: t.priority as u32,
-        home_regions: sorted(t.home_regions),
+        home_regions: sorted_unique(t.home_regions),
         name: t.name,
     }
 }
@@ -341,7 +345,7 @@
     Service { name, health_path, max_conns, warmup_s, warmup_per_s }
 }
 
-fn sorted(mut names: Vec<String>) -> Vec<String> {
+fn sorted_unique(mut names: Vec<String>) -> Vec<String> {
     names.sort();
     names.dedup();
     names
--- a/config/tests/invalid.rs
+++ b/config/tests/invalid.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{bytes, example, numbered};
-use lupinledge_config::{check, Config, Document, ErrorKind, Verdict};
+use lupinledge_config::{check, Config, Document, ErrorKind, PutResult};
 use serde_json::{json, Value};
 use test_case::test_case;
 
@@ -95,14 +95,14 @@
 
 fn taken(doc: &Document, body: &[u8]) -> Document {
     match doc.put(body) {
-        Verdict::Take(next) => next,
+        PutResult::Accepted(next) => next,
         other => panic!("{other:?}"),
     }
 }
 
 fn refused(doc: &Document, body: &[u8]) -> ErrorKind {
     match doc.put(body) {
-        Verdict::Refuse { kind, .. } => kind,
+        PutResult::Refused { kind, .. } => kind,
         other => panic!("{other:?}"),
     }
 }
@@ -115,7 +115,7 @@
     let first = taken(&empty, &numbered(3, 0));
     assert_eq!((first.version, first.serial), (3, 1));
     assert_eq!(first.config, Some(numbered(3, 0)));
-    assert_eq!(first.put(&numbered(3, 0)), Verdict::Already);
+    assert_eq!(first.put(&numbered(3, 0)), PutResult::AlreadyAccepted);
     assert_eq!(refused(&first, &numbered(4, 0)), ErrorKind::Stale); // lost its race
     assert_eq!(refused(&first, &numbered(2, 0)), ErrorKind::Stale);
     assert_eq!(refused(&first, &numbered(3, 3)), ErrorKind::Invalid); // another body under its number
@@ -124,8 +124,8 @@
     other["clusters"][0]["max_conns"] = json!(9);
     assert_eq!(refused(&first, &bytes(&other)), ErrorKind::Stale); // as above, on top of the same version
     let second = taken(&first, &numbered(8, 3));
-    assert_eq!(second.put(&numbered(3, 0)), Verdict::Already); // sent again though another followed
-    assert_eq!(second.put(&numbered(8, 3)), Verdict::Already);
+    assert_eq!(second.put(&numbered(3, 0)), PutResult::AlreadyAccepted); // sent again though another followed
+    assert_eq!(second.put(&numbered(8, 3)), PutResult::AlreadyAccepted);
     assert_eq!(refused(&second, &numbered(9, 3)), ErrorKind::Stale);
     assert_eq!(refused(&second, b"{"), ErrorKind::Malformed);
     assert_eq!(refused(&second, &vec![b' '; 4 << 20]), ErrorKind::TooLarge);
--- a/config/tests/model.rs
+++ b/config/tests/model.rs
@@ -5,7 +5,7 @@
 use common::{bytes, document, example, zones};
 use lupinledge_config::config::RouteKind;
 use lupinledge_config::reference::{route_by_scan, Probe};
-use lupinledge_config::{check, Config, Document, Settings, Tables, Verdict};
+use lupinledge_config::{check, Config, Document, PutResult, Settings, Tables};
 use serde_json::{json, Value};
 
 const PIECES: [&str; 6] = ["a", "b", "ab", "A", "a%2F", "c"];
@@ -217,7 +217,7 @@
         }
         for body in [raw, &body] {
             let _ = (Config::parse(body), check(body, Some(5)), Settings::parse(body));
-            if let Verdict::Take(next) = Document::default().put(body) {
+            if let PutResult::Accepted(next) = Document::default().put(body) {
                 Tables::new(&next, &zones()).unwrap();
             }
             let doc = Document { config: Some(body.clone()), version: 1, ..Document::default() };
--- a/config/tests/taken.rs
+++ b/config/tests/taken.rs
@@ -1,7 +1,7 @@
 //! Orders sent again, beside a slow plain model: a list, without bound, of all that was ever taken.
 
 use lupinledge_config::accepted::{body_hash, MAX_ACCEPTED};
-use lupinledge_config::{Decision, Document, ErrorKind, Order, Verdict};
+use lupinledge_config::{Decision, Document, ErrorKind, Order, PutResult};
 use std::collections::BTreeSet;
 
 /// A configuration of this number on top of another; no two with different `nth` are alike.
@@ -24,23 +24,25 @@
     }
 
     /// Whether the document may say that of this body; `remembered`: how many are to be.
-    fn allows(&self, (version, base): (u64, u64), body: &[u8], said: &Verdict, remembered: usize) -> bool {
+    fn allows(&self, (version, base): (u64, u64), body: &[u8], said: &PutResult, remembered: usize) -> bool {
         let from = self.all.len().saturating_sub(remembered);
         let place = self.all.iter().position(|taken| taken.2 == body);
         let before = self.all[..from].last().map_or(0, |last| last.0);
         match (place, said) {
-            (Some(place), Verdict::Already) => place >= from || place + 1 == self.all.len(),
-            (Some(place), Verdict::Refuse { kind: ErrorKind::Unsettled, .. }) => place < from,
+            (Some(place), PutResult::AlreadyAccepted) => place >= from || place + 1 == self.all.len(),
+            (Some(place), PutResult::Refused { kind: ErrorKind::Unsettled, .. }) => place < from,
             (Some(_), _) => false,
-            (None, Verdict::Take(next)) => {
+            (None, PutResult::Accepted(next)) => {
                 base == self.current() && version > base && next.version == version && next.config.is_some()
             }
-            (None, Verdict::Refuse { kind: ErrorKind::Stale, .. }) => base != self.current(),
-            (None, Verdict::Refuse { kind: ErrorKind::Invalid, .. }) => {
+            (None, PutResult::Refused { kind: ErrorKind::Stale, .. }) => base != self.current(),
+            (None, PutResult::Refused { kind: ErrorKind::Invalid, .. }) => {
                 base == self.current() && version <= base
             }
             // not told from one that was taken, though it could be
-            (None, Verdict::Refuse { kind: ErrorKind::Unsettled, .. }) => base < version && version <= before,
+            (None, PutResult::Refused { kind: ErrorKind::Unsettled, .. }) => {
+                base < version && version <= before
+            }
             (None, _) => false,
         }
     }
@@ -74,7 +76,7 @@
         let base = plain.current();
         let version = base + [1, 1 + rng.u64(..400)][rng.usize(..2)];
         let sent = body(version, base, nth);
-        let Verdict::Take(next) = doc.put(&sent) else { panic!("{version} on {base}") };
+        let PutResult::Accepted(next) = doc.put(&sent) else { panic!("{version} on {base}") };
         plain.all.push((version, base, sent));
         doc = next;
         if rng.usize(..20) == 0 {
@@ -103,12 +105,12 @@
 fn a_day_is_remembered() {
     let mut doc = Document::default();
     for version in 1..=2_100 {
-        let Verdict::Take(next) = doc.put(&body(version, version - 1, 0)) else { panic!("{version}") };
+        let PutResult::Accepted(next) = doc.put(&body(version, version - 1, 0)) else { panic!("{version}") };
         doc = next;
     }
     for version in 1..=2_100 {
-        assert_eq!(doc.put(&body(version, version - 1, 0)), Verdict::Already, "{version}");
-        let Verdict::Refuse { kind, .. } = doc.put(&body(version, version - 1, 1)) else {
+        assert_eq!(doc.put(&body(version, version - 1, 0)), PutResult::AlreadyAccepted, "{version}");
+        let PutResult::Refused { kind, .. } = doc.put(&body(version, version - 1, 1)) else {
             panic!("{version}")
         };
         assert_eq!(kind, ErrorKind::Stale, "another body under {version}");
@@ -138,14 +140,14 @@
         let doc: Document = rmp_serde::from_slice(&former(pairs)).unwrap();
         assert_eq!((doc.version, doc.serial, doc.accepted.len()), (9, 3, 0));
         let kind = |sent: &[u8]| match doc.put(sent) {
-            Verdict::Refuse { kind, .. } => Some(kind),
+            PutResult::Refused { kind, .. } => Some(kind),
             _ => None,
         };
-        assert_eq!(doc.put(&body(9, 4, 0)), Verdict::Already);
+        assert_eq!(doc.put(&body(9, 4, 0)), PutResult::AlreadyAccepted);
         assert_eq!(kind(&body(9, 4, 1)), Some(ErrorKind::Stale));
         assert_eq!(kind(&body(4, 1, 1)), Some(ErrorKind::Unsettled));
         assert_eq!(kind(&body(10, 4, 1)), Some(ErrorKind::Stale));
-        assert!(matches!(doc.put(&body(10, 9, 1)), Verdict::Take(_)));
+        assert!(matches!(doc.put(&body(10, 9, 1)), PutResult::Accepted(_)));
     }
 }
 
