--- a/operations/src/claims.rs
+++ b/operations/src/claims.rs
@@ -1,4 +1,4 @@
-//! A gateway's claims: whom to ask for a key, and when a majority has granted it.
+//! A gateway's claims: which voters to ask for a key, and when a majority of them has granted it.
 
 use crate::electorate::{Electorate, ElectorateId};
 use crate::message::{Message, Verdict};
@@ -6,117 +6,120 @@
 use crate::Node;
 use std::collections::{BTreeMap, HashMap};
 
-/// Electorates that are remembered.
-const ELECTORATES_MOST: usize = 4;
-/// Claims that may wait for votes at once.
-const PENDING_MOST: usize = 4096;
-/// With so many claims waiting, and this long from a claim to its grant, seconds, no further ones are begun: what they
-/// wait for is behind what waits already.
-const CROWD: usize = 8;
-const SLOW_GRANT: f64 = 0.4;
-/// How long a vote usually takes is followed by this share of each new one.
+/// Number of electorates to remember.
+const MAX_ELECTORATES: usize = 4;
+/// Number of claims that may wait for votes at the same time.
+const MAX_PENDING: usize = 4096;
+/// No further claims begin while at least `CROWDED_PENDING` claims wait and the smoothed time from a claim to its grant
+/// exceeds `SLOW_GRANT_TIME` seconds, as they would only queue behind those that wait already.
+const CROWDED_PENDING: usize = 8;
+const SLOW_GRANT_TIME: f64 = 0.4;
+/// Weight of each new sample in the smoothed times of votes and grants.
 const SMOOTHING: f64 = 0.2;
-/// A vote is awaited for so many times its usual time before others are asked too, within these bounds, seconds. Each
-/// further wait is twice as long: voters that are slow by their load are not to be asked more.
-const PATIENCE: f64 = 2.0;
-const PATIENCE_LEAST: f64 = 0.03;
-const PATIENCE_MOST: f64 = 0.3;
-/// Assumed of a voter that has not voted yet, seconds.
-const VOTE_TIME: f64 = 0.12;
-/// After a voter said that another claim holds the key, no further voters are asked for so long, seconds.
+/// A claim waits for this multiple of a voter's average vote time, within these bounds in seconds, before it asks
+/// further voters. The wait doubles each time, so that voters that are slow under load don't get more requests.
+const VOTE_WAIT_FACTOR: f64 = 2.0;
+const MIN_VOTE_WAIT: f64 = 0.03;
+const MAX_VOTE_WAIT: f64 = 0.3;
+/// Vote time assumed for a voter that has not voted yet, in seconds.
+const DEFAULT_VOTE_TIME: f64 = 0.12;
+/// Pause before further voters are asked after a voter replied that another claim holds the key, in seconds.
 const HELD_PAUSE: f64 = 0.4;
 
-/// What is claimed.
+/// A key to claim, with its terms.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimRequest {
     pub key: Key,
     pub fingerprint: Fingerprint,
-    /// Seconds for which the key is to stay taken.
+    /// Seconds for which the key is to stay claimed.
     pub keep_s: f32,
-    /// When the claim is given up.
+    /// Time at which the claim is abandoned unless it was granted.
     pub deadline: f64,
 }
 
-/// Orders and news to the driver, in order.
+/// An action for the driver to carry out or report, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send(Node, Message),
-    /// The operation may be run: it is nobody else's until it expires.
+    /// The operation may be run: no other claim gets the key until it expires.
     Granted(ClaimId),
-    /// A voter says that another claim holds the key; this one may still be granted.
+    /// A voter replied that another claim (`by`) holds the key; this claim may still be granted.
     Held {
         claim: ClaimId,
         by: ClaimId,
         fingerprint: Fingerprint,
-        /// The voter that has the answer of the operation.
+        /// The voter that stores the answer of the operation, if it is the one that replied.
         answered_at: Option<Node>,
     },
-    /// Not granted in time. The claim is withdrawn.
+    /// The claim was not granted before its deadline and is withdrawn.
     Unavailable(ClaimId),
 }
 
+/// A claim that waits for votes.
 struct Pending {
     request: ClaimRequest,
-    began: f64,
-    /// Voters by nearness, those that seem to be there first.
+    started_at: f64,
+    /// Voters to ask, in order of preference: reachable ones first, nearest first.
     voters: Vec<Node>,
-    /// Who was asked, and when last.
+    /// Voters that were asked, with the time of the last request.
     asked: BTreeMap<Node, f64>,
     granted: BTreeMap<Node, ElectorateId>,
-    /// Who answered otherwise than by granting it.
+    /// Voters that replied without granting the claim.
     refused: Vec<Node>,
-    next_ask: f64,
-    /// How often votes were late.
-    rounds: i32,
+    next_retry: f64,
+    /// Number of times that votes were late.
+    late_rounds: i32,
 }
 
 impl Pending {
-    fn carried(self) -> Running {
+    fn into_running(self) -> Running {
         let Pending { request, voters, asked, granted, .. } = self;
-        let of = |is: &dyn Fn(&Node) -> bool| voters.iter().filter(|node| is(node)).copied().collect();
+        let voters_where =
+            |matches: &dyn Fn(&Node) -> bool| voters.iter().filter(|node| matches(node)).copied().collect();
         Running {
             key: request.key,
-            asked: of(&|node| asked.contains_key(node)),
-            granted: of(&|node| granted.contains_key(node)),
+            asked: voters_where(&|node| asked.contains_key(node)),
+            granted: voters_where(&|node| granted.contains_key(node)),
         }
     }
 }
 
+/// A granted claim whose operation has not ended.
 struct Running {
     key: Key,
-    /// Who was asked, the nearest first.
+    /// Voters that were asked, in order of preference.
     asked: Vec<Node>,
-    /// Who granted it by the time it was carried, the nearest first.
+    /// Voters that had granted the claim when it reached a majority, in order of preference.
     granted: Vec<Node>,
 }
 
-/// See the module.
+/// All claims of a gateway.
 pub struct Claims {
     me: Node,
     start: u32,
     sequence: u64,
     now: f64,
-    /// The latest at the end.
+    /// Sorted by version, the latest last.
     electorates: Vec<(ElectorateId, Electorate)>,
     /// Smoothed seconds from a claim to its vote.
     vote_times: HashMap<Node, f64>,
     /// Smoothed seconds from a claim to its grant.
     grant_time: f64,
     pending: BTreeMap<ClaimId, Pending>,
-    /// Granted claims that are not over.
+    /// Granted claims whose operations have not ended.
     running: BTreeMap<ClaimId, Running>,
 }
 
 impl Claims {
-    /// Another start of the gateway has another number.
+    /// Creates the claims of gateway `me`. `start` must differ between starts of the gateway.
     pub fn new(now: f64, me: Node, start: u32) -> Claims {
         let (vote_times, pending, running) = (HashMap::new(), BTreeMap::new(), BTreeMap::new());
         let (sequence, electorates, grant_time) = (0, Vec::new(), 0.0);
         Claims { me, start, sequence, now, electorates, vote_times, grant_time, pending, running }
     }
 
-    /// Claims a key. `voters`: the machines of the core, the nearest first and those that seem to be gone last.
-    /// None: too many claims wait.
+    /// Claims a key. `voters`: the machines of the core, the nearest first and unreachable ones last. Returns `None` if
+    /// too many claims wait.
     pub fn begin(
         &mut self,
         now: f64,
@@ -124,71 +127,74 @@
         voters: &[Node],
         out: &mut Vec<Action>,
     ) -> Option<ClaimId> {
-        self.enter(now);
-        let crowded = self.pending.len() >= CROWD && self.grant_time > SLOW_GRANT;
-        if crowded || self.pending.len() >= PENDING_MOST {
+        self.advance_clock(now);
+        let crowded = self.pending.len() >= CROWDED_PENDING && self.grant_time > SLOW_GRANT_TIME;
+        if crowded || self.pending.len() >= MAX_PENDING {
             return None;
         }
         self.sequence += 1;
         let claim = ClaimId { gateway: self.me, start: self.start, sequence: self.sequence };
         let mut pending = Pending {
             request,
-            began: self.now,
+            started_at: self.now,
             voters: voters.to_vec(),
             asked: BTreeMap::new(),
             granted: BTreeMap::new(),
             refused: Vec::new(),
-            next_ask: f64::INFINITY,
-            rounds: 0,
+            next_retry: f64::INFINITY,
+            late_rounds: 0,
         };
-        let first = self.electorates.last().map_or(voters.len(), |(_, electorate)| enough(electorate));
-        self.ask(claim, &mut pending, first, out);
+        let majority =
+            self.electorates.last().map_or(voters.len(), |(_, electorate)| majority_size(electorate));
+        self.ask_more_voters(claim, &mut pending, majority, out);
         self.pending.insert(claim, pending);
         Some(claim)
     }
 
-    /// A vote.
+    /// Handles a message from a voter; ignores all but votes.
     pub fn on_message(&mut self, now: f64, from: Node, message: Message, out: &mut Vec<Action>) {
-        self.enter(now);
-        let Message::Vote { claim, electorate, known, verdict } = message else { return };
-        known.into_iter().for_each(|known| self.remember(known));
+        self.advance_clock(now);
+        let Message::Vote { claim, electorate, full_electorate, verdict } = message else { return };
+        full_electorate.into_iter().for_each(|electorate| self.remember_electorate(electorate));
         let Some(mut pending) = self.pending.remove(&claim) else { return };
         if let Some(asked) = pending.asked.get(&from) {
-            let took = self.now - asked;
-            let usual = self.vote_times.entry(from).or_insert(took);
-            *usual += SMOOTHING * (took - *usual);
+            let elapsed = self.now - asked;
+            let average = self.vote_times.entry(from).or_insert(elapsed);
+            *average += SMOOTHING * (elapsed - *average);
         }
         match verdict {
             Verdict::Granted => {
                 pending.granted.insert(from, electorate);
-                if self.carried(&pending.granted) {
-                    self.grant_time += SMOOTHING * (self.now - pending.began - self.grant_time);
-                    self.running.insert(claim, pending.carried());
+                if self.has_majority(&pending.granted) {
+                    self.grant_time += SMOOTHING * (self.now - pending.started_at - self.grant_time);
+                    self.running.insert(claim, pending.into_running());
                     return out.push(Action::Granted(claim));
                 }
-                self.ask_again_under(claim, &mut pending, electorate, out);
+                self.reclaim_stale_grants(claim, &mut pending, electorate, out);
             }
             Verdict::Held { by, fingerprint, answered } => {
                 pending.refused.push(from);
-                pending.next_ask = pending.next_ask.max(self.now + HELD_PAUSE);
+                pending.next_retry = pending.next_retry.max(self.now + HELD_PAUSE);
                 let answered_at = answered.then_some(from);
                 out.push(Action::Held { claim, by, fingerprint, answered_at });
             }
             Verdict::Abstained => {
                 pending.refused.push(from);
-                self.ask(claim, &mut pending, 1, out);
+                self.ask_more_voters(claim, &mut pending, 1, out);
             }
         }
         self.pending.insert(claim, pending);
     }
 
-    /// To be called no later than [`Claims::next_wake`].
+    /// Withdraws expired claims and asks further voters for late ones. To be called no later than
+    /// [`Claims::next_wake`].
     pub fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
-        self.enter(now);
+        self.advance_clock(now);
         let now = self.now;
-        let over = |pending: &Pending| pending.request.deadline <= now;
-        let due = |pending: &Pending| pending.next_ask <= now;
-        let ended: Vec<ClaimId> = self.pending.iter().filter(|(_, p)| over(p)).map(|(id, _)| *id).collect();
+        let expired = |pending: &Pending| pending.request.deadline <= now;
+        let due = |pending: &Pending| pending.next_retry <= now;
+        let ended: Vec<ClaimId> =
+            self.pending.iter().filter(|(_, p)| expired(p)).map(|(id, _)| *id).collect();
         for claim in ended {
             self.release(now, claim, out);
             out.push(Action::Unavailable(claim));
@@ -196,28 +202,28 @@
         let late: Vec<ClaimId> = self.pending.iter().filter(|(_, p)| due(p)).map(|(id, _)| *id).collect();
         for claim in late {
             let Some(mut pending) = self.pending.remove(&claim) else { continue };
-            let all = pending.voters.len();
-            if pending.asked.len() >= all {
-                // those that were asked may not have heard it; those that granted it may go by another electorate now
+            let voter_count = pending.voters.len();
+            if pending.asked.len() >= voter_count {
+                // the requests may have been lost, and voters that granted the claim may use another electorate now
                 pending.asked.clear();
                 pending.refused.clear();
             }
-            pending.rounds += 1;
-            self.ask(claim, &mut pending, all, out);
+            pending.late_rounds += 1;
+            self.ask_more_voters(claim, &mut pending, voter_count, out);
             self.pending.insert(claim, pending);
         }
     }
 
-    /// When it wants to be called next.
+    /// Time by which [`Claims::tick`] is to be called.
     pub fn next_wake(&self) -> f64 {
-        let due = self.pending.values().map(|pending| pending.request.deadline.min(pending.next_ask));
+        let due = self.pending.values().map(|pending| pending.request.deadline.min(pending.next_retry));
         due.fold(f64::INFINITY, f64::min)
     }
 
-    /// The claim has not run and never will: the key is free again.
+    /// Releases a claim whose operation has not run and never will, so that the key is free again.
     pub fn release(&mut self, now: f64, claim: ClaimId, out: &mut Vec<Action>) {
-        self.enter(now);
-        let pending = self.pending.remove(&claim).map(Pending::carried);
+        self.advance_clock(now);
+        let pending = self.pending.remove(&claim).map(Pending::into_running);
         let Some(Running { key, asked, .. }) = pending.or_else(|| self.running.remove(&claim)) else {
             return;
         };
@@ -226,75 +232,83 @@
         }
     }
 
-    /// The operation is over: it has run, or may have. Returns who granted it, the nearest first.
+    /// Ends a granted claim whose operation has run or may have. Returns the voters that granted it, the nearest first.
     pub fn finish(&mut self, claim: ClaimId) -> Vec<Node> {
         self.running.remove(&claim).map(|running| running.granted).unwrap_or_default()
     }
 
-    /// Claims that wait for votes.
+    /// Number of claims that wait for votes.
     pub fn waiting(&self) -> usize {
         self.pending.len()
     }
 
-    /// Asks so many more voters.
-    fn ask(&mut self, claim: ClaimId, pending: &mut Pending, more: usize, out: &mut Vec<Action>) {
+    /// Sends the claim to `count` more voters that have neither been asked nor refused, and sets the next retry.
+    fn ask_more_voters(
+        &mut self,
+        claim: ClaimId,
+        pending: &mut Pending,
+        count: usize,
+        out: &mut Vec<Action>,
+    ) {
         let ClaimRequest { key, fingerprint, keep_s, .. } = pending.request;
-        let electorate = self.electorates.last().map_or(ElectorateId::default(), |known| known.0);
-        let fresh = |node: &&Node| !pending.asked.contains_key(node) && !pending.refused.contains(node);
-        let chosen: Vec<Node> = pending.voters.iter().filter(fresh).take(more).copied().collect();
-        let mut patience = PATIENCE_LEAST;
-        for node in chosen {
+        let electorate = self.electorates.last().map_or(ElectorateId::default(), |latest| latest.0);
+        let not_asked = |node: &&Node| !pending.asked.contains_key(node) && !pending.refused.contains(node);
+        let next_voters: Vec<Node> = pending.voters.iter().filter(not_asked).take(count).copied().collect();
+        let mut wait = MIN_VOTE_WAIT;
+        for node in next_voters {
             pending.asked.insert(node, self.now);
-            let usual = self.vote_times.get(&node).copied().unwrap_or(VOTE_TIME);
-            patience = patience.max(PATIENCE * usual);
+            let average = self.vote_times.get(&node).copied().unwrap_or(DEFAULT_VOTE_TIME);
+            wait = wait.max(VOTE_WAIT_FACTOR * average);
             out.push(Action::Send(node, Message::Claim { key, claim, fingerprint, keep_s, electorate }));
         }
-        pending.next_ask = self.now + patience.min(PATIENCE_MOST) * f64::powi(2.0, pending.rounds);
+        pending.next_retry = self.now + wait.min(MAX_VOTE_WAIT) * f64::powi(2.0, pending.late_rounds);
     }
 
-    /// Those that granted it under another electorate are asked again, as their votes don't count with this one.
-    fn ask_again_under(
+    /// Asks voters again that granted the claim under another electorate, since their votes don't count with this one.
+    fn reclaim_stale_grants(
         &mut self,
         claim: ClaimId,
         pending: &mut Pending,
         electorate: ElectorateId,
         out: &mut Vec<Action>,
     ) {
-        let other: Vec<Node> =
+        let stale: Vec<Node> =
             pending.granted.iter().filter(|(_, id)| **id != electorate).map(|(node, _)| *node).collect();
-        if other.is_empty() || self.electorates.last().is_none_or(|known| known.0 != electorate) {
+        if stale.is_empty() || self.electorates.last().is_none_or(|latest| latest.0 != electorate) {
             return;
         }
-        for node in &other {
+        for node in &stale {
             pending.granted.remove(node);
             pending.asked.remove(node);
         }
-        self.ask(claim, pending, other.len(), out);
+        self.ask_more_voters(claim, pending, stale.len(), out);
     }
 
-    fn carried(&self, granted: &BTreeMap<Node, ElectorateId>) -> bool {
+    /// Whether the grants are a majority of one remembered electorate, all given under that electorate.
+    fn has_majority(&self, granted: &BTreeMap<Node, ElectorateId>) -> bool {
         self.electorates.iter().any(|(id, electorate)| {
-            electorate.carried(|node| granted.get(&node).is_some_and(|given| given == id))
+            electorate
+                .has_majority(|node| granted.get(&node).is_some_and(|granted_under| granted_under == id))
         })
     }
 
-    /// Votes are given under this electorate.
-    fn remember(&mut self, electorate: Electorate) {
+    /// Remembers an electorate under which votes are cast.
+    fn remember_electorate(&mut self, electorate: Electorate) {
         let id = electorate.id();
         self.electorates.retain(|known| known.0 != id);
-        let at = self.electorates.partition_point(|known| known.1.age() <= electorate.age());
+        let at = self.electorates.partition_point(|known| known.1.version() <= electorate.version());
         self.electorates.insert(at, (id, electorate));
-        if self.electorates.len() > ELECTORATES_MOST {
+        if self.electorates.len() > MAX_ELECTORATES {
             self.electorates.remove(0);
         }
     }
 
-    fn enter(&mut self, now: f64) {
+    fn advance_clock(&mut self, now: f64) {
         self.now = self.now.max(now);
     }
 }
 
-/// As many voters as are a majority.
-fn enough(electorate: &Electorate) -> usize {
+/// Number of voters that are a majority.
+fn majority_size(electorate: &Electorate) -> usize {
     electorate.members.len().max(electorate.outgoing.len()) / 2 + 1
 }
--- a/operations/src/electorate.rs
+++ b/operations/src/electorate.rs
@@ -1,36 +1,36 @@
-//! Whose votes count, and in which of their incarnations.
+//! The set of voters whose votes count, and the incarnation of each.
 
 use crate::Node;
 use serde::{Deserialize, Serialize};
 
-/// One voter's state since its disk was empty last.
+/// Identifies one lifetime of a voter's data, which ends when its disk is lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// 0 for those that founded the system.
+    /// 0 for the voters that founded the system.
     pub number: u64,
-    /// Tells two that took the same number apart.
+    /// Distinguishes two incarnations with the same number.
     pub nonce: u64,
 }
 
-/// A hash of an electorate: votes count together only where it is the same.
+/// A hash of an electorate. Votes are counted together only if their electorate ids are equal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ElectorateId(pub u64);
 
-/// The voters as one of them knows them.
+/// The voters, as one node last learned them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Electorate {
-    /// Index of the agreed value that names the members.
+    /// Index of the committed consensus value that lists the members.
     pub index: u64,
     /// The members, sorted.
     pub members: Vec<Node>,
-    /// While the members change, those that counted before; a majority of both is needed then.
+    /// The previous members while the membership changes; a majority of both sets is needed then.
     pub outgoing: Vec<Node>,
-    /// Incarnations above the founders', sorted by node.
+    /// Incarnations with a number above 0, sorted by node.
     pub incarnations: Vec<(Node, Incarnation)>,
 }
 
 impl Electorate {
-    /// The hash of all that it says (FNV-1a).
+    /// The FNV-1a hash of the index, the members, and the incarnations of members.
     pub fn id(&self) -> ElectorateId {
         let mut hash = 0xcbf2_9ce4_8422_2325_u64;
         let mut add = |number: u64| {
@@ -44,7 +44,7 @@
             group.iter().for_each(|&node| add(u64::from(node)));
         }
         for (node, incarnation) in &self.incarnations {
-            if self.has(*node) {
+            if self.contains(*node) {
                 add(u64::from(*node));
                 add(incarnation.number);
                 add(incarnation.nonce);
@@ -53,18 +53,18 @@
         ElectorateId(hash)
     }
 
-    /// Grows with each change: what a voter takes over makes its electorate later, never earlier.
-    pub fn age(&self) -> (u64, u64) {
+    /// A version that grows with each change; merging another electorate never lowers it.
+    pub fn version(&self) -> (u64, u64) {
         let incarnations = self.incarnations.iter().map(|(_, incarnation)| incarnation.number);
         (self.index, incarnations.sum())
     }
 
-    /// Does that node count?
-    pub fn has(&self, node: Node) -> bool {
+    /// Whether the node's votes count.
+    pub fn contains(&self, node: Node) -> bool {
         self.members.contains(&node) || self.outgoing.contains(&node)
     }
 
-    /// All that count, without `me`.
+    /// All nodes whose votes count, except `me`.
     pub fn others(&self, me: Node) -> Vec<Node> {
         let mut all: Vec<Node> =
             self.members.iter().chain(&self.outgoing).copied().filter(|&node| node != me).collect();
@@ -73,26 +73,27 @@
         all
     }
 
-    /// Are those a majority of the members, and of those before while they change?
-    pub fn carried(&self, has: impl Fn(Node) -> bool) -> bool {
+    /// Whether the nodes for which `has` is true are a majority of the members, and of the previous members during a
+    /// change.
+    pub fn has_majority(&self, has: impl Fn(Node) -> bool) -> bool {
         majority(&self.members, &has) && (self.outgoing.is_empty() || majority(&self.outgoing, &has))
     }
 
-    /// Do those, without `me`, meet each majority in somebody other than `me`?
-    pub fn taught(&self, me: Node, has: impl Fn(Node) -> bool) -> bool {
-        let half =
+    /// Whether the nodes for which `has` is true, except `me`, share a node other than `me` with every majority.
+    pub fn covers_every_majority(&self, me: Node, has: impl Fn(Node) -> bool) -> bool {
+        let at_least_half =
             |group: &[Node]| 2 * group.iter().filter(|&&node| node != me && has(node)).count() >= group.len();
-        !self.members.is_empty() && half(&self.members) && half(&self.outgoing)
+        !self.members.is_empty() && at_least_half(&self.members) && at_least_half(&self.outgoing)
     }
 
     /// The known incarnation of a node.
     pub fn incarnation(&self, node: Node) -> Incarnation {
-        let found = self.incarnations.binary_search_by_key(&node, |known| known.0);
-        found.map_or(Incarnation::default(), |at| self.incarnations[at].1)
+        let position = self.incarnations.binary_search_by_key(&node, |known| known.0);
+        position.map_or(Incarnation::default(), |at| self.incarnations[at].1)
     }
 
-    /// Notes an incarnation if it is later than the known one; returns whether it was.
-    pub fn note(&mut self, node: Node, incarnation: Incarnation) -> bool {
+    /// Records an incarnation if it is later than the known one; returns whether it was.
+    pub fn raise_incarnation(&mut self, node: Node, incarnation: Incarnation) -> bool {
         if incarnation <= self.incarnation(node) {
             return false;
         }
@@ -103,19 +104,19 @@
         true
     }
 
-    /// Takes over what another one knows later; returns whether anything was.
+    /// Takes over everything that is newer in `other`; returns whether anything changed.
     pub fn merge(&mut self, other: &Electorate) -> bool {
-        let mut changed = self.follow(other.index, &other.members, &other.outgoing);
+        let mut changed = self.adopt_members(other.index, &other.members, &other.outgoing);
         for (node, incarnation) in &other.incarnations {
-            changed |= self.note(*node, *incarnation);
+            changed |= self.raise_incarnation(*node, *incarnation);
         }
         changed
     }
 
-    /// Goes by a later agreed value; returns whether it was later. Who doesn't count any more has to learn before it
-    /// may count again: its incarnation ends.
-    pub fn follow(&mut self, index: u64, members: &[Node], outgoing: &[Node]) -> bool {
-        // the founders' value has index 0, as has an electorate that knows nobody yet
+    /// Adopts the members of a later consensus value; returns whether it was later. Ends the incarnation of each node
+    /// that is no longer a member, so that it has to fetch the records again before its votes count again.
+    pub fn adopt_members(&mut self, index: u64, members: &[Node], outgoing: &[Node]) -> bool {
+        // the founding value has index 0, and so has an electorate without members
         let later = index > self.index || self.members.is_empty();
         if !later || members.is_empty() {
             return false;
@@ -123,14 +124,15 @@
         let before = self.others(0);
         self.index = index;
         (self.members, self.outgoing) = (members.to_vec(), outgoing.to_vec());
-        for node in before.into_iter().filter(|&node| !self.has(node)).collect::<Vec<_>>() {
+        for node in before.into_iter().filter(|&node| !self.contains(node)).collect::<Vec<_>>() {
             let ended = Incarnation { number: self.incarnation(node).number + 1, nonce: 0 };
-            self.note(node, ended);
+            self.raise_incarnation(node, ended);
         }
         true
     }
 }
 
+/// Whether the nodes for which `has` is true are a majority of the group.
 fn majority(group: &[Node], has: impl Fn(Node) -> bool) -> bool {
     !group.is_empty() && group.iter().filter(|&&node| has(node)).count() > group.len() / 2
 }
--- a/operations/src/message.rs
+++ b/operations/src/message.rs
@@ -1,103 +1,104 @@
-//! What gateways and voters say to each other about operations.
+//! Messages about operations between gateways and voters.
 
 use crate::electorate::{Electorate, ElectorateId, Incarnation};
 use crate::record::{ClaimId, Fingerprint, Key, Record};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 
-/// A message. Lost, repeated, late and reordered ones do no harm.
+/// A message. Loss, repetition, delay and reordering of messages are all tolerated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Gateway to voter: grant me this key. The claim's gateway is the sender.
+    /// Gateway to voter: requests the key. The sender must be the claim's gateway.
     #[serde(rename = "c")]
     Claim {
         key: Key,
         claim: ClaimId,
         fingerprint: Fingerprint,
-        /// Seconds for which the key stays taken.
+        /// Seconds for which the key is to stay claimed.
         keep_s: f32,
-        /// The electorate that the gateway knows.
+        /// The newest electorate that the gateway has.
         electorate: ElectorateId,
     },
-    /// Voter to gateway: what became of a claim here.
+    /// Voter to gateway: this voter's verdict on a claim.
     #[serde(rename = "v")]
     Vote {
         claim: ClaimId,
         electorate: ElectorateId,
-        /// The electorate, where the gateway doesn't know it.
-        known: Option<Electorate>,
+        /// The whole electorate, if it is not the one that the gateway has.
+        full_electorate: Option<Electorate>,
         verdict: Verdict,
     },
-    /// Gateway to voter: the claim has not run and never will.
+    /// Gateway to voter: the operation has not run under this claim and never will.
     #[serde(rename = "r")]
     Release { key: Key, claim: ClaimId },
-    /// Gateway to voter: keep the answer of this operation.
+    /// Gateway to voter: store the answer of this operation.
     #[serde(rename = "s")]
     Store { key: Key, claim: ClaimId, answer: ByteBuf },
-    /// Gateway to a gateway or a voter: how far is the operation that this claim runs?
+    /// Gateway to a gateway or a voter: asks for the progress of the operation that this claim runs.
     #[serde(rename = "a")]
     AskProgress { key: Key, claim: ClaimId, tag: u64 },
-    /// The answer to that.
+    /// The reply to [`Message::AskProgress`].
     #[serde(rename = "t")]
     ProgressReply { tag: u64, progress: Progress },
-    /// Voter to voter: my disk is empty, or I was no member for a while; what do you hold?
+    /// Voter to voter: asks for all records, after the sender lost its disk or was not a member for a while.
     #[serde(rename = "l")]
     RequestRecords { incarnation: Incarnation, electorate: Electorate },
-    /// One part of what is held, from number 0; complete when all `parts` of one telling are there.
+    /// Voter to voter: one part of all records held, counted from 0. A transfer is complete once all `parts` with the
+    /// same `transfer` number have arrived.
     #[serde(rename = "h")]
     Records {
         incarnation: Incarnation,
         electorate: Electorate,
-        /// Another one for each time that the sender tells what it holds.
+        /// Differs for each time that the sender sends all its records.
         transfer: u64,
         part: u16,
         parts: u16,
-        /// With each record the seconds that are left to it.
+        /// Records whose `keep_s` is the time that remains until they expire.
         records: Vec<Record>,
     },
-    /// Voter to voter: that incarnation of yours ended; take a later one.
+    /// Voter to voter: the receiver's incarnation up to this number has ended; it must take a later one.
     #[serde(rename = "n")]
     IncarnationEnded { number: u64 },
-    /// Voter to voter: what I know of whose votes count.
+    /// Voter to voter: the sender's electorate.
     #[serde(rename = "e")]
     ElectorateUpdate(Electorate),
 }
 
-/// What a voter says to a claim.
+/// A voter's reply to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The key is this claim's, here, and that is on disk.
+    /// This voter granted the key to this claim, and the grant is on its disk.
     #[serde(rename = "g")]
     Granted,
-    /// The key is another claim's.
+    /// This voter has granted the key to another claim.
     #[serde(rename = "h")]
     Held {
         by: ClaimId,
         fingerprint: Fingerprint,
-        /// Whether the answer of the operation is kept here.
+        /// Whether this voter stores the answer of the operation.
         answered: bool,
     },
-    /// This voter doesn't vote now: it learns, is no member, or has no room.
+    /// This voter does not vote now: it is fetching records, is not a member, or has no room.
     #[serde(rename = "n")]
     Abstained,
 }
 
-/// How far an operation is.
+/// The progress of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// Nothing is known of it here.
+    /// The responder has no record of it.
     #[serde(rename = "n")]
     Unknown,
-    /// Its gateway withdrew the claim: it has not run under it.
+    /// Its gateway withdrew the claim: the operation has not run under it.
     #[serde(rename = "w")]
     Withdrawn,
-    /// It is at work.
+    /// The operation is running.
     #[serde(rename = "r")]
     Running,
-    /// It ended with this answer.
+    /// The operation ended with this answer.
     #[serde(rename = "a")]
     Answered(ByteBuf),
-    /// It may have run, and its answer is not known to anybody.
+    /// The operation may have run, and its answer is lost.
     #[serde(rename = "u")]
     Lost,
 }
--- a/operations/src/operation_table.rs
+++ b/operations/src/operation_table.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of the operations that it runs or ran.
+//! The operations that a gateway runs or ran, with their answers.
 
 use crate::message::Progress;
 use crate::record::{ClaimId, Fingerprint, Key};
@@ -6,20 +6,20 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// How far an operation is here.
+/// The state of an operation on this gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It is claimed or at work.
+    /// The operation is claimed or running.
     Running,
-    /// Its answer, encoded by the driver.
+    /// The operation ended with this answer, encoded by the driver.
     Answered(Rc<[u8]>),
-    /// It may have run, and its answer will not be known.
+    /// The operation may have run, and its answer will never be known.
     Lost,
-    /// It has an answer, for which there was no room any more.
+    /// The operation has an answer, which was dropped to free memory.
     AnswerDropped,
 }
 
-/// One operation.
+/// An operation and the claim under which this gateway runs it.
 #[derive(Clone, Debug)]
 pub struct Operation {
     pub claim: ClaimId,
@@ -28,13 +28,13 @@
     expires: u64,
 }
 
-/// See the module.
+/// Bounded table of operations by key; each entry expires.
 #[derive(Debug, Default)]
 pub struct OperationTable {
     operations: HashMap<Key, Operation>,
-    /// Milliseconds at which operations expire.
+    /// Times at which operations expire, in milliseconds.
     expiries: BTreeSet<(u64, Key)>,
-    /// Those with an answer, the oldest first.
+    /// Operations that got an answer, oldest first.
     answered: VecDeque<(Key, ClaimId)>,
     bytes: usize,
     max_bytes: usize,
@@ -42,12 +42,13 @@
 }
 
 impl OperationTable {
-    /// Bounds: operations, and bytes of their answers.
+    /// Creates an empty table, bounded by the number of operations and the bytes of their answers.
     pub fn new(max_operations: usize, max_bytes: usize) -> OperationTable {
         OperationTable { max_operations, max_bytes, ..OperationTable::default() }
     }
 
-    /// A key is claimed here; `keep_s`: seconds from now for which it is known. False: there is no room.
+    /// Adds an operation for a key claimed by this gateway, which expires in `keep_s` seconds. Returns false if the
+    /// table is full.
     pub fn begin(
         &mut self,
         now: f64,
@@ -60,20 +61,20 @@
         if self.operations.len() >= self.max_operations {
             return false;
         }
-        self.forget(key);
+        self.remove(key);
         let expires = ((now + keep_s) * 1e3) as u64;
         self.expiries.insert((expires, key));
         self.operations.insert(key, Operation { claim, fingerprint, state: State::Running, expires });
         true
     }
 
-    /// The operation of a key.
+    /// Looks up the operation of a key.
     pub fn find(&mut self, now: f64, key: Key) -> Option<&Operation> {
         self.expire(now);
         self.operations.get(&key)
     }
 
-    /// The operation ended with this answer.
+    /// Records the answer of a running operation, and drops the oldest answers if they exceed the bound.
     pub fn record_answer(&mut self, key: Key, claim: ClaimId, answer: Rc<[u8]>) {
         let Some(operation) = self.operations.get_mut(&key).filter(|o| o.claim == claim) else { return };
         if operation.state == State::Running {
@@ -94,21 +95,22 @@
         }
     }
 
-    /// The operation may have run, and nothing more will be known of it.
+    /// Marks an operation whose request may have run but whose answer will never be known.
     pub fn mark_lost(&mut self, key: Key, claim: ClaimId) {
         if let Some(operation) = self.operations.get_mut(&key).filter(|o| o.claim == claim) {
             operation.state = State::Lost;
         }
     }
 
-    /// The operation has not run here and will not.
+    /// Removes an operation that has not run on this gateway and will not.
     pub fn withdraw(&mut self, key: Key, claim: ClaimId) {
         if self.operations.get(&key).is_some_and(|operation| operation.claim == claim) {
-            self.forget(key);
+            self.remove(key);
         }
     }
 
-    /// What another gateway is told that asks for the operation that this claim runs, one of this start of the gateway.
+    /// The progress to report to another gateway that asks about this claim, which is one of this start of the
+    /// gateway.
     pub fn progress(&mut self, now: f64, key: Key, claim: ClaimId) -> Progress {
         match self.find(now, key).filter(|operation| operation.claim == claim).map(|o| &o.state) {
             None => Progress::Withdrawn,
@@ -119,22 +121,22 @@
         }
     }
 
-    /// Operations that are known.
+    /// Number of operations in the table.
     pub fn len(&self) -> usize {
         self.operations.len()
     }
 
-    /// Is none known?
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.operations.is_empty()
     }
 
-    /// Bytes of answers.
+    /// Bytes of all stored answers.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn forget(&mut self, key: Key) {
+    fn remove(&mut self, key: Key) {
         let Some(operation) = self.operations.remove(&key) else { return };
         self.expiries.remove(&(operation.expires, key));
         if let State::Answered(answer) = operation.state {
@@ -144,11 +146,11 @@
 
     fn expire(&mut self, now: f64) {
         let now = (now * 1e3) as u64;
-        while let Some(&(at, key)) = self.expiries.first() {
-            if at >= now {
+        while let Some(&(expires_at, key)) = self.expiries.first() {
+            if expires_at >= now {
                 break;
             }
-            self.forget(key);
+            self.remove(key);
         }
         while self.answered.front().is_some_and(|(key, claim)| {
             self.operations.get(key).is_none_or(|operation| operation.claim != *claim)
--- a/operations/src/record.rs
+++ b/operations/src/record.rs
@@ -1,38 +1,38 @@
-//! What is kept of an operation.
+//! Keys, claims and records of operations, and the entries of a voter's journal.
 
 use crate::electorate::Electorate;
 use crate::Node;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// An operation: a hash of a tenant's name and the key that the tenant gave.
+/// Identifies an operation: a hash of the tenant's name and the key that the tenant chose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(pub u64, pub u64);
 
-/// A hash of what a request asks for: method, path and body. Two requests with one key must have the same.
+/// A hash of a request: method, path and body. Two requests with the same key must have the same fingerprint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
-/// One attempt of a gateway to be the one that runs an operation.
+/// Identifies one attempt of a gateway to obtain the right to run an operation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The gateway.
+    /// The gateway that made the claim.
     pub gateway: Node,
-    /// Another start of the gateway has another number.
+    /// Differs between starts of the gateway.
     pub start: u32,
-    /// Counts the claims of that start.
+    /// Counts the claims of one start.
     pub sequence: u64,
 }
 
-/// A granted claim, as a voter keeps it.
+/// A granted claim as a voter stores it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     pub key: Key,
     pub claim: ClaimId,
     pub fingerprint: Fingerprint,
-    /// Seconds for which the key stays taken.
+    /// Seconds for which the key stays claimed.
     pub keep_s: f32,
-    /// Claims of two gateways were found for the key: it is granted to nobody until it expires.
+    /// Different claims of the key were found: it is granted to no claim until the record expires.
     pub contested: bool,
 }
 
@@ -41,7 +41,7 @@
 pub enum Entry {
     /// A claim was granted.
     Granted(Record),
-    /// The claim has not run and never will.
+    /// The claim was released: its operation has not run and never will.
     Released { key: Key, claim: ClaimId },
     /// The answer of the operation, encoded by the gateway.
     Answer {
@@ -50,30 +50,31 @@
         #[serde(with = "serde_bytes")]
         answer: Vec<u8>,
     },
-    /// Whose votes count, as far as this voter knows.
+    /// The electorate that this voter last learned.
     Electorate(Electorate),
-    /// This voter's own incarnation; it may vote once this is on disk.
+    /// This voter's own incarnation; the voter may vote once this entry is on disk.
     Ready { incarnation: u64, nonce: u64 },
 }
 
-fn half(hash: &[u8], at: usize) -> u64 {
-    hash[at..at + 8].iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+/// Reads the big-endian number of 8 bytes that starts at `offset`.
+fn read_u64(hash: &[u8], offset: usize) -> u64 {
+    hash[offset..offset + 8].iter().fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
 
 impl Key {
-    /// The operation of this key of a tenant.
+    /// Derives the operation's key from the tenant's name and the tenant's own key.
     pub fn derive(tenant: &str, key: &[u8]) -> Key {
         let hash = Sha256::new()
             .chain_update((tenant.len() as u64).to_le_bytes())
             .chain_update(tenant.as_bytes())
             .chain_update(key)
             .finalize();
-        Key(half(&hash, 0), half(&hash, 8))
+        Key(read_u64(&hash, 0), read_u64(&hash, 8))
     }
 }
 
 impl Fingerprint {
-    /// Of a request's method, path with query, and body.
+    /// Hashes a request's method, path with query, and body.
     pub fn of_request(method: &str, path: &str, body: &[u8]) -> Fingerprint {
         let hash = Sha256::new()
             .chain_update((method.len() as u64).to_le_bytes())
@@ -82,6 +83,6 @@
             .chain_update(path.as_bytes())
             .chain_update(body)
             .finalize();
-        Fingerprint(half(&hash, 0))
+        Fingerprint(read_u64(&hash, 0))
     }
 }
--- a/operations/src/voter.rs
+++ b/operations/src/voter.rs
@@ -1,52 +1,53 @@
-//! A voter: which claim each key is granted to, and what has to be on disk before that is said.
+//! A voter: decides which claim each key is granted to, and what must be on disk before a reply is sent.
 
 use crate::electorate::{Electorate, ElectorateId, Incarnation};
+use crate::member_removals::MemberRemovals;
 use crate::message::{Message, Progress, Verdict};
 use crate::record::{ClaimId, Entry, Fingerprint, Key, Record};
-use crate::strikes::Strikes;
 use crate::Node;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// Seconds between two asks of a learner.
-const LEARN_PAUSE: f64 = 0.5;
-/// Seconds between two tellings of the electorate to the other voters.
-const KNOWN_PAUSE: f64 = 1.0;
-/// Records in one part of what a learner is told.
-const RECORDS_IN_PART: usize = 2048;
-/// Assumed for claims while none was met that is kept for longer, seconds.
-const KEEP_USUAL: f64 = 90.0;
-/// The longest that a key may stay taken, seconds.
-const KEEP_MOST: f64 = 7200.0;
+/// Seconds between requests for records while this voter learns.
+const LEARN_INTERVAL: f64 = 0.5;
+/// Seconds between messages that send the electorate to the other voters.
+const ELECTORATE_INTERVAL: f64 = 1.0;
+/// Number of records in one part of a transfer.
+const RECORDS_PER_PART: usize = 2048;
+/// The longest keep time of claims that is assumed until a claim with a longer one was seen, in seconds.
+const DEFAULT_KEEP: f64 = 90.0;
+/// The longest time for which a key may stay claimed, in seconds.
+const MAX_KEEP: f64 = 7200.0;
 
 /// Settings of a voter.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
+    /// The address of this voter.
     pub me: Node,
-    /// Must differ from start to start.
+    /// Seed of the random numbers; must differ between starts.
     pub seed: u64,
-    /// Whether a voter with an empty journal votes without learning: it founds the system, or its journal is the first.
+    /// Whether a voter with an empty journal votes without learning: it founds the system, or this is its first journal.
     pub founder: bool,
-    /// The most keys that are held at once.
+    /// Bound on the number of keys that are held.
     pub max_records: usize,
-    /// The most bytes of answers that are held at once.
+    /// Bound on the bytes of answers that are held.
     pub max_answer_bytes: usize,
 }
 
-/// What is sent once the journal is on disk up to some number.
-enum Later {
-    /// A claim was granted; with the electorate that the gateway told.
+/// A message that is sent once the journal is on disk up to some number.
+enum Deferred {
+    /// The vote for a granted claim, with the electorate id that the gateway sent.
     Granted(ClaimId, ElectorateId),
     Message(Message),
 }
 
-impl Later {
+impl Deferred {
     fn is_vote(&self) -> bool {
-        matches!(self, Later::Granted(..))
+        matches!(self, Deferred::Granted(..))
     }
 }
 
-/// What the driver has to do, in order.
+/// An action for the driver to carry out, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send(Node, Message),
@@ -54,44 +55,46 @@
     Append {
         number: u64,
         entry: Entry,
-        /// Seconds for which the entry is needed; none: until a later one of its kind is on disk.
+        /// Seconds for which the entry is needed; `None`: until a later entry of its kind is on disk.
         keep_s: Option<f64>,
-        /// False: nobody waits for it, it may go with the next one that is urgent.
+        /// If false, nothing waits for this entry, and it may be written together with the next urgent one.
         urgent: bool,
     },
 }
 
-struct Held {
+/// A granted key.
+struct HeldKey {
     record: Record,
     expires: f64,
-    /// The journal's number of its grant.
+    /// Number of the journal entry of the grant.
     number: u64,
     answer: Option<Rc<[u8]>>,
 }
 
-/// What one voter told a learner.
+/// The records received from one voter while this voter learns.
 #[derive(Default)]
-struct Lesson {
+struct Received {
     electorate: Electorate,
     transfer: u64,
     parts: BTreeMap<u16, Vec<Record>>,
-    whole: bool,
+    complete: bool,
 }
 
+/// The state of a voter that learns: it fetches the records of the other voters.
 struct Learner {
     incarnation: Incarnation,
-    next_ask: f64,
-    lessons: BTreeMap<Node, Lesson>,
+    next_request: f64,
+    received: BTreeMap<Node, Received>,
 }
 
 enum Role {
     Learning(Learner),
-    /// Enough was learnt; it votes once this number of the journal is on disk.
+    /// Learning is done; the voter votes once this number of the journal is on disk.
     Recording(u64),
     Ready,
 }
 
-/// See the module.
+/// The voter of one machine.
 pub struct Voter {
     settings: Settings,
     now: f64,
@@ -99,26 +102,26 @@
     electorate: Electorate,
     incarnation: Incarnation,
     role: Role,
-    held: HashMap<Key, Held>,
-    /// Milliseconds at which records expire.
+    held: HashMap<Key, HeldKey>,
+    /// Times at which records expire, in milliseconds.
     expiries: BTreeSet<(u64, Key)>,
     answer_bytes: usize,
     /// Number of the last entry that was appended.
     appended: u64,
-    /// Up to which number the journal is on disk.
+    /// Number up to which the journal is on disk.
     saved: u64,
-    /// What is to be sent once that number is on disk.
-    waiting: BTreeMap<u64, Vec<(Node, Later)>>,
-    /// Whether the journal takes further claims and answers.
-    room: bool,
-    strikes: Strikes,
-    /// The longest that a claim was to be kept, seconds.
+    /// Messages to send once the journal is on disk up to their number.
+    deferred_sends: BTreeMap<u64, Vec<(Node, Deferred)>>,
+    /// Whether the journal has room for further claims and answers.
+    has_room: bool,
+    removals: MemberRemovals,
+    /// The longest keep time of all claims seen, in seconds.
     longest_keep: f64,
-    next_known: f64,
+    next_electorate_update: f64,
 }
 
 impl Voter {
-    /// `entries`: what the journal held, in order.
+    /// Creates a voter from the entries of its journal, in order.
     pub fn new(now: f64, settings: Settings, entries: Vec<Entry>, out: &mut Vec<Action>) -> Voter {
         let empty = entries.is_empty();
         let mut voter = Voter {
@@ -133,14 +136,14 @@
             answer_bytes: 0,
             appended: 0,
             saved: 0,
-            waiting: BTreeMap::new(),
-            room: true,
-            strikes: Strikes::at_start(now, &Electorate::default()),
-            longest_keep: KEEP_USUAL,
-            next_known: now,
+            deferred_sends: BTreeMap::new(),
+            has_room: true,
+            removals: MemberRemovals::new(now, &Electorate::default()),
+            longest_keep: DEFAULT_KEEP,
+            next_electorate_update: now,
         };
         let ready = voter.replay(entries);
-        voter.strikes = Strikes::at_start(now, &voter.electorate);
+        voter.removals = MemberRemovals::new(now, &voter.electorate);
         if empty && settings.founder {
             voter.append(Entry::Ready { incarnation: 0, nonce: 0 }, None, true, out);
         } else if !ready {
@@ -150,34 +153,34 @@
         voter
     }
 
-    /// Takes over what the journal held; returns whether this voter may vote.
+    /// Applies the journal's entries; returns whether this voter may vote.
     fn replay(&mut self, entries: Vec<Entry>) -> bool {
         let mut ready = false;
         for entry in entries {
             match entry {
                 Entry::Granted(record) => {
-                    self.drop_record(record.key);
-                    self.hold(record);
+                    self.remove_record(record.key);
+                    self.insert_record(record);
                 }
                 Entry::Released { key, claim } => {
                     if self.held.get(&key).is_some_and(|held| held.record.claim == claim) {
-                        self.drop_record(key);
+                        self.remove_record(key);
                     }
                 }
-                Entry::Answer { key, claim, answer } => self.keep_answer(key, claim, answer.into()),
+                Entry::Answer { key, claim, answer } => self.store_answer(key, claim, answer.into()),
                 Entry::Electorate(electorate) => drop(self.electorate.merge(&electorate)),
                 Entry::Ready { incarnation: number, nonce } => {
                     ready = true;
                     self.incarnation = Incarnation { number, nonce };
-                    self.electorate.note(self.settings.me, self.incarnation);
+                    self.electorate.raise_incarnation(self.settings.me, self.incarnation);
                 }
             }
         }
         ready && self.electorate.incarnation(self.settings.me) == self.incarnation
     }
 
-    /// The entries that each new file of the journal begins with; they replace all entries without a time before them.
-    /// None while the one that says that this voter may vote is on its way to the disk: no head may replace that one yet.
+    /// The entries that each new file of the journal begins with; they replace all earlier entries without an expiry.
+    /// Returns `None` while the [`Entry::Ready`] of this voter is not yet on disk, since no head may replace it before.
     pub fn head(&self) -> Option<Vec<Entry>> {
         if matches!(self.role, Role::Recording(_)) {
             return None;
@@ -190,13 +193,13 @@
         Some(head)
     }
 
-    /// Whether it takes part in votes.
+    /// Whether this voter takes part in votes.
     pub fn can_vote(&self) -> bool {
-        let member = self.electorate.has(self.settings.me);
-        matches!(self.role, Role::Ready) && member && !self.strikes.rest(self.now)
+        let member = self.electorate.contains(self.settings.me);
+        matches!(self.role, Role::Ready) && member && !self.removals.votes_paused(self.now)
     }
 
-    /// Whether it learns what the other voters hold, or records that.
+    /// Whether this voter fetches the records of the other voters, or is writing them to its journal.
     pub fn is_learning(&self) -> bool {
         !matches!(self.role, Role::Ready)
     }
@@ -206,22 +209,22 @@
         self.appended
     }
 
-    /// Tells whether the journal has room: without it no further claim is granted, and no answer is kept.
-    pub fn set_room(&mut self, room: bool) {
-        self.room = room;
+    /// Sets whether the journal has room. Without room, no further claim is granted and no answer is stored.
+    pub fn set_room(&mut self, has_room: bool) {
+        self.has_room = has_room;
     }
 
-    /// Keys that are held.
+    /// Number of keys that are held.
     pub fn records(&self) -> usize {
         self.held.len()
     }
 
-    /// Bytes of answers that are held.
+    /// Bytes of all answers that are held.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// The newest agreed members, and those before while they change.
+    /// Sets the members of the newest committed consensus value, and the previous members during a change.
     pub fn set_members(
         &mut self,
         now: f64,
@@ -230,57 +233,59 @@
         outgoing: &[Node],
         out: &mut Vec<Action>,
     ) {
-        self.enter(now);
+        self.advance_clock(now);
         let before = self.electorate.clone();
-        if self.electorate.follow(index, members, outgoing) {
+        if self.electorate.adopt_members(index, members, outgoing) {
             self.electorate_changed(&before, out);
         }
     }
 
-    /// The journal is on disk up to this number.
+    /// Records that the journal is on disk up to this number, and sends the messages that waited for it.
     pub fn on_saved(&mut self, now: f64, number: u64, out: &mut Vec<Action>) {
-        self.enter(now);
+        self.advance_clock(now);
         self.saved = self.saved.max(number);
         if matches!(self.role, Role::Recording(ready) if ready <= self.saved) {
             self.role = Role::Ready;
         }
-        let later = self.waiting.split_off(&(self.saved + 1));
-        for (to, later) in std::mem::replace(&mut self.waiting, later).into_values().flatten() {
-            out.push(Action::Send(to, self.now_said(later)));
+        let still_waiting = self.deferred_sends.split_off(&(self.saved + 1));
+        for (to, deferred) in
+            std::mem::replace(&mut self.deferred_sends, still_waiting).into_values().flatten()
+        {
+            out.push(Action::Send(to, self.message_to_send(deferred)));
         }
     }
 
-    /// To be called no later than [`Voter::next_wake`].
+    /// Does everything that is due. To be called no later than [`Voter::next_wake`].
     pub fn tick(&mut self, now: f64, out: &mut Vec<Action>) {
-        self.enter(now);
+        self.advance_clock(now);
         self.expire();
-        self.ask(out);
-        if self.now >= self.next_known {
-            self.next_known = self.now + KNOWN_PAUSE;
+        self.request_records(out);
+        if self.now >= self.next_electorate_update {
+            self.next_electorate_update = self.now + ELECTORATE_INTERVAL;
             for node in self.electorate.others(self.settings.me) {
                 out.push(Action::Send(node, Message::ElectorateUpdate(self.electorate.clone())));
             }
         }
     }
 
-    /// When it wants to be called next.
+    /// Time by which [`Voter::tick`] is to be called.
     pub fn next_wake(&self) -> f64 {
         match &self.role {
-            Role::Learning(learner) => self.next_known.min(learner.next_ask),
-            _ => self.next_known,
+            Role::Learning(learner) => self.next_electorate_update.min(learner.next_request),
+            _ => self.next_electorate_update,
         }
     }
 
-    /// A message of a gateway or of another voter.
+    /// Handles a message from a gateway or another voter.
     pub fn on_message(&mut self, now: f64, from: Node, message: Message, out: &mut Vec<Action>) {
-        self.enter(now);
+        self.advance_clock(now);
         match message {
             Message::Claim { key, claim, fingerprint, keep_s, electorate } if claim.gateway == from => {
                 let record = Record { key, claim, fingerprint, keep_s, contested: false };
                 match self.claim(record, out) {
                     Verdict::Granted => {
                         let number = self.held.get(&key).map_or(0, |held| held.number);
-                        self.send_after(number, from, Later::Granted(claim, electorate), out);
+                        self.send_after(number, from, Deferred::Granted(claim, electorate), out);
                     }
                     verdict => out.push(Action::Send(from, self.vote(claim, electorate, verdict))),
                 }
@@ -298,10 +303,10 @@
                 out.push(Action::Send(from, Message::ProgressReply { tag, progress }));
             }
             Message::RequestRecords { incarnation, electorate } => {
-                self.teach(from, incarnation, &electorate, out)
+                self.send_records(from, incarnation, &electorate, out)
             }
             Message::Records { incarnation, electorate, transfer, part, parts, records } => {
-                self.learn(from, incarnation, (electorate, transfer), (part, parts), records, out)
+                self.receive_records(from, incarnation, (electorate, transfer), (part, parts), records, out)
             }
             Message::IncarnationEnded { number } => {
                 if matches!(&self.role, Role::Learning(learner) if learner.incarnation.number <= number) {
@@ -314,6 +319,7 @@
         }
     }
 
+    /// Decides a claim, and journals the grant of a new one.
     fn claim(&mut self, record: Record, out: &mut Vec<Action>) -> Verdict {
         if !self.can_vote() {
             return Verdict::Abstained;
@@ -326,12 +332,13 @@
             let Record { claim: by, fingerprint, .. } = held.record;
             return Verdict::Held { by, fingerprint, answered: held.answer.is_some() };
         }
-        let sound = record.keep_s.is_finite() && record.keep_s > 0.0 && f64::from(record.keep_s) <= KEEP_MOST;
-        if !sound || !self.room || self.held.len() >= self.settings.max_records {
+        let valid_keep =
+            record.keep_s.is_finite() && record.keep_s > 0.0 && f64::from(record.keep_s) <= MAX_KEEP;
+        if !valid_keep || !self.has_room || self.held.len() >= self.settings.max_records {
             return Verdict::Abstained;
         }
         let number = self.append(Entry::Granted(record), Some(f64::from(record.keep_s)), true, out);
-        self.hold(record);
+        self.insert_record(record);
         if let Some(held) = self.held.get_mut(&record.key) {
             held.number = number;
         }
@@ -341,22 +348,22 @@
     fn release(&mut self, key: Key, claim: ClaimId, out: &mut Vec<Action>) {
         let held = self.held.get(&key).map(|held| held.record);
         let Some(record) = held.filter(|record| record.claim == claim && !record.contested) else { return };
-        self.drop_record(key);
+        self.remove_record(key);
         self.append(Entry::Released { key, claim }, Some(f64::from(record.keep_s)), false, out);
     }
 
     fn store(&mut self, key: Key, claim: ClaimId, answer: Vec<u8>, out: &mut Vec<Action>) {
         let held = self.held.get(&key);
         let Some(held) = held.filter(|h| h.record.claim == claim && h.answer.is_none()) else { return };
-        if !self.room || self.answer_bytes + answer.len() > self.settings.max_answer_bytes {
+        if !self.has_room || self.answer_bytes + answer.len() > self.settings.max_answer_bytes {
             return;
         }
         let keep_s = held.expires - self.now;
-        self.keep_answer(key, claim, answer.as_slice().into());
+        self.store_answer(key, claim, answer.as_slice().into());
         self.append(Entry::Answer { key, claim, answer }, Some(keep_s), false, out);
     }
 
-    fn keep_answer(&mut self, key: Key, claim: ClaimId, answer: Rc<[u8]>) {
+    fn store_answer(&mut self, key: Key, claim: ClaimId, answer: Rc<[u8]>) {
         let Some(held) = self.held.get_mut(&key) else { return };
         if held.record.claim == claim && held.answer.is_none() {
             self.answer_bytes += answer.len();
@@ -364,16 +371,22 @@
         }
     }
 
-    /// Another voter's disk was empty: its incarnation is kept first, so that its earlier votes count no more with those
-    /// given here from now on.
-    fn teach(&mut self, from: Node, incarnation: Incarnation, told: &Electorate, out: &mut Vec<Action>) {
+    /// Sends all records to a voter that learns. Journals its new incarnation first, so that votes of its earlier
+    /// incarnations are no longer counted together with votes that this voter casts from now on.
+    fn send_records(
+        &mut self,
+        from: Node,
+        incarnation: Incarnation,
+        theirs: &Electorate,
+        out: &mut Vec<Action>,
+    ) {
         let known = self.electorate.incarnation(from);
         if incarnation < known {
             return out.push(Action::Send(from, Message::IncarnationEnded { number: known.number }));
         }
         let before = self.electorate.clone();
-        let mut changed = self.electorate.merge(told);
-        changed |= self.electorate.note(from, incarnation);
+        let mut changed = self.electorate.merge(theirs);
+        changed |= self.electorate.raise_incarnation(from, incarnation);
         if changed {
             self.electorate_changed(&before, out);
         }
@@ -382,25 +395,26 @@
         }
         self.expire();
         let now = self.now;
-        let left = |held: &Held| Record { keep_s: (held.expires - now) as f32, ..held.record };
-        let mut records: Vec<Record> = self.held.values().map(left).collect();
+        let with_time_left = |held: &HeldKey| Record { keep_s: (held.expires - now) as f32, ..held.record };
+        let mut records: Vec<Record> = self.held.values().map(with_time_left).collect();
         records.sort_unstable_by_key(|record| record.key);
-        let parts = records.len().div_ceil(RECORDS_IN_PART).max(1) as u16;
-        // who asks again has no use for what still waits since the last time
-        self.waiting
+        let parts = records.len().div_ceil(RECORDS_PER_PART).max(1) as u16;
+        // a repeated request replaces the reply to the last one that is still waiting
+        self.deferred_sends
             .values_mut()
-            .for_each(|waiting| waiting.retain(|(to, later)| *to != from || later.is_vote()));
-        let transfer = self.dice();
+            .for_each(|sends| sends.retain(|(to, deferred)| *to != from || deferred.is_vote()));
+        let transfer = self.next_random();
         for part in 0..parts {
-            let rest = records.split_off(records.len().min(RECORDS_IN_PART));
+            let rest = records.split_off(records.len().min(RECORDS_PER_PART));
             let records = std::mem::replace(&mut records, rest);
             let electorate = self.electorate.clone();
-            let lesson = Message::Records { incarnation, electorate, transfer, part, parts, records };
-            self.send_after(self.appended, from, Later::Message(lesson), out);
+            let message = Message::Records { incarnation, electorate, transfer, part, parts, records };
+            self.send_after(self.appended, from, Deferred::Message(message), out);
         }
     }
 
-    fn learn(
+    /// Handles one part of the records of another voter.
+    fn receive_records(
         &mut self,
         from: Node,
         incarnation: Incarnation,
@@ -413,39 +427,40 @@
         if learner.incarnation != incarnation || part >= parts {
             return;
         }
-        let lesson = learner.lessons.entry(from).or_default();
-        if lesson.electorate != electorate || lesson.transfer != transfer {
-            *lesson = Lesson { electorate: electorate.clone(), transfer, ..Lesson::default() };
+        let received = learner.received.entry(from).or_default();
+        if received.electorate != electorate || received.transfer != transfer {
+            *received = Received { electorate: electorate.clone(), transfer, ..Received::default() };
         }
-        lesson.parts.insert(part, records);
-        lesson.whole = lesson.parts.len() == usize::from(parts);
+        received.parts.insert(part, records);
+        received.complete = received.parts.len() == usize::from(parts);
         self.merge(&electorate, out);
-        self.learnt(out);
+        self.finish_learning(out);
     }
 
-    /// Ends learning if enough voters that go by one electorate have told all that they hold.
-    fn learnt(&mut self, out: &mut Vec<Action>) {
+    /// Ends learning once enough voters under the same electorate have sent all their records.
+    fn finish_learning(&mut self, out: &mut Vec<Action>) {
         let me = self.settings.me;
         let Role::Learning(learner) = &mut self.role else { return };
         let id = self.electorate.id();
-        let told = |node: Node| {
-            learner.lessons.get(&node).is_some_and(|lesson| lesson.whole && lesson.electorate.id() == id)
+        let has_sent_all = |node: Node| {
+            learner.received.get(&node).is_some_and(|from| from.complete && from.electorate.id() == id)
         };
-        if !self.electorate.has(me) || !self.electorate.taught(me, told) {
+        if !self.electorate.contains(me) || !self.electorate.covers_every_majority(me, has_sent_all) {
             return;
         }
         self.incarnation = learner.incarnation;
-        let lessons = std::mem::take(&mut learner.lessons);
-        for record in lessons.into_values().flat_map(|lesson| lesson.parts.into_values()).flatten() {
-            self.take_over(record, out);
+        let received = std::mem::take(&mut learner.received);
+        for record in received.into_values().flat_map(|received| received.parts.into_values()).flatten() {
+            self.merge_record(record, out);
         }
         let Incarnation { number, nonce } = self.incarnation;
         let ready = self.append(Entry::Ready { incarnation: number, nonce }, None, true, out);
         self.role = Role::Recording(ready);
     }
 
-    /// A record of another voter. Where two of them differ, either may be the one that a majority granted.
-    fn take_over(&mut self, record: Record, out: &mut Vec<Action>) {
+    /// Merges a record of another voter. If two voters sent different claims for a key, either may be the one that a
+    /// majority granted, so the key is marked as contested.
+    fn merge_record(&mut self, record: Record, out: &mut Vec<Action>) {
         let contested = match self.held.get(&record.key) {
             None => record,
             Some(held) if held.record.claim == record.claim && held.record.contested == record.contested => {
@@ -453,53 +468,55 @@
             }
             Some(_) => Record { contested: true, ..record },
         };
-        self.drop_record(record.key);
+        self.remove_record(record.key);
         self.append(Entry::Granted(contested), Some(f64::from(record.keep_s)), false, out);
-        self.hold(contested);
+        self.insert_record(contested);
     }
 
-    fn merge(&mut self, told: &Electorate, out: &mut Vec<Action>) {
+    fn merge(&mut self, other: &Electorate, out: &mut Vec<Action>) {
         let before = self.electorate.clone();
-        if self.electorate.merge(told) {
+        if self.electorate.merge(other) {
             self.electorate_changed(&before, out);
         }
     }
 
-    /// Keeps the electorate; who finds that its own incarnation has ended learns anew.
+    /// Journals the new electorate, and starts learning again if it says that the own incarnation has ended.
     fn electorate_changed(&mut self, before: &Electorate, out: &mut Vec<Action>) {
-        self.strikes.changed(self.now, self.longest_keep, before, &self.electorate);
+        self.removals.on_members_changed(self.now, self.longest_keep, before, &self.electorate);
         self.append(Entry::Electorate(self.electorate.clone()), None, true, out);
-        let ended = self.electorate.incarnation(self.settings.me);
+        let current = self.electorate.incarnation(self.settings.me);
         let own = match &self.role {
             Role::Learning(learner) => learner.incarnation,
             Role::Recording(_) | Role::Ready => self.incarnation,
         };
-        if ended > own {
+        if current > own {
             self.begin_learning(1);
         } else {
-            self.learnt(out);
+            self.finish_learning(out);
         }
-        self.next_known = self.now;
+        self.next_electorate_update = self.now;
     }
 
-    fn begin_learning(&mut self, least: u64) {
-        let number = least.max(self.electorate.incarnation(self.settings.me).number + 1);
-        let incarnation = Incarnation { number, nonce: self.dice() | 1 };
-        self.electorate.note(self.settings.me, incarnation);
-        self.role = Role::Learning(Learner { incarnation, next_ask: self.now, lessons: BTreeMap::new() });
+    /// Starts to learn, under a new incarnation with at least this number.
+    fn begin_learning(&mut self, min_number: u64) {
+        let number = min_number.max(self.electorate.incarnation(self.settings.me).number + 1);
+        let incarnation = Incarnation { number, nonce: self.next_random() | 1 };
+        self.electorate.raise_incarnation(self.settings.me, incarnation);
+        self.role =
+            Role::Learning(Learner { incarnation, next_request: self.now, received: BTreeMap::new() });
     }
 
-    /// Asks those that have not told all under the electorate in force.
-    fn ask(&mut self, out: &mut Vec<Action>) {
+    /// Requests records from the voters that have not sent all of them under the current electorate.
+    fn request_records(&mut self, out: &mut Vec<Action>) {
         let Role::Learning(learner) = &mut self.role else { return };
-        if self.now < learner.next_ask {
+        if self.now < learner.next_request {
             return;
         }
-        learner.next_ask = self.now + LEARN_PAUSE;
+        learner.next_request = self.now + LEARN_INTERVAL;
         let (id, incarnation) = (self.electorate.id(), learner.incarnation);
         for node in self.electorate.others(self.settings.me) {
-            let lesson = learner.lessons.get(&node);
-            if !lesson.is_some_and(|lesson| lesson.whole && lesson.electorate.id() == id) {
+            let received = learner.received.get(&node);
+            if !received.is_some_and(|received| received.complete && received.electorate.id() == id) {
                 let electorate = self.electorate.clone();
                 out.push(Action::Send(node, Message::RequestRecords { incarnation, electorate }));
             }
@@ -512,44 +529,45 @@
         self.appended
     }
 
-    /// Sends once that number of the journal is on disk.
-    fn send_after(&mut self, number: u64, to: Node, later: Later, out: &mut Vec<Action>) {
+    /// Sends a message once the journal is on disk up to `number`.
+    fn send_after(&mut self, number: u64, to: Node, deferred: Deferred, out: &mut Vec<Action>) {
         if number <= self.saved {
-            out.push(Action::Send(to, self.now_said(later)));
+            out.push(Action::Send(to, self.message_to_send(deferred)));
         } else {
-            let waiting = self.waiting.entry(number).or_default();
-            // a claim that is repeated while it waits gets one vote
-            waiting.retain(|(node, earlier)| *node != to || !(earlier.is_vote() && later.is_vote()));
-            waiting.push((to, later));
+            let sends = self.deferred_sends.entry(number).or_default();
+            // a claim that is repeated while its vote waits gets one vote
+            sends.retain(|(node, earlier)| *node != to || !(earlier.is_vote() && deferred.is_vote()));
+            sends.push((to, deferred));
         }
     }
 
-    /// A vote goes by the electorate of the moment at which it leaves. A voter that learns by then gives none.
-    fn now_said(&self, later: Later) -> Message {
-        match later {
-            Later::Granted(claim, told) => {
+    /// The message to send now. A vote is cast under the electorate at the time of sending; a voter that has begun to
+    /// learn since then abstains.
+    fn message_to_send(&self, deferred: Deferred) -> Message {
+        match deferred {
+            Deferred::Granted(claim, electorate) => {
                 let verdict = if self.can_vote() { Verdict::Granted } else { Verdict::Abstained };
-                self.vote(claim, told, verdict)
+                self.vote(claim, electorate, verdict)
             }
-            Later::Message(message) => message,
+            Deferred::Message(message) => message,
         }
     }
 
-    /// `told`: the electorate that the gateway knows.
-    fn vote(&self, claim: ClaimId, told: ElectorateId, verdict: Verdict) -> Message {
+    /// Builds a vote. `gateway_electorate`: the electorate id that the gateway sent.
+    fn vote(&self, claim: ClaimId, gateway_electorate: ElectorateId, verdict: Verdict) -> Message {
         let electorate = self.electorate.id();
-        let known = (electorate != told).then(|| self.electorate.clone());
-        Message::Vote { claim, electorate, known, verdict }
+        let full_electorate = (electorate != gateway_electorate).then(|| self.electorate.clone());
+        Message::Vote { claim, electorate, full_electorate, verdict }
     }
 
-    fn hold(&mut self, record: Record) {
-        self.longest_keep = self.longest_keep.max(f64::from(record.keep_s).min(KEEP_MOST));
-        let expires = self.now + f64::from(record.keep_s).clamp(0.0, KEEP_MOST);
+    fn insert_record(&mut self, record: Record) {
+        self.longest_keep = self.longest_keep.max(f64::from(record.keep_s).min(MAX_KEEP));
+        let expires = self.now + f64::from(record.keep_s).clamp(0.0, MAX_KEEP);
         self.expiries.insert((milliseconds(expires), record.key));
-        self.held.insert(record.key, Held { record, expires, number: 0, answer: None });
+        self.held.insert(record.key, HeldKey { record, expires, number: 0, answer: None });
     }
 
-    fn drop_record(&mut self, key: Key) {
+    fn remove_record(&mut self, key: Key) {
         let Some(held) = self.held.remove(&key) else { return };
         self.expiries.remove(&(milliseconds(held.expires), key));
         self.answer_bytes -= held.answer.map_or(0, |answer| answer.len());
@@ -557,20 +575,20 @@
 
     fn expire(&mut self) {
         let now = milliseconds(self.now);
-        while let Some(&(at, key)) = self.expiries.first() {
-            if at >= now {
+        while let Some(&(expires_at, key)) = self.expiries.first() {
+            if expires_at >= now {
                 break;
             }
-            self.drop_record(key);
+            self.remove_record(key);
         }
     }
 
-    fn enter(&mut self, now: f64) {
+    fn advance_clock(&mut self, now: f64) {
         self.now = self.now.max(now);
     }
 
-    /// The next number of a sequence (splitmix64).
-    fn dice(&mut self) -> u64 {
+    /// The next pseudorandom number (splitmix64).
+    fn next_random(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut x = self.random;
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -584,7 +602,7 @@
 }
 
 impl Voter {
-    /// The fingerprint under which a key is held, for tests and figures.
+    /// The claim and fingerprint under which a key is held, for tests and metrics.
     pub fn holder(&self, key: Key) -> Option<(ClaimId, Fingerprint)> {
         self.held.get(&key).map(|held| (held.record.claim, held.record.fingerprint))
     }
--- a/operations/tests/bounds.rs
+++ b/operations/tests/bounds.rs
@@ -54,11 +54,11 @@
 #[test]
 fn the_founders_value_at_index_0_makes_an_electorate() {
     let mut electorate = Electorate::default();
-    assert!(!electorate.follow(0, &[], &[]), "nobody counts by it");
-    assert!(electorate.follow(0, &[1, 2, 3], &[]));
-    assert!(!electorate.follow(0, &[1, 2, 3], &[]), "the same value under a later epoch");
-    assert!(electorate.follow(1, &[1, 2], &[]));
-    assert!(!electorate.follow(0, &[1, 2, 3], &[]), "an older one");
+    assert!(!electorate.adopt_members(0, &[], &[]), "nobody counts by it");
+    assert!(electorate.adopt_members(0, &[1, 2, 3], &[]));
+    assert!(!electorate.adopt_members(0, &[1, 2, 3], &[]), "the same value under a later epoch");
+    assert!(electorate.adopt_members(1, &[1, 2], &[]));
+    assert!(!electorate.adopt_members(0, &[1, 2, 3], &[]), "an older one");
     assert_eq!(electorate.members, [1, 2]);
 }
 
--- a/operations/tests/electorate_changes.rs
+++ b/operations/tests/electorate_changes.rs
@@ -17,7 +17,7 @@
 }
 
 fn vote(claim: ClaimId, under: &Electorate, verdict: Verdict) -> Message {
-    Message::Vote { claim, electorate: under.id(), known: Some(under.clone()), verdict }
+    Message::Vote { claim, electorate: under.id(), full_electorate: Some(under.clone()), verdict }
 }
 
 /// Whom a claim went to.
--- a/operations/tests/members_struck.rs
+++ b/operations/tests/members_struck.rs
@@ -34,14 +34,14 @@
         let appended = voter.appended();
         voter.on_saved(0.0, appended, &mut out);
         for order in out {
-            if let Action::Send(_, Message::Vote { verdict: Verdict::Granted, known, .. }) = order {
+            if let Action::Send(_, Message::Vote { verdict: Verdict::Granted, full_electorate, .. }) = order {
                 granted.push(node);
-                under.extend(known);
+                under.extend(full_electorate);
             }
         }
     }
     let one = under.windows(2).all(|two| two[0] == two[1]);
-    one && under.first().is_some_and(|electorate| electorate.carried(|node| granted.contains(&node)))
+    one && under.first().is_some_and(|electorate| electorate.has_majority(|node| granted.contains(&node)))
 }
 
 /// Seven members, of which the last two are struck as the agreement strikes them.
--- a/operations/tests/model/world.rs
+++ b/operations/tests/model/world.rs
@@ -344,7 +344,7 @@
                 let all = self.steps.last().cloned().unwrap_or_default();
                 let one =
                     lupinledge_operations::Electorate { index: 1, members: all.0, ..Default::default() };
-                Message::Vote { claim, electorate: one.id(), known: Some(one), verdict }
+                Message::Vote { claim, electorate: one.id(), full_electorate: Some(one), verdict }
             }
             (Flaw::SwappedAnswers, Message::ProgressReply { tag, progress: Progress::Answered(answer) }) => {
                 let other = std::mem::replace(&mut self.last_answer, answer.to_vec());
--- a/operations/tests/overload.rs
+++ b/operations/tests/overload.rs
@@ -16,12 +16,12 @@
     let mut out = Vec::new();
     let request = ClaimRequest { key: Key(9, 9), fingerprint: Fingerprint(1), keep_s: 60.0, deadline: 0.5 };
     let claim = claims.begin(0.0, request, &VOTERS, &mut out).expect("room");
-    let known = Electorate { index: 1, members: VOTERS.to_vec(), ..Electorate::default() };
+    let full_electorate = Electorate { index: 1, members: VOTERS.to_vec(), ..Electorate::default() };
     for voter in VOTERS {
         let vote = Message::Vote {
             claim,
-            electorate: known.id(),
-            known: Some(known.clone()),
+            electorate: full_electorate.id(),
+            full_electorate: Some(full_electorate.clone()),
             verdict: Verdict::Granted,
         };
         claims.on_message(0.1, voter, vote, &mut out);
@@ -50,7 +50,7 @@
 fn a_gateway_begins_no_claims_behind_many_that_wait_for_long() {
     let mut claims = informed();
     let mut out = Vec::new();
-    let known = Electorate { index: 1, members: VOTERS.to_vec(), ..Electorate::default() };
+    let full_electorate = Electorate { index: 1, members: VOTERS.to_vec(), ..Electorate::default() };
     let begin = |claims: &mut Claims, now: f64, key: u64| {
         let key = Key(key, 1);
         let request = ClaimRequest { key, fingerprint: Fingerprint(1), keep_s: 60.0, deadline: now + UNTIL };
@@ -61,8 +61,8 @@
         (0..40).map(|key| begin(&mut claims, 1.0, key).expect("grants are quick so far")).collect();
     for claim in slow {
         for voter in VOTERS {
-            let (electorate, known) = (known.id(), Some(known.clone()));
-            let vote = Message::Vote { claim, electorate, known, verdict: Verdict::Granted };
+            let (electorate, full_electorate) = (full_electorate.id(), Some(full_electorate.clone()));
+            let vote = Message::Vote { claim, electorate, full_electorate, verdict: Verdict::Granted };
             claims.on_message(3.0, voter, vote, &mut out);
         }
     }
--- a/operations/tests/voter_head.rs
+++ b/operations/tests/voter_head.rs
@@ -44,8 +44,8 @@
     assert_eq!(asked.iter().map(|asked| asked.0).collect::<Vec<_>>(), [2, 3]);
     let incarnation = asked[0].1;
     let mut electorate = Electorate::default();
-    electorate.follow(1, &MEMBERS, &[]);
-    electorate.note(1, incarnation);
+    electorate.adopt_members(1, &MEMBERS, &[]);
+    electorate.raise_incarnation(1, incarnation);
     for node in [2, 3] {
         let electorate = electorate.clone();
         let lesson =
