--- a/operations/src/claims.rs
+++ b/operations/src/claims.rs
@@ -155,7 +155,7 @@
     pub fn on_message(&mut self, now: f64, from: Node, message: Message, out: &mut Vec<Action>) {
         self.advance_clock(now);
         let Message::Vote { claim, electorate, full_electorate, verdict } = message else { return };
-        full_electorate.into_iter().for_each(|electorate| self.remember_electorate(electorate));
+        full_electorate.into_iter().for_each(|full| self.remember_electorate(full));
         let Some(mut pending) = self.pending.remove(&claim) else { return };
         if let Some(asked) = pending.asked.get(&from) {
             let elapsed = self.now - asked;
--- a/operations/src/electorate.rs
+++ b/operations/src/electorate.rs
@@ -44,7 +44,7 @@
             group.iter().for_each(|&node| add(u64::from(node)));
         }
         for (node, incarnation) in &self.incarnations {
-            if self.contains(*node) {
+            if self.is_voter(*node) {
                 add(u64::from(*node));
                 add(incarnation.number);
                 add(incarnation.nonce);
@@ -60,7 +60,7 @@
     }
 
     /// Whether the node's votes count.
-    pub fn contains(&self, node: Node) -> bool {
+    pub fn is_voter(&self, node: Node) -> bool {
         self.members.contains(&node) || self.outgoing.contains(&node)
     }
 
@@ -124,7 +124,7 @@
         let before = self.others(0);
         self.index = index;
         (self.members, self.outgoing) = (members.to_vec(), outgoing.to_vec());
-        for node in before.into_iter().filter(|&node| !self.contains(node)).collect::<Vec<_>>() {
+        for node in before.into_iter().filter(|&node| !self.is_voter(node)).collect::<Vec<_>>() {
             let ended = Incarnation { number: self.incarnation(node).number + 1, nonce: 0 };
             self.raise_incarnation(node, ended);
         }
--- a/operations/src/member_removals.rs
+++ b/operations/src/member_removals.rs
@@ -22,13 +22,7 @@
     }
 
     /// Records a change of the electorate. `keep_s`: the longest time for which claims are kept, in seconds.
-    pub(crate) fn on_members_changed(
-        &mut self,
-        now: f64,
-        keep_s: f64,
-        before: &Electorate,
-        after: &Electorate,
-    ) {
+    pub(crate) fn on_change(&mut self, now: f64, keep_s: f64, before: &Electorate, after: &Electorate) {
         if before.members == after.members || before.members.is_empty() {
             return;
         }
--- a/operations/src/voter.rs
+++ b/operations/src/voter.rs
@@ -195,7 +195,7 @@
 
     /// Whether this voter takes part in votes.
     pub fn can_vote(&self) -> bool {
-        let member = self.electorate.contains(self.settings.me);
+        let member = self.electorate.is_voter(self.settings.me);
         matches!(self.role, Role::Ready) && member && !self.removals.votes_paused(self.now)
     }
 
@@ -445,7 +445,7 @@
         let has_sent_all = |node: Node| {
             learner.received.get(&node).is_some_and(|from| from.complete && from.electorate.id() == id)
         };
-        if !self.electorate.contains(me) || !self.electorate.covers_every_majority(me, has_sent_all) {
+        if !self.electorate.is_voter(me) || !self.electorate.covers_every_majority(me, has_sent_all) {
             return;
         }
         self.incarnation = learner.incarnation;
@@ -482,7 +482,7 @@
 
     /// Journals the new electorate, and starts learning again if it says that the own incarnation has ended.
     fn electorate_changed(&mut self, before: &Electorate, out: &mut Vec<Action>) {
-        self.removals.on_members_changed(self.now, self.longest_keep, before, &self.electorate);
+        self.removals.on_change(self.now, self.longest_keep, before, &self.electorate);
         self.append(Entry::Electorate(self.electorate.clone()), None, true, out);
         let current = self.electorate.incarnation(self.settings.me);
         let own = match &self.role {
--- a/operations/tests/electorate_changes.rs
+++ b/operations/tests/electorate_changes.rs
@@ -1,4 +1,4 @@
-//! A gateway's claims while the voters come to another electorate one after the other.
+//! A gateway's claims while the voters adopt a new electorate one after the other.
 
 use lupinledge_operations::claims::{Action, ClaimRequest, Claims};
 use lupinledge_operations::{ClaimId, Electorate, Fingerprint, Incarnation, Key, Message, Verdict};
@@ -20,35 +20,35 @@
     Message::Vote { claim, electorate: under.id(), full_electorate: Some(under.clone()), verdict }
 }
 
-/// Whom a claim went to.
+/// Nodes that the claim was sent to.
 fn asked(out: &[Action]) -> Vec<u32> {
-    let claimed = |order: &Action| match order {
+    let claimed = |action: &Action| match action {
         Action::Send(node, Message::Claim { .. }) => Some(*node),
         _ => None,
     };
     out.iter().filter_map(claimed).collect()
 }
 
-/// The claim of a gateway that knows nothing yet, with all of these asked.
-fn begun(voters: &[u32]) -> (Claims, ClaimId) {
+/// Begins a claim on a gateway that has no electorate yet, which asks all of these voters.
+fn begin(voters: &[u32]) -> (Claims, ClaimId) {
     let (mut claims, mut out) = (Claims::new(0.0, 100, 1), Vec::new());
     let claim = claims.begin(0.0, REQUEST, voters, &mut out).unwrap();
     assert_eq!(asked(&out), voters);
     (claims, claim)
 }
 
-/// What the claims say when they want to be called next.
+/// Ticks the claims at their next wake-up and returns its time and the actions.
 fn tick(claims: &mut Claims) -> (f64, Vec<Action>) {
     let (now, mut out) = (claims.next_wake(), Vec::new());
     claims.tick(now, &mut out);
     (now, out)
 }
 
-/// A vote that was given under the electorate before, and comes behind one under the next, is asked for again.
+/// A grant under the previous electorate that arrives after one under the next electorate is requested again.
 #[test]
-fn a_vote_under_the_electorate_before_is_asked_for_again() {
+fn a_vote_under_the_previous_electorate_is_requested_again() {
     let (before, after) = (electorate(1, &[1, 2, 3], &[]), electorate(1, &[1, 2, 3], &[(3, 1)]));
-    let (mut claims, claim) = begun(&[1, 2, 3]);
+    let (mut claims, claim) = begin(&[1, 2, 3]);
     let mut out = Vec::new();
     claims.on_message(0.01, 1, vote(claim, &after, Verdict::Granted), &mut out);
     claims.on_message(0.01, 2, vote(claim, &before, Verdict::Granted), &mut out);
@@ -61,12 +61,12 @@
     assert!(out.contains(&Action::Granted(claim)));
 }
 
-/// Where all that are there granted it under an electorate of which too few are there, they are asked again: they may
-/// have come to another one.
+/// If all reachable voters granted a claim under an electorate of which they are no majority, they are asked again, as
+/// they may have adopted another electorate since.
 #[test]
-fn voters_that_come_to_another_electorate_later_are_heard() {
+fn a_claim_is_granted_by_voters_that_change_their_electorate_later() {
     let (before, after) = (electorate(1, &[1, 8, 9], &[]), electorate(2, &[1], &[(8, 1), (9, 1)]));
-    let (mut claims, claim) = begun(&[1]);
+    let (mut claims, claim) = begin(&[1]);
     let mut out = Vec::new();
     claims.on_message(0.01, 1, vote(claim, &before, Verdict::Granted), &mut out);
     assert!(!out.contains(&Action::Granted(claim)));
--- a/operations/tests/model.rs
+++ b/operations/tests/model.rs
@@ -1,4 +1,4 @@
-//! Random schedules of claims under faults: no key runs twice, and calm brings service back.
+//! Random schedules of claims under faults: no key runs twice, and service recovers once the faults end.
 
 #[path = "model/world.rs"]
 mod world;
@@ -6,23 +6,23 @@
 use world::{Flaw, Plan, Violation, World};
 
 const FIVE: Plan =
-    Plan { voters: 5, gateways: 4, tolerate: 2, seconds: 25.0, replacements: false, flaw: Flaw::None };
-const THREE: Plan = Plan { voters: 3, tolerate: 1, ..FIVE };
+    Plan { voters: 5, gateways: 4, max_lost: 2, fault_seconds: 25.0, replacements: false, flaw: Flaw::None };
+const THREE: Plan = Plan { voters: 3, max_lost: 1, ..FIVE };
 const REPLACED: Plan = Plan { replacements: true, ..FIVE };
 const THREE_REPLACED: Plan = Plan { replacements: true, ..THREE };
-/// Schedules that each test plays; `SCHEDULES` in the environment sets another number.
+/// Number of schedules that each test runs; the environment variable `SCHEDULES` overrides it.
 const SCHEDULES: u64 = 150;
 
 fn schedules() -> u64 {
     std::env::var("SCHEDULES").ok().and_then(|number| number.parse().ok()).unwrap_or(SCHEDULES)
 }
 
-/// The first schedule that broke something, and what; with the claims granted and the answers repeated in all.
-fn first_broken(plan: Plan) -> (Option<(u64, Violation)>, u64, u64) {
+/// The first schedule with a violation, and the total numbers of granted claims and repeated answers.
+fn first_violation(plan: Plan) -> (Option<(u64, Violation)>, u64, u64) {
     let (mut granted, mut repeated) = (0, 0);
     for seed in 0..schedules() {
         let mut world = World::new(seed, plan);
-        world.play();
+        world.run();
         granted += world.granted;
         repeated += world.repeated;
         if let Some(violation) = world.violations.first().cloned() {
@@ -35,27 +35,27 @@
     (None, granted, repeated)
 }
 
-fn holds(plan: Plan) {
-    let (broken, granted, repeated) = first_broken(plan);
-    assert_eq!(broken, None, "{plan:?}");
+fn check_plan(plan: Plan) {
+    let (violation, granted, repeated) = first_violation(plan);
+    assert_eq!(violation, None, "{plan:?}");
     assert!(repeated > 10 * schedules(), "only {repeated} answers were repeated");
     assert!(granted > 50 * schedules(), "only {granted} claims were granted");
 }
 
 #[test]
 fn no_key_runs_twice_among_five_voters() {
-    holds(FIVE);
+    check_plan(FIVE);
 }
 
 #[test]
 fn no_key_runs_twice_among_three_voters() {
-    holds(THREE);
+    check_plan(THREE);
 }
 
 #[test]
 fn no_key_runs_twice_while_members_are_replaced() {
-    holds(REPLACED);
-    holds(THREE_REPLACED);
+    check_plan(REPLACED);
+    check_plan(THREE_REPLACED);
 }
 
 #[test]
@@ -63,20 +63,21 @@
     let flaws = [
         Flaw::UnsyncedVotes,
         Flaw::NoLearning,
-        Flaw::EmptyLessons,
+        Flaw::EmptyTransfers,
         Flaw::MixedElectorates,
         Flaw::ReleasedAfterRun,
         Flaw::ShortKeep,
     ];
     for flaw in flaws {
         let plans = [Plan { flaw, ..FIVE }, Plan { flaw, ..THREE }, Plan { flaw, ..REPLACED }];
-        let twice = |plan: &Plan| matches!(first_broken(*plan).0, Some((_, Violation::Twice { .. })));
-        assert!(plans.iter().any(twice), "{flaw:?} went unseen");
+        let ran_twice =
+            |plan: &Plan| matches!(first_violation(*plan).0, Some((_, Violation::RanTwice { .. })));
+        assert!(plans.iter().any(ran_twice), "{flaw:?} was not detected");
     }
 }
 
 #[test]
 fn an_answer_of_another_operation_is_caught() {
-    let (broken, ..) = first_broken(Plan { flaw: Flaw::SwappedAnswers, ..FIVE });
-    assert!(matches!(broken, Some((_, Violation::Mixed { .. }))), "{broken:?}");
+    let (violation, ..) = first_violation(Plan { flaw: Flaw::SwappedAnswers, ..FIVE });
+    assert!(matches!(violation, Some((_, Violation::WrongAnswer { .. }))), "{violation:?}");
 }
--- a/operations/tests/lessons.rs
+++ b/operations/tests/record_transfer.rs
@@ -1,4 +1,4 @@
-//! A learner takes what one voter tells it as a whole, or not at all.
+//! A learner accepts another voter's records only as a complete transfer.
 
 use lupinledge_operations::voter::{Action, Settings, Voter};
 use lupinledge_operations::{ClaimId, ElectorateId, Fingerprint, Key, Message, Node};
@@ -6,9 +6,9 @@
 const LEARNER: Node = 1;
 const TEACHER: Node = 2;
 const GATEWAY: Node = 9;
-/// More than are told in one part.
+/// More keys than fit into one part of a transfer.
 const KEYS: u64 = 4000;
-/// The first of these keys expire between two tellings.
+/// Number of keys, counted from the first, that expire between two transfers.
 const SHORT_LIVED: u64 = 10;
 
 fn voter(me: Node, founder: bool) -> Voter {
@@ -20,6 +20,7 @@
     voter
 }
 
+/// Reports all journal entries as saved and returns the resulting actions.
 fn save(voter: &mut Voter, now: f64) -> Vec<Action> {
     let mut out = Vec::new();
     let appended = voter.appended();
@@ -27,7 +28,7 @@
     out
 }
 
-/// A voter that granted all keys.
+/// A voter that has granted all keys.
 fn teacher() -> Voter {
     let mut teacher = voter(TEACHER, true);
     for key in 0..KEYS {
@@ -41,41 +42,41 @@
     teacher
 }
 
-/// What the learner is told when it asks at this time.
-fn told(learner: &mut Voter, teacher: &mut Voter, now: f64) -> Vec<Message> {
-    let (mut asked, mut out) = (Vec::new(), Vec::new());
-    learner.tick(now, &mut asked);
-    for order in asked {
-        if let Action::Send(TEACHER, message @ Message::RequestRecords { .. }) = order {
+/// The parts that the teacher sends when the learner asks at this time.
+fn request_transfer(learner: &mut Voter, teacher: &mut Voter, now: f64) -> Vec<Message> {
+    let (mut requests, mut out) = (Vec::new(), Vec::new());
+    learner.tick(now, &mut requests);
+    for action in requests {
+        if let Action::Send(TEACHER, message @ Message::RequestRecords { .. }) = action {
             teacher.on_message(now, LEARNER, message, &mut out);
         }
     }
     out.extend(save(teacher, now));
-    let lesson = |order| match order {
+    let records_message = |action| match action {
         Action::Send(LEARNER, message @ Message::Records { .. }) => Some(message),
         _ => None,
     };
-    out.into_iter().filter_map(lesson).collect()
+    out.into_iter().filter_map(records_message).collect()
 }
 
 #[test]
-fn parts_of_two_tellings_are_not_taken_for_one() {
+fn parts_of_two_transfers_are_not_combined() {
     let (mut learner, mut teacher) = (voter(LEARNER, false), teacher());
-    let first = told(&mut learner, &mut teacher, 0.6);
-    // the connection is reset behind the first part; keys expire; the first part of the next telling is lost
+    let first = request_transfer(&mut learner, &mut teacher, 0.6);
+    // the connection is reset after the first part, keys expire, and the first part of the next transfer is lost
     learner.on_message(0.6, TEACHER, first[0].clone(), &mut Vec::new());
-    let second = told(&mut learner, &mut teacher, 2.0);
+    let second = request_transfer(&mut learner, &mut teacher, 2.0);
     assert_eq!((first.len(), second.len()), (2, 2));
     learner.on_message(2.0, TEACHER, second[1].clone(), &mut Vec::new());
     save(&mut learner, 2.0);
     let missing = (SHORT_LIVED..KEYS).filter(|key| learner.holder(Key(*key, 0)).is_none()).count();
-    assert!(!learner.can_vote() || missing == 0, "it votes without {missing} keys that its teacher granted");
+    assert!(!learner.can_vote() || missing == 0, "it votes without {missing} keys that the teacher granted");
 }
 
 #[test]
-fn a_whole_telling_is_taken() {
+fn a_complete_transfer_is_accepted() {
     let (mut learner, mut teacher) = (voter(LEARNER, false), teacher());
-    for part in told(&mut learner, &mut teacher, 2.0) {
+    for part in request_transfer(&mut learner, &mut teacher, 2.0) {
         learner.on_message(2.0, TEACHER, part, &mut Vec::new());
     }
     save(&mut learner, 2.0);
