--- a/storage/src/disk.rs
+++ b/storage/src/disk.rs
@@ -1,81 +1,82 @@
-//! One state on a folder, replaced as a whole: snapshots, and a log between them.
+//! One state in a folder, replaced as a whole: snapshots, with a log of later states after each.
 //!
-//! A snapshot is written whole under another name, synced, renamed, and the folder synced; only then the log behind
-//! it may go, and it goes (with a sync of the folder) before a new one is begun. So at any moment what was saved
-//! last is in the snapshot or in a log that is newer.
+//! A snapshot is written completely under a temporary name, synced and renamed, and then the folder is synced. Only then
+//! may the previous log be removed, and it is removed (with a sync of the folder) before a new one is begun. So the state
+//! that was saved last is always in the snapshot or in a newer log.
 
-use crate::log::{self, Log, ENTRY_MOST};
+use crate::log::{self, Log, MAX_ENTRY_STATE};
 use crate::snapshot::{self, Snapshot};
 use crate::Folder;
 use eyre::{ensure, eyre, WrapErr};
 use std::fs;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// So many bytes of the log at most are kept before it is begun anew.
+/// Size of the log in bytes at which it is replaced by a snapshot and a new log.
 pub const MAX_LOG_BYTES: u64 = 1 << 20;
-/// No state is larger, bytes.
+/// Maximum size of a state, in bytes.
 pub const MAX_STATE_BYTES: usize = 48 << 20;
 const SNAPSHOT: &str = "snapshot";
-const FRESH: &str = "snapshot.new";
-const ASIDE: &str = "snapshot.spoilt";
+const NEW_SNAPSHOT: &str = "snapshot.new";
+const CORRUPT_SNAPSHOT: &str = "snapshot.spoilt";
 
-/// What a disk turned out to hold.
+/// The content of a disk when it was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Stored {
-    /// It was never saved to.
+    /// No state was ever saved.
     Empty,
-    /// The newest state that is whole: the last one whose save ended well, or one that was begun after it.
+    /// The newest intact state: the last one that was saved successfully, or one whose save began after it.
     State(Vec<u8>),
-    /// It was saved to, and what it held can't be told. No empty disk: who takes it for one might found a new core,
-    /// or vote again on what it has forgotten.
+    /// A state was saved but can't be read. This must not be treated as an empty disk: the member might found a new
+    /// core, or vote a second time on something that it no longer remembers.
     Corrupt,
 }
 
-/// See the module. Blocks.
+/// The state in a folder. All operations block.
 pub struct Disk<F> {
     folder: F,
-    log_most: u64,
+    max_log_bytes: u64,
     serial: u64,
-    /// Whether the snapshot is of this process: only behind such a one a log is begun.
-    based: bool,
+    /// Whether the snapshot was written by this process; a log is begun only after such a snapshot.
+    has_own_snapshot: bool,
     log: Option<Log>,
-    spoilt: bool,
+    corrupt: bool,
 }
 
 impl<F: Folder> Disk<F> {
-    /// Reads what is there. `log_most`: see [`MAX_LOG_BYTES`]. Errors are of the machine's disk, which may be asked again.
-    pub fn open(folder: F, log_most: u64) -> eyre::Result<(Disk<F>, Stored)> {
+    /// Reads the folder. `max_log_bytes`: see [`MAX_LOG_BYTES`]. An error means that the disk could not be read; the call
+    /// may be repeated.
+    pub fn open(folder: F, max_log_bytes: u64) -> eyre::Result<(Disk<F>, Stored)> {
         let snapshot = snapshot::read(&folder.path().join(SNAPSHOT))?;
-        let (serial, found) = match snapshot {
-            Snapshot::Whole(snapshot) => {
+        let (serial, stored) = match snapshot {
+            Snapshot::Intact(snapshot) => {
                 let logged = log::read(&folder)?.filter(|logged| logged.0 > snapshot.0);
                 let (serial, state) = logged.unwrap_or(snapshot);
                 (serial, Stored::State(state))
             }
             Snapshot::None if log::segments(folder.path())?.is_empty() => (0, Stored::Empty),
-            // no log is begun but behind a snapshot
+            // a log is begun only after a snapshot, so a log alone is corrupt
             Snapshot::None | Snapshot::Corrupt => (0, Stored::Corrupt),
         };
-        let spoilt = found == Stored::Corrupt;
-        Ok((Disk { folder, log_most, serial, based: false, log: None, spoilt }, found))
+        let corrupt = stored == Stored::Corrupt;
+        Ok((Disk { folder, max_log_bytes, serial, has_own_snapshot: false, log: None, corrupt }, stored))
     }
 
-    /// Saves a state. After an error nothing is known of it but that the one before still stands.
+    /// Saves a state. After an error it is unknown whether the state was saved, but the previous one is still intact.
     pub fn write(&mut self, state: &[u8]) -> eyre::Result<()> {
-        let written = catch_unwind(AssertUnwindSafe(|| self.put(state)));
-        let written = written.unwrap_or_else(|_| Err(eyre!("the log panicked")));
-        if written.is_err() {
-            (self.log, self.based) = (None, false);
+        let result = catch_unwind(AssertUnwindSafe(|| self.save(state)));
+        let result = result.unwrap_or_else(|_| Err(eyre!("the log panicked")));
+        if result.is_err() {
+            (self.log, self.has_own_snapshot) = (None, false);
         }
-        written
+        result
     }
 
-    fn put(&mut self, state: &[u8]) -> eyre::Result<()> {
-        ensure!(state.len() <= MAX_STATE_BYTES, "a state of {} bytes", state.len());
+    fn save(&mut self, state: &[u8]) -> eyre::Result<()> {
+        ensure!(state.len() <= MAX_STATE_BYTES, "the state is too large: {} bytes", state.len());
         self.serial += 1;
-        let full = self.log.as_ref().is_some_and(|log| log.written >= self.log_most);
-        if state.len() > ENTRY_MOST || full || !self.based {
-            return self.renew(state);
+        let log_is_full = self.log.as_ref().is_some_and(|log| log.bytes_written >= self.max_log_bytes);
+        if state.len() > MAX_ENTRY_STATE || log_is_full || !self.has_own_snapshot {
+            return self.write_snapshot(state);
         }
         if self.log.is_none() {
             match Log::begin(&self.folder) {
@@ -85,30 +86,30 @@
         }
         match &mut self.log {
             Some(log) => log.append(&self.folder, self.serial, state),
-            None => self.renew(state),
+            None => self.write_snapshot(state),
         }
     }
 
-    /// The state as a snapshot.
-    fn renew(&mut self, state: &[u8]) -> eyre::Result<()> {
+    /// Writes the state as a snapshot.
+    fn write_snapshot(&mut self, state: &[u8]) -> eyre::Result<()> {
         self.log = None;
-        if self.spoilt {
-            self.clear_spoilt().wrap_err("spoilt disk")?;
+        if self.corrupt {
+            self.clear_corrupt().wrap_err("clear the corrupt disk")?;
         }
-        if let Err(e) = self.fresh(state) {
-            // of a full disk it would take what room there is
-            let _ = self.folder.remove(FRESH);
+        if let Err(e) = self.create_snapshot(state) {
+            // on a full disk the partial file would take up the remaining space
+            let _ = self.folder.remove(NEW_SNAPSHOT);
             return Err(e);
         }
-        self.folder.rename(FRESH, SNAPSHOT).wrap_err("snapshot: rename")?;
-        self.folder.sync_folder().wrap_err("snapshot: sync of the folder")?;
-        (self.based, self.spoilt) = (true, false);
+        self.folder.rename(NEW_SNAPSHOT, SNAPSHOT).wrap_err("rename the snapshot")?;
+        self.folder.sync_folder().wrap_err("sync the folder of the snapshot")?;
+        (self.has_own_snapshot, self.corrupt) = (true, false);
         Ok(())
     }
 
-    /// Its serials are not known: nothing of the log may be taken for newer than what comes. It stays spoilt as long
-    /// as there is no state.
-    fn clear_spoilt(&mut self) -> eyre::Result<()> {
+    /// Removes the log of a corrupt disk. Its serial numbers are unknown, so no entry of the log may count as newer than
+    /// the next state. The disk stays corrupt until a state is saved, so a missing snapshot is replaced by an empty one.
+    fn clear_corrupt(&mut self) -> eyre::Result<()> {
         let path = self.folder.path();
         if !fs::exists(path.join(SNAPSHOT))? {
             let file = self.folder.create(SNAPSHOT, [b"", b""])?;
@@ -116,14 +117,15 @@
             self.folder.sync_folder()?;
         }
         log::clear(&self.folder)?;
-        // for whoever looks into it later; it may be there from a try before
-        let _ = fs::hard_link(path.join(SNAPSHOT), path.join(ASIDE));
+        // keeps the corrupt snapshot for analysis; the file may exist from an earlier attempt
+        let _ = fs::hard_link(path.join(SNAPSHOT), path.join(CORRUPT_SNAPSHOT));
         Ok(())
     }
 
-    fn fresh(&mut self, state: &[u8]) -> eyre::Result<()> {
-        let head = snapshot::head(self.serial, state);
-        let file = self.folder.create(FRESH, [&head, state]).wrap_err("snapshot")?;
-        self.folder.sync(&file, FRESH).wrap_err("snapshot: sync")
+    /// Writes and syncs a snapshot under its temporary name.
+    fn create_snapshot(&mut self, state: &[u8]) -> eyre::Result<()> {
+        let header = snapshot::header(self.serial, state);
+        let file = self.folder.create(NEW_SNAPSHOT, [&header, state]).wrap_err("write the snapshot")?;
+        self.folder.sync(&file, NEW_SNAPSHOT).wrap_err("sync the snapshot")
     }
 }
--- a/storage/src/folder.rs
+++ b/storage/src/folder.rs
@@ -1,52 +1,52 @@
-//! The operations on the folder, one by one, so that a test can cut the power between any two.
+//! The file operations on a folder as single steps, so that a test can simulate a loss of power between any two.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// What the log does to the folder by itself.
+/// A step in which the log accesses the folder itself, and not through [`Folder`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogStep {
-    /// What is there is read; a torn end is padded.
+    /// Reads the log and pads a torn end.
     Read,
-    /// A segment is made; nothing is synced.
+    /// Creates a segment; syncs nothing.
     Begin,
-    /// An entry is written and its segment synced; with the first one of a segment, the folder after it.
+    /// Writes an entry and syncs its segment; after the first entry of a segment, also syncs the folder.
     Append,
 }
 
-/// A folder. What isn't synced yet may be lost with the power: each file that was made, renamed or removed without
-/// a sync of the folder by itself, and each byte that was written without a sync of its file.
+/// A folder of files. Changes that were not synced may be lost with the power, each independently of the others: the
+/// creation, renaming or removal of a file until the folder is synced, and each written byte until its file is synced.
 pub trait Folder {
-    /// Where it is.
+    /// The path of the folder.
     fn path(&self) -> &Path;
-    /// Makes a file, or cuts it to nothing, and writes this to it.
+    /// Creates a file, or truncates an existing one, and writes these parts to it.
     fn create(&self, name: &str, parts: [&[u8]; 2]) -> io::Result<File>;
-    /// Writes at the end of what was written to an open file.
+    /// Appends to an open file.
     fn append(&self, mut file: &File, _name: &str, bytes: &[u8]) -> io::Result<()> {
         file.write_all(bytes)
     }
-    /// Cuts a file to this length.
+    /// Truncates a file to this length.
     fn truncate(&self, file: &File, _name: &str, length: u64) -> io::Result<()> {
         file.set_len(length)
     }
-    /// Syncs a file.
+    /// Syncs the content and the metadata of a file.
     fn sync(&self, file: &File, name: &str) -> io::Result<()>;
-    /// Syncs the content and the length of a file.
+    /// Syncs the content and the length of a file, but not its other metadata.
     fn sync_data(&self, file: &File, name: &str) -> io::Result<()> {
         self.sync(file, name)
     }
-    /// Renames a file, in place of one that has the name.
+    /// Renames a file, replacing an existing file with the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Syncs the folder.
     fn sync_folder(&self) -> io::Result<()>;
-    /// Runs a step of the log.
+    /// Runs a step of the log that accesses the folder itself.
     fn log<T>(&self, step: LogStep, run: impl FnOnce() -> T) -> T;
 }
 
-/// A folder of the machine.
+/// A real folder on the disk of the machine.
 #[derive(Clone, Debug)]
 pub struct DataDir(pub PathBuf);
 
--- a/storage/src/journal/batch.rs
+++ b/storage/src/journal/batch.rs
@@ -1,22 +1,23 @@
-//! What is handed to the disk: entries that are synced together, and the head.
+//! The data written to the disk: batches of entries that are synced together, and the head.
 
 use super::format;
 
-/// Entries that are synced together, as bytes.
+/// Encoded entries that are written and synced together.
 #[derive(Debug, Default)]
 pub struct Batch {
     pub(super) bytes: Vec<u8>,
-    /// Number of the first entry, and how many there are.
+    /// Number of the first entry.
     pub(super) first: u64,
+    /// Number of entries.
     pub(super) count: u64,
-    /// When the last one expires, seconds.
+    /// Time at which the last entry expires, in seconds.
     pub(super) expires: f64,
-    /// The head that replaces them all must cover this number.
+    /// The number that a head must cover to replace all entries without an expiry; `None`: there is no such entry.
     pub(super) needs_head: Option<u64>,
 }
 
 impl Batch {
-    /// Adds an entry; its number follows that of the entry before.
+    /// Adds an entry, whose number must follow that of the previous entry.
     pub fn push(&mut self, now: f64, number: u64, entry: &[u8], keep_s: Option<f64>) {
         if self.count == 0 {
             self.first = number;
@@ -29,7 +30,7 @@
         format::push_entry(&mut self.bytes, number, entry, keep_s);
     }
 
-    /// Whether there are no entries.
+    /// Whether the batch has no entries.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
@@ -43,14 +44,14 @@
 /// The entries that each segment begins with.
 #[derive(Debug, Default)]
 pub struct Head {
-    /// The last entry that was taken before the head was set; none: no head was set.
+    /// Number of the last entry that was accepted before the head was set; `None`: no head was set.
     pub(super) number: Option<u64>,
     pub(super) count: u32,
     pub(super) bytes: Vec<u8>,
 }
 
 impl Head {
-    /// A head that is set behind the entry of this number.
+    /// Encodes a head that is set after the entry with this number.
     pub fn new(number: u64, entries: &[Vec<u8>]) -> Head {
         let mut bytes = Vec::new();
         (0..).zip(entries).for_each(|(index, entry)| format::push_head(&mut bytes, index, entry));
--- a/storage/src/journal/queue.rs
+++ b/storage/src/journal/queue.rs
@@ -1,18 +1,19 @@
-//! What waits for the thread that writes.
+//! The queue of entries that wait for the writing thread.
 
 use super::batch::{Batch, Head};
-use super::format::{FRAME, HEADER};
+use super::format::{FRAME_HEADER_BYTES, HEADER_BYTES};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The most bytes that are in memory, waiting or being written.
-const WAITING_MOST: usize = 8 << 20;
-/// Entries that aren't urgent wait no longer for others.
-const GATHER: Duration = Duration::from_millis(250);
-/// Segments that may begin before their bytes are counted: with what is written, with what waits, and for maintenance.
-const BEGUN_MOST: u64 = 3;
+/// Bound on the bytes in memory that are waiting or being written.
+const MAX_MEMORY_BYTES: usize = 8 << 20;
+/// Longest time for which an entry that is not urgent waits for others.
+const BATCH_DELAY: Duration = Duration::from_millis(250);
+/// Number of segments that may begin before their bytes are counted: one with the batch being written, one with the
+/// waiting batch, and one during maintenance.
+const MAX_UNCOUNTED_SEGMENTS: u64 = 3;
 
-/// See the module.
+/// Entries that wait to be written, and the newest head; shared by the callers and the writing thread.
 pub(super) struct Queue {
     started: Instant,
     max_bytes: u64,
@@ -22,27 +23,29 @@
 
 struct State {
     waiting: Batch,
-    /// When the first one of those that wait came.
-    since: Instant,
+    /// When the first of the waiting entries was appended.
+    waiting_since: Instant,
     urgent: bool,
     /// The newest head.
     head: Arc<Head>,
-    /// Number of the last entry that was taken.
-    taken: u64,
-    /// Bytes of the batch that is being written.
-    in_work: usize,
-    /// None: not known yet.
+    /// Number of the last entry that was accepted.
+    last_accepted: u64,
+    /// Size of the batch that is being written.
+    writing_bytes: usize,
+    /// Bytes of all segments; `None`: not read yet.
     on_disk: Option<u64>,
     closed: bool,
 }
 
-/// What the thread that writes does next.
+/// The next task of the writing thread.
 pub(super) enum Work {
-    /// A batch, and the head that was set by then: it may cover the batch, and is for segments behind it.
+    /// Write a batch. The head may cover entries of the batch, so it may be used only in segments after it.
     Write(Batch, Arc<Head>),
-    /// Nothing waits: the newest head.
+    /// Do maintenance with the newest head, as no entries wait.
     MaintainWith(Arc<Head>),
+    /// Do maintenance with the head that is already in use.
     Maintain,
+    /// End the thread.
     End,
 }
 
@@ -51,18 +54,18 @@
         let started = Instant::now();
         let state = State {
             waiting: Batch::default(),
-            since: started,
+            waiting_since: started,
             urgent: false,
             head: Arc::default(),
-            taken: 0,
-            in_work: 0,
+            last_accepted: 0,
+            writing_bytes: 0,
             on_disk: None,
             closed: false,
         };
         Queue { started, max_bytes, state: Mutex::new(state), wake: Condvar::new() }
     }
 
-    /// Seconds since it was made.
+    /// Seconds since the queue was created.
     pub(super) fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
@@ -70,14 +73,16 @@
     pub(super) fn append(&self, number: u64, entry: &[u8], keep_s: Option<f64>, urgent: bool) -> bool {
         let now = self.now();
         let mut state = self.lock();
-        if number != state.taken + 1 || !state.has_room(FRAME + entry.len(), self.max_bytes) {
+        if number != state.last_accepted + 1
+            || !state.has_room(FRAME_HEADER_BYTES + entry.len(), self.max_bytes)
+        {
             return false;
         }
         if state.waiting.is_empty() {
-            state.since = Instant::now();
+            state.waiting_since = Instant::now();
         }
         state.waiting.push(now, number, entry, keep_s);
-        state.taken = number;
+        state.last_accepted = number;
         state.urgent |= urgent;
         drop(state);
         self.wake.notify_one();
@@ -86,7 +91,7 @@
 
     pub(super) fn set_head(&self, entries: &[Vec<u8>]) {
         let mut state = self.lock();
-        state.head = Arc::new(Head::new(state.taken, entries));
+        state.head = Arc::new(Head::new(state.last_accepted, entries));
     }
 
     pub(super) fn bytes_on_disk(&self) -> u64 {
@@ -98,17 +103,17 @@
         self.wake.notify_one();
     }
 
-    /// Tells what is on disk; `written`: the batch in work is.
-    pub(super) fn note(&self, on_disk: u64, written: bool) {
+    /// Sets the bytes on disk. `written`: whether the current batch has been written.
+    pub(super) fn set_bytes_on_disk(&self, on_disk: u64, written: bool) {
         let mut state = self.lock();
         state.on_disk = Some(on_disk);
         if written {
-            state.in_work = 0;
+            state.writing_bytes = 0;
         }
     }
 
-    /// Waits for what is to be done next, until the time for maintenance.
-    pub(super) fn next(&self, maintenance: Instant) -> Work {
+    /// Waits for the next task. `maintenance`: the time of the next maintenance.
+    pub(super) fn next_work(&self, maintenance: Instant) -> Work {
         let mut state = self.lock();
         loop {
             let now = Instant::now();
@@ -117,7 +122,7 @@
             }
             let due = state.due();
             if due.is_some_and(|due| due <= now) {
-                return state.take();
+                return state.take_batch();
             }
             if state.closed {
                 return Work::End;
@@ -127,7 +132,7 @@
         }
     }
 
-    /// Waits for so long, or until it is closed; returns whether it is.
+    /// Waits for this time, or until the queue is closed; returns whether it is closed.
     pub(super) fn pause(&self, pause: Duration) -> bool {
         let until = Instant::now() + pause;
         let mut state = self.lock();
@@ -145,8 +150,8 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn wait<'a>(&self, state: MutexGuard<'a, State>, most: Duration) -> MutexGuard<'a, State> {
-        let waited = self.wake.wait_timeout(state, most);
+    fn wait<'a>(&self, state: MutexGuard<'a, State>, timeout: Duration) -> MutexGuard<'a, State> {
+        let waited = self.wake.wait_timeout(state, timeout);
         waited.unwrap_or_else(|e| e.into_inner()).0
     }
 }
@@ -154,21 +159,25 @@
 impl State {
     fn has_room(&self, bytes: usize, max_bytes: u64) -> bool {
         let Some(on_disk) = self.on_disk else { return false };
-        let memory = self.in_work + self.waiting.bytes.len() + bytes;
-        let begun = BEGUN_MOST * (HEADER + self.head.bytes.len()) as u64;
-        memory <= WAITING_MOST && on_disk + memory as u64 + begun <= max_bytes
+        let memory = self.writing_bytes + self.waiting.bytes.len() + bytes;
+        let uncounted = MAX_UNCOUNTED_SEGMENTS * (HEADER_BYTES + self.head.bytes.len()) as u64;
+        memory <= MAX_MEMORY_BYTES && on_disk + memory as u64 + uncounted <= max_bytes
     }
 
-    /// When what waits is to be written.
+    /// The time at which the waiting entries are to be written.
     fn due(&self) -> Option<Instant> {
-        let at_once = self.urgent || self.closed;
-        (!self.waiting.is_empty()).then_some(if at_once { self.since } else { self.since + GATHER })
+        let immediate = self.urgent || self.closed;
+        (!self.waiting.is_empty()).then_some(if immediate {
+            self.waiting_since
+        } else {
+            self.waiting_since + BATCH_DELAY
+        })
     }
 
-    fn take(&mut self) -> Work {
+    fn take_batch(&mut self) -> Work {
         let batch = std::mem::take(&mut self.waiting);
         self.urgent = false;
-        self.in_work = batch.bytes.len();
+        self.writing_bytes = batch.bytes.len();
         Work::Write(batch, self.head.clone())
     }
 
--- a/storage/src/journal/writer.rs
+++ b/storage/src/journal/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes.
+//! The thread that writes the journal.
 
 use super::batch::{Batch, Head};
 use super::queue::{Queue, Work};
@@ -10,35 +10,35 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
-/// Pause before a disk that failed is tried again.
+/// Pause before an operation that failed is retried.
 const RETRY: Duration = Duration::from_millis(200);
-/// Old segments are looked after so often.
+/// Interval between two checks for old segments.
 const MAINTENANCE: Duration = Duration::from_millis(500);
 
-/// Runs until the queue is closed.
+/// Reads the journal and then writes entries until the queue is closed.
 pub(super) fn run(
     folder: impl Folder + Clone,
     bounds: JournalBounds,
     queue: &Queue,
-    found: oneshot::Sender<Replayed>,
-    saved: UnboundedSender<u64>,
+    send_replayed: oneshot::Sender<Replayed>,
+    send_saved: UnboundedSender<u64>,
 ) {
     let Some((segments, replayed)) = open(folder, bounds, queue) else { return };
     if replayed.damaged {
         tracing::error!(event = "journal_damaged");
     }
     let mut writer = Writer { segments, queue, head: Arc::default(), failing: false };
-    queue.note(writer.segments.bytes(), false);
-    let _ = found.send(replayed);
+    queue.set_bytes_on_disk(writer.segments.bytes(), false);
+    let _ = send_replayed.send(replayed);
     let mut maintenance = Instant::now();
     loop {
-        match queue.next(maintenance) {
+        match queue.next_work(maintenance) {
             Work::Write(batch, head) => {
                 if !writer.write(&batch) {
                     return;
                 }
                 writer.head = head;
-                let _ = saved.send(batch.last());
+                let _ = send_saved.send(batch.last());
                 continue;
             }
             Work::MaintainWith(head) => writer.head = head,
@@ -50,17 +50,17 @@
     }
 }
 
-/// Reads the disk until it can be read. None: the queue was closed before.
+/// Reads the journal, and retries until it can be read. Returns `None` if the queue was closed before.
 fn open<F: Folder + Clone>(
     folder: F,
     bounds: JournalBounds,
     queue: &Queue,
 ) -> Option<(Segments<F>, Replayed)> {
-    let mut told = false;
+    let mut logged = false;
     loop {
         match Segments::open(folder.clone(), bounds, queue.now()) {
             Ok(opened) => return Some(opened),
-            Err(e) if !std::mem::replace(&mut told, true) => {
+            Err(e) if !std::mem::replace(&mut logged, true) => {
                 tracing::error!(event = "journal_unread", fault = %e)
             }
             Err(_) => {}
@@ -71,46 +71,47 @@
     }
 }
 
+/// The state of the writing thread.
 struct Writer<'a, F> {
     segments: Segments<F>,
     queue: &'a Queue,
-    /// The newest head that no entry is missing before.
+    /// The newest head that covers only entries that are on disk.
     head: Arc<Head>,
-    /// The last attempt failed, and that is logged.
+    /// Whether the last attempt failed, which is then already logged.
     failing: bool,
 }
 
 impl<F: Folder> Writer<'_, F> {
-    /// Tries until the batch is on disk. False: the queue was closed before.
+    /// Retries until the batch is on disk. Returns false if the queue was closed before.
     fn write(&mut self, batch: &Batch) -> bool {
         loop {
-            let written = self.segments.write(self.queue.now(), batch, &self.head);
-            self.queue.note(self.segments.bytes(), written.is_ok());
-            if self.went_well(written) {
+            let result = self.segments.write(self.queue.now(), batch, &self.head);
+            self.queue.set_bytes_on_disk(self.segments.bytes(), result.is_ok());
+            if self.report_result(result) {
                 return true;
             }
             if self.queue.pause(RETRY) {
                 return false;
             }
-            // a full disk gets room
+            // frees space on a full disk
             let _ = self.segments.delete_expired(self.queue.now());
         }
     }
 
     fn maintain(&mut self) {
-        let maintained = self.segments.maintain(self.queue.now(), &self.head);
-        self.queue.note(self.segments.bytes(), false);
-        self.went_well(maintained);
+        let result = self.segments.maintain(self.queue.now(), &self.head);
+        self.queue.set_bytes_on_disk(self.segments.bytes(), false);
+        self.report_result(result);
     }
 
-    /// Logs the first failure of a row.
-    fn went_well(&mut self, done: std::io::Result<()>) -> bool {
-        if let Err(e) = &done {
+    /// Logs the first of several failures in a row; returns whether the operation succeeded.
+    fn report_result(&mut self, result: std::io::Result<()>) -> bool {
+        if let Err(e) = &result {
             if !self.failing {
                 tracing::warn!(event = "journal_not_written", fault = %e);
             }
         }
-        self.failing = done.is_err();
+        self.failing = result.is_err();
         !self.failing
     }
 }
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -1,13 +1,14 @@
-//! The disk of a member of the core: what it must never forget, as one state that is replaced as a whole.
+//! Durable storage of a member of the core: one state that is replaced as a whole, and a journal of entries.
 //!
-//! Each save has a serial number, and the newest whole one counts. Small states go to a log ([`Disk`]); a state
-//! past the log's buffer, the first one of a process, and one that finds the log full become a snapshot. A disk
-//! whose snapshot was spoilt is told apart from an empty one ([`Stored::Corrupt`]): its member has lost its memory
-//! and must learn as after the loss of its disk, but it may not found anything.
+//! Each save of the state has a serial number, and the newest intact one counts. Small states are appended to a log
+//! ([`Disk`]); a state larger than the log's buffer, the first state of a process, and a state that finds the log full
+//! are written as a snapshot. A disk with a corrupt snapshot is distinguished from an empty one ([`Stored::Corrupt`]):
+//! its member has lost its state and must learn as after the loss of its disk, but it must not found a new system.
 //!
-//! A [`Journal`] beside it holds many small entries that are each needed for some time.
+//! A [`Journal`] in the same folder holds many small entries that are each needed for some time.
 //!
-//! [`FolderLock`] keeps a second process off the folder. [`Store`] runs a [`Disk`] on a thread of its own, so that a disk that stalls stops neither probes nor answers.
+//! [`FolderLock`] prevents a second process from using the folder. [`Store`] runs a [`Disk`] on a separate thread, so
+//! that a stalled disk delays neither probes nor replies.
 
 mod disk;
 mod folder;
@@ -23,5 +24,5 @@
 pub use lock::{FolderInUse, FolderLock};
 pub use store::{OpenedStore, SaveResult, Store};
 
-/// A serial number and the state that was saved under it.
-pub(crate) type Numbered = (u64, Vec<u8>);
+/// A state with its serial number.
+pub(crate) type NumberedState = (u64, Vec<u8>);
--- a/storage/src/lock.rs
+++ b/storage/src/lock.rs
@@ -1,6 +1,7 @@
-//! One process at a time has a data folder: an advisory lock on a file in it, held as long as the process lives.
+//! Allows only one process at a time to use a data folder: an advisory lock on a file in it, held while the process
+//! runs.
 //!
-//! The file says who holds the lock, for the log line of a process that finds the folder in use.
+//! The file contains a description of the process that holds the lock, for the log of a process that finds it locked.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -8,22 +9,25 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-const NAME: &str = "lock";
+/// Name of the lock file.
+const FILE_NAME: &str = "lock";
+/// Pause between two attempts to lock.
 const RETRY: Duration = Duration::from_millis(50);
-/// The description of a holder is no longer, bytes.
-const OWNER_MOST: u64 = 256;
+/// Maximum length of the description that is read, in bytes.
+const MAX_OWNER_BYTES: u64 = 256;
 
-/// The lock on a folder; given back when dropped, and by the machine when the process ends.
+/// The lock on a folder. It is released on drop, and by the operating system when the process ends.
 #[derive(Debug)]
 pub struct FolderLock {
     _file: File,
 }
 
-/// The folder stayed another process's for as long as could be waited.
+/// The folder was still locked by another process after the longest wait.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FolderInUse {
+    /// The locked folder.
     pub folder: PathBuf,
-    /// What that process says of itself.
+    /// The description that the other process wrote to the lock file.
     pub owner: String,
 }
 
@@ -36,45 +40,46 @@
 impl std::error::Error for FolderInUse {}
 
 impl FolderLock {
-    /// Takes the lock, waiting for at most `wait` while another process has it, since a restart may overlap with the
-    /// end of the process before. `owner` describes this process. A folder that can't be opened is tried again for as
-    /// long as it takes: what it holds may count. Runs on a thread of its own, as disks may stall.
+    /// Acquires the lock, and waits for at most `wait` while another process holds it, since the previous process may
+    /// still be ending during a restart. `owner` describes this process. A folder that can't be opened is retried without
+    /// limit, since it may hold a state that counts. Runs on a separate thread, as disks may stall.
     pub async fn acquire(folder: PathBuf, owner: String, wait: Duration) -> eyre::Result<FolderLock> {
-        let (done, taken) = oneshot::channel();
-        let run = move || drop(done.send(take(&folder, &owner, wait)));
+        let (send_result, result) = oneshot::channel();
+        let run = move || drop(send_result.send(acquire_blocking(&folder, &owner, wait)));
         std::thread::Builder::new().name("lock".into()).stack_size(128 << 10).spawn(run)?;
-        Ok(taken.await??)
+        Ok(result.await??)
     }
 
-    /// One try; an error of kind `WouldBlock` means that another process has it.
-    fn attempt(folder: &Path, owner: &str) -> Result<FolderLock, TryLockError> {
-        let path = folder.join(NAME);
-        let opened = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
-        let mut file = opened.map_err(TryLockError::Error)?;
+    /// Makes one attempt; an error of kind `WouldBlock` means that another process holds the lock.
+    fn try_acquire(folder: &Path, owner: &str) -> Result<FolderLock, TryLockError> {
+        let path = folder.join(FILE_NAME);
+        let file_result = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path);
+        let mut file = file_result.map_err(TryLockError::Error)?;
         file.try_lock()?;
-        // the description is a help alone: a disk that takes no writes keeps nobody from the lock
+        // the description is only informative: a disk that refuses writes must not prevent locking
         let _ = file.set_len(0).and_then(|()| file.write_all(owner.as_bytes()));
         Ok(FolderLock { _file: file })
     }
 }
 
-fn take(folder: &Path, owner: &str, wait: Duration) -> Result<FolderLock, FolderInUse> {
-    let since = Instant::now();
-    let (mut told_use, mut told_fault) = (false, false);
+/// Retries until the lock is acquired, or another process has held it for longer than `wait`.
+fn acquire_blocking(folder: &Path, owner: &str, wait: Duration) -> Result<FolderLock, FolderInUse> {
+    let start = Instant::now();
+    let (mut logged_use, mut logged_fault) = (false, false);
     loop {
-        match FolderLock::attempt(folder, owner) {
+        match FolderLock::try_acquire(folder, owner) {
             Ok(lock) => return Ok(lock),
             Err(TryLockError::WouldBlock) => {
-                let in_use = FolderInUse { folder: folder.to_path_buf(), owner: holder(folder) };
-                if since.elapsed() >= wait {
+                let in_use = FolderInUse { folder: folder.to_path_buf(), owner: read_owner(folder) };
+                if start.elapsed() >= wait {
                     return Err(in_use);
                 }
-                if !std::mem::replace(&mut told_use, true) {
+                if !std::mem::replace(&mut logged_use, true) {
                     tracing::warn!(event = "folder_in_use", fault = %in_use);
                 }
             }
             Err(TryLockError::Error(e)) => {
-                if !std::mem::replace(&mut told_fault, true) {
+                if !std::mem::replace(&mut logged_fault, true) {
                     tracing::error!(event = "folder_unlocked", fault = %e);
                 }
             }
@@ -83,11 +88,11 @@
     }
 }
 
-/// What the holder of the lock wrote of itself.
-fn holder(folder: &Path) -> String {
+/// Reads the description of the process that holds the lock.
+fn read_owner(folder: &Path) -> String {
     let mut text = String::new();
     let read = |text: &mut String| -> io::Result<usize> {
-        File::open(folder.join(NAME))?.take(OWNER_MOST).read_to_string(text)
+        File::open(folder.join(FILE_NAME))?.take(MAX_OWNER_BYTES).read_to_string(text)
     };
     match read(&mut text) {
         Ok(length) if length > 0 => text,
--- a/storage/src/snapshot.rs
+++ b/storage/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! The bytes of a snapshot: magic, serial, length, checksum, state.
 
-use crate::{Numbered, MAX_STATE_BYTES};
+use crate::{NumberedState, MAX_STATE_BYTES};
 use eyre::WrapErr;
 use fnv::FnvHasher;
 use std::fs::File;
@@ -9,46 +9,46 @@
 use std::path::Path;
 
 const MAGIC: &[u8; 8] = b"LPHIVE01";
-const HEAD: usize = 28;
+const HEADER: usize = 28;
 
-/// What a snapshot turned out to be.
+/// The result of reading a snapshot.
 pub(crate) enum Snapshot {
     None,
-    Whole(Numbered),
+    Intact(NumberedState),
     Corrupt,
 }
 
-/// What stands before the state.
-pub(crate) fn head(serial: u64, state: &[u8]) -> Vec<u8> {
-    let mut head = MAGIC.to_vec();
-    head.extend_from_slice(&serial.to_le_bytes());
-    head.extend_from_slice(&(state.len() as u32).to_le_bytes());
-    head.extend_from_slice(&checksum(serial, state).to_le_bytes());
-    head
+/// The header that precedes the state.
+pub(crate) fn header(serial: u64, state: &[u8]) -> Vec<u8> {
+    let mut header = MAGIC.to_vec();
+    header.extend_from_slice(&serial.to_le_bytes());
+    header.extend_from_slice(&(state.len() as u32).to_le_bytes());
+    header.extend_from_slice(&checksum(serial, state).to_le_bytes());
+    header
 }
 
-/// Reads a snapshot. Errors are the disk's: what it holds is not known then.
+/// Reads a snapshot. An error means that the disk could not be read, so its content is unknown.
 pub(crate) fn read(path: &Path) -> eyre::Result<Snapshot> {
     let file = match File::open(path) {
         Ok(file) => file,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Snapshot::None),
-        Err(e) => return Err(e).wrap_err("snapshot"),
+        Err(e) => return Err(e).wrap_err("open the snapshot"),
     };
     let mut bytes = Vec::new();
-    file.take((HEAD + MAX_STATE_BYTES + 1) as u64).read_to_end(&mut bytes).wrap_err("snapshot")?;
-    Ok(parse(bytes).map_or(Snapshot::Corrupt, Snapshot::Whole))
+    file.take((HEADER + MAX_STATE_BYTES + 1) as u64).read_to_end(&mut bytes).wrap_err("read the snapshot")?;
+    Ok(parse(bytes).map_or(Snapshot::Corrupt, Snapshot::Intact))
 }
 
-/// It was whole before it got its name: what is not whole now is no torn write but a spoilt disk.
-fn parse(mut bytes: Vec<u8>) -> Option<Numbered> {
-    let number = |at: usize| Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?));
-    let (serial, sum) = (number(8)?, number(20)?);
+/// Parses a snapshot. It was complete before it got its name, so a defect is a corrupt disk and not a torn write.
+fn parse(mut bytes: Vec<u8>) -> Option<NumberedState> {
+    let number = |offset: usize| Some(u64::from_le_bytes(bytes.get(offset..offset + 8)?.try_into().ok()?));
+    let (serial, stored_checksum) = (number(8)?, number(20)?);
     let length = u32::from_le_bytes(bytes.get(16..20)?.try_into().ok()?) as usize;
-    let whole = bytes.starts_with(MAGIC) && bytes.len() == HEAD + length && length <= MAX_STATE_BYTES;
-    if !whole || checksum(serial, &bytes[HEAD..]) != sum {
+    let intact = bytes.starts_with(MAGIC) && bytes.len() == HEADER + length && length <= MAX_STATE_BYTES;
+    if !intact || checksum(serial, &bytes[HEADER..]) != stored_checksum {
         return None;
     }
-    bytes.drain(..HEAD);
+    bytes.drain(..HEADER);
     Some((serial, bytes))
 }
 
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The thread that writes, and what waits for it: at most one state, the newest.
+//! A thread that writes states to the disk. At most one state, the newest, waits for it.
 
 use crate::{Disk, Folder, Stored, MAX_LOG_BYTES};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
@@ -6,126 +6,128 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 
-/// A disk that can't be read is tried again so soon.
-const UNREAD: Duration = Duration::from_millis(200);
-/// Saves that wait for one end; of more, the oldest ends as not saved.
-const TICKETS_MOST: usize = 64;
+/// Pause before a disk that can't be read is tried again.
+const RETRY: Duration = Duration::from_millis(200);
+/// Number of saves that may wait for the same write; if there are more, the oldest is reported as failed.
+const MAX_WAITING_SAVES: usize = 64;
 
-/// A save that has come to its end: its ticket, and whether the state, or a later one, is on the disk.
+/// The result of a save: its ticket, and whether its state or a later one is on the disk.
 pub type SaveResult = (u64, bool);
 
-/// The handle of the thread that writes. The thread ends with it.
+/// The handle of the writing thread. The thread ends when the handle is dropped.
 pub struct Store {
-    next: Arc<Next>,
+    queue: Arc<Queue>,
     results: UnboundedSender<SaveResult>,
 }
 
-/// A store with what it has to tell.
+/// A store and the channels on which it reports.
 pub struct OpenedStore {
     pub store: Store,
-    /// What was on the disk.
+    /// The content of the disk, once it has been read.
     pub content: oneshot::Receiver<Stored>,
-    /// The ends of saves; as many as there were saves.
+    /// The results of saves, one for each save.
     pub results: UnboundedReceiver<SaveResult>,
 }
 
-/// What is to be written next. Each state stands for all before it: of those that come while the disk is at work,
-/// the last is enough, and no more than one is held.
+/// The state to write next. Each state replaces all earlier ones, so of the states that arrive during a write only the
+/// last is kept.
 #[derive(Default)]
-struct Next {
-    waits: Mutex<Waits>,
+struct Queue {
+    waiting: Mutex<Waiting>,
     wake: Condvar,
 }
 
 #[derive(Default)]
-struct Waits {
+struct Waiting {
     tickets: Vec<u64>,
     state: Vec<u8>,
     closed: bool,
 }
 
-impl Next {
-    fn lock(&self) -> MutexGuard<'_, Waits> {
-        self.waits.lock().unwrap_or_else(|e| e.into_inner())
+impl Queue {
+    fn lock(&self) -> MutexGuard<'_, Waiting> {
+        self.waiting.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
 impl Store {
-    /// Reads what is there and begins to take states. A disk that can't be read is tried again until it can: what it
-    /// holds may count. Errors: no thread.
+    /// Starts a thread that reads the disk and then writes states. A disk that can't be read is retried until it can be,
+    /// since it may hold a state that counts. Fails if the thread can't be started.
     pub fn open(folder: impl Folder + Clone + Send + 'static) -> eyre::Result<OpenedStore> {
-        let (first, content) = oneshot::channel();
-        let (done, results) = unbounded_channel();
-        let next = Arc::new(Next::default());
-        let store = Store { next: next.clone(), results: done.clone() };
-        let run = move || run(folder, first, &next, &done);
+        let (send_content, content) = oneshot::channel();
+        let (send_result, results) = unbounded_channel();
+        let queue = Arc::new(Queue::default());
+        let store = Store { queue: queue.clone(), results: send_result.clone() };
+        let run = move || run(folder, send_content, &queue, &send_result);
         std::thread::Builder::new().name("disk".into()).stack_size(256 << 10).spawn(run)?;
         Ok(OpenedStore { store, content, results })
     }
 
-    /// Hands a state over. Its end is told on the channel of ends.
+    /// Saves a state. Its result is sent to [`OpenedStore::results`].
     pub fn save(&self, ticket: u64, state: Vec<u8>) {
-        let mut waits = self.next.lock();
-        if waits.tickets.len() == TICKETS_MOST {
-            let _ = self.results.send((waits.tickets.remove(0), false));
+        let mut waiting = self.queue.lock();
+        if waiting.tickets.len() == MAX_WAITING_SAVES {
+            let _ = self.results.send((waiting.tickets.remove(0), false));
         }
-        waits.tickets.push(ticket);
-        waits.state = state;
-        drop(waits);
-        self.next.wake.notify_one();
+        waiting.tickets.push(ticket);
+        waiting.state = state;
+        drop(waiting);
+        self.queue.wake.notify_one();
     }
 }
 
 impl Drop for Store {
     fn drop(&mut self) {
-        self.next.lock().closed = true;
-        self.next.wake.notify_one();
+        self.queue.lock().closed = true;
+        self.queue.wake.notify_one();
     }
 }
 
+/// Reads the disk, and retries until it can be read.
 fn open<F: Folder + Clone>(folder: F) -> (Disk<F>, Stored) {
-    let mut told = false;
+    let mut logged = false;
     loop {
         match Disk::open(folder.clone(), MAX_LOG_BYTES) {
             Ok(opened) => return opened,
             Err(e) => {
-                if !std::mem::replace(&mut told, true) {
+                if !std::mem::replace(&mut logged, true) {
                     tracing::error!(event = "disk_unread", fault = %format!("{e:#}"));
                 }
-                std::thread::sleep(UNREAD);
+                std::thread::sleep(RETRY);
             }
         }
     }
 }
 
+/// Reads the disk and then writes states until the store is dropped.
 fn run(
     folder: impl Folder + Clone,
-    found: oneshot::Sender<Stored>,
-    next: &Next,
-    done: &UnboundedSender<SaveResult>,
+    send_content: oneshot::Sender<Stored>,
+    queue: &Queue,
+    send_result: &UnboundedSender<SaveResult>,
 ) {
-    let (mut disk, held) = open(folder);
-    if held == Stored::Corrupt {
+    let (mut disk, content) = open(folder);
+    if content == Stored::Corrupt {
         tracing::error!(event = "disk_spoilt");
     }
-    let _ = found.send(held);
+    let _ = send_content.send(content);
     loop {
-        let mut waits = next.lock();
-        while waits.tickets.is_empty() {
-            if waits.closed {
+        let mut waiting = queue.lock();
+        while waiting.tickets.is_empty() {
+            if waiting.closed {
                 return;
             }
-            waits = next.wake.wait(waits).unwrap_or_else(|e| e.into_inner());
+            waiting = queue.wake.wait(waiting).unwrap_or_else(|e| e.into_inner());
         }
-        let (tickets, state) = (std::mem::take(&mut waits.tickets), std::mem::take(&mut waits.state));
-        drop(waits);
+        let (tickets, state) = (std::mem::take(&mut waiting.tickets), std::mem::take(&mut waiting.state));
+        drop(waiting);
         let written = disk.write(&state);
         drop(state);
         if let Err(e) = &written {
             tracing::warn!(event = "save_failed", fault = %format!("{e:#}"));
         }
         for ticket in tickets {
-            if done.send((ticket, written.is_ok())).is_err() {
+            if send_result.send((ticket, written.is_ok())).is_err() {
                 return;
             }
         }
