--- a/storage/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -1,18 +1,18 @@
-//! What a disk holds after each way to write, after bytes went wrong, and after saves that failed.
+//! The content of a disk after each way to write, after corruption, and after failed saves.
 
 use lupinledge_storage::{DataDir, Disk, OpenedStore, Store, Stored, MAX_LOG_BYTES, MAX_STATE_BYTES};
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A folder of its own, removed when dropped.
-struct Place(PathBuf);
+/// A temporary folder that is removed on drop.
+struct TempFolder(PathBuf);
 
-impl Place {
-    fn new(name: &str) -> Place {
-        let place = std::env::temp_dir().join(format!("lupinledge-storage-{}-{name}", std::process::id()));
-        let _ = fs::remove_dir_all(&place);
-        fs::create_dir_all(&place).unwrap();
-        Place(place)
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
+        let path = std::env::temp_dir().join(format!("lupinledge-storage-{}-{name}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        fs::create_dir_all(&path).unwrap();
+        TempFolder(path)
     }
 
     fn open(&self) -> (Disk<DataDir>, Stored) {
@@ -23,8 +23,8 @@
         self.open().0
     }
 
-    fn found(&self) -> Held {
-        brief(self.open().1)
+    fn read(&self) -> Content {
+        content_of(self.open().1)
     }
 
     fn snapshot(&self) -> PathBuf {
@@ -32,7 +32,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -47,177 +47,177 @@
     vec![n; len]
 }
 
-/// A state's bytes, all alike, and their number; or why there is none.
-type Held = Result<(u8, usize), Stored>;
+/// The byte that a state consists of and its length, or why there is no state.
+type Content = Result<(u8, usize), Stored>;
 
-fn brief(found: Stored) -> Held {
-    match found {
+fn content_of(read: Stored) -> Content {
+    match read {
         Stored::State(state) => {
             let n = state.first().copied().unwrap_or(0);
-            assert!(state.iter().all(|byte| *byte == n), "no state that was saved");
+            assert!(state.iter().all(|byte| *byte == n), "a state that was never saved");
             Ok((n, state.len()))
         }
         other => Err(other),
     }
 }
 
-fn holds(n: u8, len: usize) -> Held {
+fn expected_state(n: u8, len: usize) -> Content {
     Ok((if len == 0 { 0 } else { n }, len))
 }
 
 #[test]
-fn newest_whole_state_wins_after_each_way_to_write() {
-    let place = Place::new("ways");
-    assert_eq!(place.found(), Err(Stored::Empty));
-    // a snapshot, log entries, a state past the buffer, a log past its size
-    let lens = [[10, 2_000, 0, 70_000, 10].as_slice(), &[40_000; 40]].concat();
-    for (n, len) in lens.into_iter().enumerate() {
-        let mut disk = place.disk();
+fn the_newest_intact_state_is_read_after_each_way_to_write() {
+    let temp = TempFolder::new("ways");
+    assert_eq!(temp.read(), Err(Stored::Empty));
+    // a snapshot, log entries, a state larger than the log's buffer, and a full log
+    let lengths = [[10, 2_000, 0, 70_000, 10].as_slice(), &[40_000; 40]].concat();
+    for (n, len) in lengths.into_iter().enumerate() {
+        let mut disk = temp.disk();
         disk.write(&state(n as u8, len)).unwrap();
         disk.write(&state(n as u8 + 100, len)).unwrap();
         drop(disk);
-        assert_eq!(place.found(), holds(n as u8 + 100, len));
+        assert_eq!(temp.read(), expected_state(n as u8 + 100, len));
     }
-    let mut disk = place.disk();
+    let mut disk = temp.disk();
     (0..100).for_each(|n| disk.write(&state(n, 40_000)).unwrap());
-    assert_eq!(place.found(), holds(99, 40_000));
-    let bytes: u64 = fs::read_dir(&place.0).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum();
+    assert_eq!(temp.read(), expected_state(99, 40_000));
+    let bytes: u64 = fs::read_dir(&temp.0).unwrap().map(|f| f.unwrap().metadata().unwrap().len()).sum();
     assert!(bytes < 2 * MAX_LOG_BYTES, "{bytes}");
 }
 
-/// A state past the log's buffer between two that fit.
+/// A state larger than the log's buffer between two that fit.
 #[test]
-fn small_and_large_states_take_turns() {
-    let place = Place::new("turns");
-    let mut disk = place.disk();
+fn small_and_large_states_alternate() {
+    let temp = TempFolder::new("turns");
+    let mut disk = temp.disk();
     for n in 0..60 {
         let len = [700, 100_000, 65_280, 65_281][usize::from(n) % 4];
         disk.write(&state(n, len)).unwrap();
-        assert_eq!(place.found(), holds(n, len));
+        assert_eq!(temp.read(), expected_state(n, len));
     }
 }
 
 #[test]
-fn a_torn_tail_costs_only_what_was_never_synced() {
-    let place = Place::new("torn");
-    let folder = &place.0;
-    let mut disk = place.disk();
+fn a_torn_tail_loses_only_unsynced_states() {
+    let temp = TempFolder::new("torn");
+    let path = &temp.0;
+    let mut disk = temp.disk();
     (1..=3).for_each(|n| disk.write(&state(n, 700)).unwrap());
     drop(disk);
-    let [log] = &segments(folder)[..] else { panic!("one segment") };
-    let whole = fs::read(log).unwrap();
-    let end = whole.iter().rposition(|b| *b != 0).unwrap() + 1;
+    let [log] = &segments(path)[..] else { panic!("one segment") };
+    let intact = fs::read(log).unwrap();
+    let end = intact.iter().rposition(|b| *b != 0).unwrap() + 1;
     for cut in (end - 735..end).step_by(49) {
         for tail in [Vec::new(), vec![0; 4096], vec![0xff; 4096], vec![2; 4096]] {
-            let torn = [&whole[..cut], &tail].concat();
+            let torn = [&intact[..cut], &tail].concat();
             fs::write(log, torn).unwrap();
-            let kept = place.found();
-            assert!(kept == holds(2, 700) || kept == holds(3, 700), "cut at {cut}");
-            // and what comes after it stands
-            let mut disk = place.disk();
+            let content = temp.read();
+            assert!(content == expected_state(2, 700) || content == expected_state(3, 700), "cut at {cut}");
+            // a state that is saved after that is kept
+            let mut disk = temp.disk();
             disk.write(&state(9, 700)).unwrap();
             drop(disk);
-            assert_eq!(place.found(), holds(9, 700));
-            segments(folder).iter().for_each(|s| fs::remove_file(s).unwrap());
-            fs::remove_file(place.snapshot()).unwrap();
-            let mut disk = place.disk();
+            assert_eq!(temp.read(), expected_state(9, 700));
+            segments(path).iter().for_each(|s| fs::remove_file(s).unwrap());
+            fs::remove_file(temp.snapshot()).unwrap();
+            let mut disk = temp.disk();
             (1..=1).for_each(|n| disk.write(&state(n, 700)).unwrap());
         }
     }
 }
 
 #[test]
-fn a_segment_that_was_never_synced_is_no_fault() {
-    let place = Place::new("headless");
-    place.disk().write(&state(1, 10)).unwrap();
+fn an_unsynced_segment_is_ignored() {
+    let temp = TempFolder::new("headless");
+    temp.disk().write(&state(1, 10)).unwrap();
     for head in [&b""[..], b"ok", &[0; 9000]] {
-        fs::write(place.0.join("wal-1"), head).unwrap();
-        assert_eq!(place.found(), holds(1, 10));
+        fs::write(temp.0.join("wal-1"), head).unwrap();
+        assert_eq!(temp.read(), expected_state(1, 10));
     }
 }
 
-/// One that can't be trusted is no empty disk: who takes it for one might found anew. It takes states again, and what
-/// it was is kept for whoever looks into it.
+/// A corrupt snapshot must not count as an empty disk, since the member might found a new system. The disk accepts states
+/// again, and the corrupt snapshot is kept for analysis.
 #[test]
-fn a_spoilt_snapshot_is_no_empty_disk() {
-    let place = Place::new("spoilt");
-    place.disk().write(&state(1, 10)).unwrap();
-    let at = place.snapshot();
-    let whole = fs::read(&at).unwrap();
-    for byte in 0..whole.len() {
-        let mut spoilt = whole.clone();
-        spoilt[byte] ^= 1;
-        fs::write(&at, &spoilt).unwrap();
-        assert_eq!(place.found(), Err(Stored::Corrupt), "byte {byte}");
-        fs::write(&at, &whole[..byte]).unwrap();
-        assert_eq!(place.found(), Err(Stored::Corrupt), "cut at {byte}");
+fn a_corrupt_snapshot_is_not_an_empty_disk() {
+    let temp = TempFolder::new("spoilt");
+    temp.disk().write(&state(1, 10)).unwrap();
+    let path = temp.snapshot();
+    let intact = fs::read(&path).unwrap();
+    for byte in 0..intact.len() {
+        let mut corrupt = intact.clone();
+        corrupt[byte] ^= 1;
+        fs::write(&path, &corrupt).unwrap();
+        assert_eq!(temp.read(), Err(Stored::Corrupt), "byte {byte}");
+        fs::write(&path, &intact[..byte]).unwrap();
+        assert_eq!(temp.read(), Err(Stored::Corrupt), "cut at {byte}");
     }
-    // nor one that has grown past all bounds
-    fs::File::create(&at).unwrap().set_len(8 * MAX_STATE_BYTES as u64).unwrap();
-    assert_eq!(place.found(), Err(Stored::Corrupt));
-    fs::write(&at, &whole).unwrap();
-    assert_eq!(place.found(), holds(1, 10));
-
-    fs::write(&at, &whole[..20]).unwrap();
-    place.disk().write(&state(2, 10)).unwrap();
-    assert_eq!(place.found(), holds(2, 10));
-    assert_eq!(fs::read(place.0.join("snapshot.spoilt")).unwrap(), whole[..20]);
+    // a snapshot that is larger than the bound is corrupt too
+    fs::File::create(&path).unwrap().set_len(8 * MAX_STATE_BYTES as u64).unwrap();
+    assert_eq!(temp.read(), Err(Stored::Corrupt));
+    fs::write(&path, &intact).unwrap();
+    assert_eq!(temp.read(), expected_state(1, 10));
+
+    fs::write(&path, &intact[..20]).unwrap();
+    temp.disk().write(&state(2, 10)).unwrap();
+    assert_eq!(temp.read(), expected_state(2, 10));
+    assert_eq!(fs::read(temp.0.join("snapshot.spoilt")).unwrap(), intact[..20]);
 }
 
-/// A log without the snapshot that it was begun behind: its entries may be old.
+/// The entries of a log without its snapshot may be old.
 #[test]
-fn a_log_alone_is_no_state() {
-    let place = Place::new("alone");
-    let mut disk = place.disk();
+fn a_log_without_a_snapshot_is_corrupt() {
+    let temp = TempFolder::new("alone");
+    let mut disk = temp.disk();
     (1..=3).for_each(|n| disk.write(&state(n, 700)).unwrap());
     drop(disk);
-    fs::remove_file(place.snapshot()).unwrap();
-    assert_eq!(place.found(), Err(Stored::Corrupt));
-    place.disk().write(&state(4, 10)).unwrap();
-    assert_eq!(place.found(), holds(4, 10));
+    fs::remove_file(temp.snapshot()).unwrap();
+    assert_eq!(temp.read(), Err(Stored::Corrupt));
+    temp.disk().write(&state(4, 10)).unwrap();
+    assert_eq!(temp.read(), expected_state(4, 10));
 }
 
-/// Entries older than the snapshot (the log's removal got lost with the power), and newer ones, by a copy of the log.
+/// Log entries that are older than the snapshot, as after a loss of power that undid the log's removal, and newer ones.
 #[test]
-fn the_newer_of_snapshot_and_log_counts() {
-    let place = Place::new("newer");
-    let mut disk = place.disk();
+fn the_newer_of_snapshot_and_log_is_read() {
+    let temp = TempFolder::new("newer");
+    let mut disk = temp.disk();
     (1..=3).for_each(|n| disk.write(&state(n, 700)).unwrap());
-    let [log] = &segments(&place.0)[..] else { panic!("one segment") };
+    let [log] = &segments(&temp.0)[..] else { panic!("one segment") };
     let (log, old) = (log.clone(), fs::read(log).unwrap());
-    assert_eq!(place.found(), holds(3, 700), "newer in the log");
+    assert_eq!(temp.read(), expected_state(3, 700), "newer in the log");
     disk.write(&state(4, 70_000)).unwrap();
     disk.write(&state(5, 10)).unwrap();
     disk.write(&state(6, 70_000)).unwrap();
     drop(disk);
     fs::write(log, old).unwrap();
-    assert_eq!(place.found(), holds(6, 70_000), "older in the log");
+    assert_eq!(temp.read(), expected_state(6, 70_000), "older in the log");
 }
 
 #[test]
-fn a_save_that_failed_is_told_and_a_later_one_stands() {
-    let place = Place::new("refuses");
-    place.disk().write(&state(1, 10)).unwrap();
-    let OpenedStore { store, content, mut results } = Store::open(DataDir(place.0.clone())).unwrap();
-    assert_eq!(brief(content.blocking_recv().unwrap()), holds(1, 10));
-    fs::remove_dir_all(&place.0).unwrap();
+fn a_failed_save_is_reported_and_a_later_one_succeeds() {
+    let temp = TempFolder::new("refuses");
+    temp.disk().write(&state(1, 10)).unwrap();
+    let OpenedStore { store, content, mut results } = Store::open(DataDir(temp.0.clone())).unwrap();
+    assert_eq!(content_of(content.blocking_recv().unwrap()), expected_state(1, 10));
+    fs::remove_dir_all(&temp.0).unwrap();
     store.save(7, state(2, 10));
     assert_eq!(results.blocking_recv(), Some((7, false)));
-    fs::create_dir_all(&place.0).unwrap();
+    fs::create_dir_all(&temp.0).unwrap();
     store.save(8, state(3, 10));
     assert_eq!(results.blocking_recv(), Some((8, true)));
     drop(store);
     assert_eq!(results.blocking_recv(), None, "the thread ends with its handle");
-    assert_eq!(place.found(), holds(3, 10));
+    assert_eq!(temp.read(), expected_state(3, 10));
 }
 
 #[test]
-fn a_state_past_the_bound_is_refused_and_the_one_before_stands() {
-    let place = Place::new("bound");
-    let mut disk = place.disk();
+fn a_state_larger_than_the_bound_is_refused_and_the_previous_one_is_kept() {
+    let temp = TempFolder::new("bound");
+    let mut disk = temp.disk();
     disk.write(&state(1, 10)).unwrap();
     assert!(disk.write(&vec![2; MAX_STATE_BYTES + 1]).is_err());
-    assert_eq!(place.found(), holds(1, 10));
+    assert_eq!(temp.read(), expected_state(1, 10));
     disk.write(&state(3, 10)).unwrap();
-    assert_eq!(place.found(), holds(3, 10));
+    assert_eq!(temp.read(), expected_state(3, 10));
 }
