--- a/control-plane/src/counts.rs
+++ b/control-plane/src/counts.rs
@@ -5,13 +5,15 @@
 use crate::clock::Clock;
 use lupinledge_config::{Tables, Tenant};
 use lupinledge_consensus::Node;
-use lupinledge_counters::duty::{Answer, Duty, Look, Seen};
+use lupinledge_counters::handover::{HandoverEntry, HandoverPart};
+use lupinledge_counters::holder::{Answer, CounterHolder, GatewayStatus, HandoverStatus};
 use lupinledge_counters::store::{Quota, Reading};
-use lupinledge_counters::told::{Part, Told};
 use lupinledge_counters::{Incarnation, Total};
 use lupinledge_gossip::Gossip;
 use lupinledge_membership::{Member, Standing};
-use lupinledge_messaging::{parts, round, units, CountedName, Post, ToldName, Word};
+use lupinledge_messaging::{
+    from_fixed, round_of_epoch, to_fixed, NameReport, NameTotal, Transport, WireMessage,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -24,15 +26,15 @@
 const ASK: Duration = Duration::from_millis(50);
 
 /// A total as it goes over the network.
-fn told_total(total: Total) -> CountedName {
-    CountedName(parts(total.counted), total.level.map(parts))
+fn told_total(total: Total) -> NameTotal {
+    NameTotal(to_fixed(total.counted), total.level.map(to_fixed))
 }
 
 pub struct Counts {
     clock: Rc<Clock>,
     agree: Rc<Agree>,
     /// Those of the epoch that was won last.
-    duty: RefCell<Duty>,
+    duty: RefCell<CounterHolder>,
     zones: BTreeMap<String, String>,
     /// Up to which document the rates were taken over.
     rates: Cell<Option<lupinledge_consensus::Ballot>>,
@@ -60,23 +62,26 @@
         self.hold(epoch);
         let seen = |m: &Member| {
             let (alive, gone) = (m.standing == Standing::Alive, m.standing == Standing::Gone);
-            Seen { node: m.node, alive, leaving: m.card.leaving, gone }
+            GatewayStatus { node: m.node, alive, leaving: m.card.leaving, gone }
         };
-        let gateways: Vec<Seen> =
-            gossip.with(|swarm| swarm.members().filter(|m| !m.card.core).map(seen).collect());
-        let ask =
-            |nodes: Vec<Node>| nodes.into_iter().for_each(|n| gossip.post().cast(n, &Word::Hold { epoch }));
-        match self.duty.borrow_mut().look(self.clock.now(), &gateways) {
-            Look::Whole(nodes) => ask(nodes),
-            Look::Ask(nodes) => {
+        let gateways: Vec<GatewayStatus> =
+            gossip.with_membership(|swarm| swarm.members().filter(|m| !m.card.core).map(seen).collect());
+        let ask = |nodes: Vec<Node>| {
+            nodes.into_iter().for_each(|n| gossip.post().send_datagram(n, &WireMessage::NewHolder { epoch }))
+        };
+        match self.duty.borrow_mut().poll(self.clock.now(), &gateways) {
+            HandoverStatus::Serving(nodes) => ask(nodes),
+            HandoverStatus::Collecting(nodes) => {
                 ask(nodes);
                 return false;
             }
-            Look::Closed(answers, missing) => {
+            HandoverStatus::Completed(answers, missing) => {
                 tracing::info!(event = "counters_whole", epoch, missing, waiting = answers.len());
                 for Answer { from, tag, totals } in answers {
                     let totals = totals.into_iter().map(told_total).collect();
-                    gossip.post().send(from.0, &Word::Counted { tag, round: round(epoch), totals });
+                    gossip
+                        .post()
+                        .send(from.0, &WireMessage::Totals { tag, round: round_of_epoch(epoch), totals });
                 }
             }
         }
@@ -86,41 +91,41 @@
     /// Any word of another process.
     pub fn lives(&self, from: Node) {
         if let Some(counters) = self.duty.borrow_mut().counters() {
-            counters.heard(self.clock.now(), from);
+            counters.record_contact(self.clock.now(), from);
         }
     }
 
     /// What a gateway told the holder before this one.
-    pub fn told(&self, from: Incarnation, to: u64, told: &[ToldName], (nth, of): (u8, u8)) {
+    pub fn told(&self, from: Incarnation, to: u64, told: &[NameReport], (index, count): (u8, u8)) {
         let Some(epoch) = self.agree.leads().filter(|e| *e == to) else { return };
         let told = told.iter().take(CALLS_MOST).map(|t| {
             let store = t.store.map(|(level, age)| Reading { level, age: f64::from(age) });
             let life = f64::from(t.life);
-            Told { name: t.name, sum: t.sum, within: t.within, total: t.total, life, store }
+            HandoverEntry { name: t.name, sum: t.sum, within: t.within, total: t.total, life, store }
         });
-        let part = Part { nth, of, told: told.collect() };
+        let part = HandoverPart { index, count, entries: told.collect() };
         self.hold(epoch);
-        self.duty.borrow_mut().tell(self.clock.now(), epoch, from, &part);
+        self.duty.borrow_mut().receive_handover(self.clock.now(), epoch, from, &part);
     }
 
     /// Takes sums, and answers with the totals as soon as they are whole; without the duty, with none.
-    pub fn heard(&self, post: &Post, from: Incarnation, tag: u64, calls: &[(u64, i64, u16)]) {
+    pub fn heard(&self, post: &Transport, from: Incarnation, tag: u64, calls: &[(u64, i64, u16)]) {
         let Some(epoch) = self.agree.leads() else {
-            return post.send(from.0, &Word::Counted { tag, round: 0, totals: Vec::new() });
+            return post.send(from.0, &WireMessage::Totals { tag, round: 0, totals: Vec::new() });
         };
         self.hold(epoch);
         let calls = calls.iter().take(CALLS_MOST);
-        let calls = calls.map(|(name, sum, life)| (*name, units(*sum), f64::from(*life)));
-        if let Some(totals) = self.duty.borrow_mut().count(self.clock.now(), from, tag, calls) {
+        let calls = calls.map(|(name, sum, life)| (*name, from_fixed(*sum), f64::from(*life)));
+        if let Some(totals) = self.duty.borrow_mut().apply_call(self.clock.now(), from, tag, calls) {
             let totals = totals.into_iter().map(told_total).collect();
-            post.send(from.0, &Word::Counted { tag, round: round(epoch), totals });
+            post.send(from.0, &WireMessage::Totals { tag, round: round_of_epoch(epoch), totals });
         }
     }
 
     /// Turns to an epoch, with the quotas of the newest document.
     fn hold(&self, epoch: u64) {
         let mut duty = self.duty.borrow_mut();
-        if duty.hold(self.clock.now(), epoch) {
+        if duty.start_epoch(self.clock.now(), epoch) {
             self.rates.set(None);
         }
         let Some(counters) = duty.counters() else { return };
@@ -128,7 +133,7 @@
             self.rates.set(Some(agreed.ballot));
             if let Ok(tables) = Tables::new(&agreed.document, &self.zones) {
                 let quota = |t: &Tenant| Quota { rate: t.rate, size: t.store_size() };
-                tables.tenants().iter().for_each(|t| counters.quota(t.customer, quota(t)));
+                tables.tenants().iter().for_each(|t| counters.set_quota(t.customer, quota(t)));
             }
         }
     }
--- a/drift-detection/tests/world/mod.rs
+++ b/drift-detection/tests/world/mod.rs
@@ -4,8 +4,10 @@
 
 use fastrand::Rng;
 use lupinledge_config::{Config, Document, Part, Tables};
-use lupinledge_drift_detection::{verdict::compare, Act, Audit, Judge, Own, Settings, Watch};
-use lupinledge_membership::{Card, News, Node, Said, Sends, Source, Spread};
+use lupinledge_drift_detection::{
+    verdict::compare, Action, Audit, Detector, DriftMonitor, LocalState, Settings,
+};
+use lupinledge_membership::{Card, Disseminator, GossipMessage, Node, Outgoing, Source, Update};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -71,7 +73,7 @@
     serial: u64,
     pub shut: bool,
     audit: Audit,
-    watch: Watch,
+    watch: DriftMonitor,
     look: f64,
     /// When it began to have wrong rules in force, and when it served by them last.
     pub wrong: Option<f64>,
@@ -80,7 +82,7 @@
 }
 
 struct Process {
-    spread: Spread,
+    spread: Disseminator,
     edge: Option<Edge>,
     side: usize,
     frozen: bool,
@@ -90,7 +92,7 @@
 pub struct World {
     pub now: f64,
     procs: Vec<Process>,
-    mail: BTreeMap<(u64, u64), (usize, usize, Said)>,
+    mail: BTreeMap<(u64, u64), (usize, usize, GossipMessage)>,
     posted: u64,
     pub chance: Rng,
     /// Documents by index, with the time of their acknowledgement.
@@ -153,10 +155,20 @@
 
     fn process(&mut self, i: usize) -> Process {
         let core = i < CORES;
-        let front = (!core).then(|| ([10, 0, 0, i as u8 + 1], 80).into());
+        let client_address = (!core).then(|| ([10, 0, 0, i as u8 + 1], 80).into());
         let (region, zone) = ("r".to_string(), "z1".to_string());
-        let (control, rules, load) = (None, None, 0);
-        let card = Card { core, region, zone, front, control, ready: true, leaving: false, rules, load };
+        let (control_address, drift, load) = (None, None, 0);
+        let card = Card {
+            core,
+            region,
+            zone,
+            client_address,
+            control_address,
+            ready: true,
+            leaving: false,
+            drift,
+            load,
+        };
         let seeds = (0..CORES).map(node).collect();
         let incarnation = 1 + (self.now * 1000.0) as u64;
         let set =
@@ -168,13 +180,13 @@
             serial: 0,
             shut: false,
             audit: Audit::new(self.chance.u64(..)),
-            watch: Watch::new(0.0, Settings::new(APPLY)),
+            watch: DriftMonitor::new(0.0, Settings::new(APPLY)),
             look: self.now + self.chance.f64() * LOOK,
             wrong: None,
             last_wrong: None,
             outs: 0,
         });
-        Process { spread: Spread::new(0.0, set, !core), edge, side: 0, frozen: false, began: self.now }
+        Process { spread: Disseminator::new(0.0, set, !core), edge, side: 0, frozen: false, began: self.now }
     }
 
     pub fn edges(&self) -> impl Iterator<Item = &Edge> {
@@ -198,11 +210,11 @@
         for i in (0..CORES).rev() {
             if self.procs[i].side == side {
                 let state = Some(((self.epoch, n), self.docs[n as usize - 1].2.clone()));
-                let news = News { epoch: Some((self.epoch, node(self.holder))), state, list: None };
+                let news = Update { epoch: Some((self.epoch, node(self.holder))), state, list: None };
                 let from = if i == self.holder { Source::Origin } else { Source::Settled };
-                self.call(i, |s, _| s.tell(news, from));
+                self.call(i, |s, _| s.publish(news, from));
                 let print = self.docs[n as usize - 1].3.print().folded();
-                self.procs[i].spread.set_print(n, print);
+                self.procs[i].spread.set_fingerprint(n, print);
             }
         }
     }
@@ -235,8 +247,8 @@
     /// A forged word: these bytes are said to be the document of that stamp.
     pub fn forge(&mut self, edge: usize, stamp: (u64, u64), what: &Document) {
         let state = Some((stamp, bytes(what)));
-        let said = Said::News { digest: Default::default(), state, list: None };
-        self.call(CORES + edge, |s, now| s.heard(now, node(CORES + (edge + 1) % EDGES), said));
+        let said = GossipMessage::Update { digest: Default::default(), state, list: None };
+        self.call(CORES + edge, |s, now| s.receive(now, node(CORES + (edge + 1) % EDGES), said));
     }
 
     /// The newest document, and how many there are.
@@ -270,7 +282,7 @@
         self.forge(edge, (self.epoch, n), &old);
     }
 
-    fn call(&mut self, i: usize, f: impl FnOnce(&mut Spread, f64) -> lupinledge_membership::Turn) {
+    fn call(&mut self, i: usize, f: impl FnOnce(&mut Disseminator, f64) -> lupinledge_membership::Effects) {
         let now = self.now - self.procs[i].began;
         let (fresh, out) = f(&mut self.procs[i].spread, now);
         self.post(i, out);
@@ -284,16 +296,16 @@
         if d.serial > e.serial {
             e.serial = d.serial;
             e.tables = Tables::new(&d, &zones()).unwrap();
-            e.audit.renew();
+            e.audit.reset();
             e.config = d.config.as_ref().and_then(|c| Config::read(c).ok());
             e.kept = Some(d);
         }
     }
 
-    fn post(&mut self, from: usize, out: Sends) {
+    fn post(&mut self, from: usize, out: Outgoing) {
         for (to, said) in out {
             let to = index(to);
-            let lost = matches!(said, Said::Probe(_)) && self.chance.f64() < 0.03;
+            let lost = matches!(said, GossipMessage::Probe(_)) && self.chance.f64() < 0.03;
             if lost || self.procs[from].side != self.procs[to].side {
                 continue;
             }
@@ -311,7 +323,7 @@
             while let Some(m) = self.mail.first_entry().filter(|m| m.key().0 <= (self.now * 1e6) as u64) {
                 let (from, to, said) = m.remove();
                 if !self.procs[to].frozen {
-                    self.call(to, |s, now| s.heard(now, node(from), said));
+                    self.call(to, |s, now| s.receive(now, node(from), said));
                 }
             }
             for i in 0..ALL {
@@ -334,44 +346,45 @@
         let p = &mut self.procs[i];
         let Some(e) = &mut p.edge else { return };
         e.look = self.now + LOOK;
-        let found = e.audit.turn(&e.tables, e.config.as_ref(), None);
-        let (index, print) = (p.spread.held().digest().state.1, e.audit.live().folded());
-        p.spread.set_print(index, print);
+        let found = e.audit.step(&e.tables, e.config.as_ref(), None);
+        let (index, print) = (p.spread.store().digest().state.1, e.audit.live_print().folded());
+        p.spread.set_fingerprint(index, print);
         if !self.watching {
             return;
         }
-        let own = Own { index, print, fault: found.map(|f| f.part), sound: e.audit.sound() };
-        let others = compare(now, &own, p.spread.held().epoch().1, p.spread.swarm().members());
-        let acts = e.watch.look(now, &own, &others);
+        let own =
+            LocalState { index, print, faulty_part: found.map(|f| f.part), verified: e.audit.is_clean() };
+        let others = compare(now, &own, p.spread.store().epoch().1, p.spread.membership().members());
+        let acts = e.watch.evaluate(now, &own, &others);
         for act in acts {
             self.act(i, act);
         }
     }
 
-    fn act(&mut self, i: usize, act: Act) {
+    fn act(&mut self, i: usize, act: Action) {
         let right = self.matching(i);
         let p = &mut self.procs[i];
         let Some(e) = &mut p.edge else { return };
         match act {
-            Act::Shut { judge, .. } => {
+            Action::Withdraw { detector, .. } => {
                 (e.shut, e.outs) = (true, e.outs + 1);
                 self.unjust += right as u32;
-                self.judged[judge as usize] += 1;
+                self.judged[detector as usize] += 1;
                 p.spread.set_card(|c| c.ready = false);
             }
-            Act::Rebuild => {
+            Action::Rebuild => {
                 let (kept, serial) = (e.kept.clone(), std::mem::take(&mut e.serial));
                 kept.into_iter().for_each(|d| self.document(i, d));
                 let e = self.procs[i].edge.as_mut().unwrap();
                 e.serial = e.serial.max(serial);
             }
-            Act::Afresh => {
+            Action::Refetch => {
                 e.serial = if e.shut { 0 } else { e.serial.saturating_sub(1) };
-                let out = p.spread.afresh();
+                let out = p.spread.refetch_state();
                 self.post(i, out);
             }
-            Act::Ease => e.shut = false,
-            Act::Open => drop(p.spread.set_card(|c| c.ready = true)),
+            Action::AcceptClients => e.shut = false,
+            Action::Announce => drop(p.spread.set_card(|c| c.ready = true)),
         }
     }
 
@@ -392,7 +405,7 @@
         if n == 0 {
             return true;
         }
-        let held = (p.spread.held().digest().state.1 as usize).clamp(0, n);
+        let held = (p.spread.store().digest().state.1 as usize).clamp(0, n);
         let held = if held == 0 { n } else { held };
         let cut = p.side != self.procs[self.holder].side;
         let late = self.docs.get(held).is_some_and(|next| self.now - next.0 > APPLY && !cut);
@@ -488,6 +501,6 @@
 }
 
 /// The judge's place in [`World::judged`].
-pub fn judge(j: Judge) -> usize {
+pub fn judge(j: Detector) -> usize {
     j as usize
 }
