--- a/operations/src/claims.rs
+++ b/operations/src/claims.rs
@@ -29,7 +29,9 @@
 /// A key to claim, with its terms.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimRequest {
+    /// The key to claim.
     pub key: Key,
+    /// The fingerprint of the request that has the key.
     pub fingerprint: Fingerprint,
     /// Seconds for which the key is to stay claimed.
     pub keep_s: f32,
@@ -40,13 +42,17 @@
 /// An action for the driver to carry out or report, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send a message to a voter.
     Send(Node, Message),
     /// The operation may be run: no other claim gets the key until it expires.
     Granted(ClaimId),
-    /// A voter replied that another claim (`by`) holds the key; this claim may still be granted.
+    /// A voter replied that another claim holds the key; this claim may still be granted.
     Held {
+        /// The claim of this gateway.
         claim: ClaimId,
+        /// The claim that holds the key.
         by: ClaimId,
+        /// The fingerprint of the request of that claim.
         fingerprint: Fingerprint,
         /// The voter that stores the answer of the operation, if it is the one that replied.
         answered_at: Option<Node>,
--- a/operations/src/electorate.rs
+++ b/operations/src/electorate.rs
@@ -3,7 +3,7 @@
 use crate::Node;
 use serde::{Deserialize, Serialize};
 
-/// Identifies one lifetime of a voter's data, which ends when its disk is lost.
+/// Identifies one lifetime of a voter's records, which ends when its disk is lost or it is no longer a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation {
     /// 0 for the voters that founded the system.
--- a/operations/src/message.rs
+++ b/operations/src/message.rs
@@ -34,7 +34,8 @@
     /// Gateway to voter: store the answer of this operation.
     #[serde(rename = "s")]
     Store { key: Key, claim: ClaimId, answer: ByteBuf },
-    /// Gateway to a gateway or a voter: asks for the progress of the operation that this claim runs.
+    /// Gateway to a gateway or a voter: asks for the progress of the operation that this claim runs. The reply repeats the
+    /// tag.
     #[serde(rename = "a")]
     AskProgress { key: Key, claim: ClaimId, tag: u64 },
     /// The reply to [`Message::AskProgress`].
@@ -43,15 +44,17 @@
     /// Voter to voter: asks for all records, after the sender lost its disk or was not a member for a while.
     #[serde(rename = "l")]
     RequestRecords { incarnation: Incarnation, electorate: Electorate },
-    /// Voter to voter: one part of all records held, counted from 0. A transfer is complete once all `parts` with the
-    /// same `transfer` number have arrived.
+    /// Voter to voter: one part of all records that the sender holds. A transfer is complete once all its parts have
+    /// arrived.
     #[serde(rename = "h")]
     Records {
         incarnation: Incarnation,
         electorate: Electorate,
-        /// Differs for each time that the sender sends all its records.
+        /// Identifies the transfer; differs each time that the sender sends all its records.
         transfer: u64,
+        /// Index of this part.
         part: u16,
+        /// Number of parts of the transfer.
         parts: u16,
         /// Records whose `keep_s` is the time that remains until they expire.
         records: Vec<Record>,
@@ -73,7 +76,9 @@
     /// This voter has granted the key to another claim.
     #[serde(rename = "h")]
     Held {
+        /// The claim that holds the key.
         by: ClaimId,
+        /// The fingerprint of the request of that claim.
         fingerprint: Fingerprint,
         /// Whether this voter stores the answer of the operation.
         answered: bool,
--- a/operations/src/operation_table.rs
+++ b/operations/src/operation_table.rs
@@ -19,12 +19,16 @@
     AnswerDropped,
 }
 
-/// An operation and the claim under which this gateway runs it.
+/// An operation that this gateway runs or ran.
 #[derive(Clone, Debug)]
 pub struct Operation {
+    /// The claim under which it runs.
     pub claim: ClaimId,
+    /// The fingerprint of its request.
     pub fingerprint: Fingerprint,
+    /// Its state on this gateway.
     pub state: State,
+    /// When the entry expires, in milliseconds.
     expires: u64,
 }
 
--- a/operations/src/record.rs
+++ b/operations/src/record.rs
@@ -27,8 +27,11 @@
 /// A granted claim as a voter stores it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
+    /// The claimed key.
     pub key: Key,
+    /// The claim that the key is granted to.
     pub claim: ClaimId,
+    /// The fingerprint of the request of the claim.
     pub fingerprint: Fingerprint,
     /// Seconds for which the key stays claimed.
     pub keep_s: f32,
--- a/operations/src/voter.rs
+++ b/operations/src/voter.rs
@@ -50,10 +50,13 @@
 /// An action for the driver to carry out, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send a message to a gateway or another voter.
     Send(Node, Message),
     /// Append this to the journal and sync it; then call [`Voter::on_saved`] with the number.
     Append {
+        /// Number of the entry; numbers start at 1 and increase by one.
         number: u64,
+        /// The entry to append.
         entry: Entry,
         /// Seconds for which the entry is needed; `None`: until a later entry of its kind is on disk.
         keep_s: Option<f64>,
@@ -282,7 +285,7 @@
         match message {
             Message::Claim { key, claim, fingerprint, keep_s, electorate } if claim.gateway == from => {
                 let record = Record { key, claim, fingerprint, keep_s, contested: false };
-                match self.claim(record, out) {
+                match self.decide_claim(record, out) {
                     Verdict::Granted => {
                         let number = self.held.get(&key).map_or(0, |held| held.number);
                         self.send_after(number, from, Deferred::Granted(claim, electorate), out);
@@ -290,9 +293,9 @@
                     verdict => out.push(Action::Send(from, self.vote(claim, electorate, verdict))),
                 }
             }
-            Message::Release { key, claim } if claim.gateway == from => self.release(key, claim, out),
+            Message::Release { key, claim } if claim.gateway == from => self.release_claim(key, claim, out),
             Message::Store { key, claim, answer } if claim.gateway == from => {
-                self.store(key, claim, answer.into_vec(), out)
+                self.journal_answer(key, claim, answer.into_vec(), out)
             }
             Message::AskProgress { key, claim, tag } => {
                 let held = self.held.get(&key).filter(|held| held.record.claim == claim);
@@ -320,7 +323,7 @@
     }
 
     /// Decides a claim, and journals the grant of a new one.
-    fn claim(&mut self, record: Record, out: &mut Vec<Action>) -> Verdict {
+    fn decide_claim(&mut self, record: Record, out: &mut Vec<Action>) -> Verdict {
         if !self.can_vote() {
             return Verdict::Abstained;
         }
@@ -345,14 +348,16 @@
         Verdict::Granted
     }
 
-    fn release(&mut self, key: Key, claim: ClaimId, out: &mut Vec<Action>) {
+    /// Frees the key of a claim whose operation never ran, unless the key is contested.
+    fn release_claim(&mut self, key: Key, claim: ClaimId, out: &mut Vec<Action>) {
         let held = self.held.get(&key).map(|held| held.record);
         let Some(record) = held.filter(|record| record.claim == claim && !record.contested) else { return };
         self.remove_record(key);
         self.append(Entry::Released { key, claim }, Some(f64::from(record.keep_s)), false, out);
     }
 
-    fn store(&mut self, key: Key, claim: ClaimId, answer: Vec<u8>, out: &mut Vec<Action>) {
+    /// Stores and journals the answer of an operation, if there is room for it.
+    fn journal_answer(&mut self, key: Key, claim: ClaimId, answer: Vec<u8>, out: &mut Vec<Action>) {
         let held = self.held.get(&key);
         let Some(held) = held.filter(|h| h.record.claim == claim && h.answer.is_none()) else { return };
         if !self.has_room || self.answer_bytes + answer.len() > self.settings.max_answer_bytes {
--- a/storage/src/journal.rs
+++ b/storage/src/journal.rs
@@ -43,6 +43,7 @@
 
 /// A journal and the channels on which it reports.
 pub struct OpenedJournal {
+    /// The handle of the journal.
     pub journal: Journal,
     /// The content of the journal, once it has been read.
     pub replayed: oneshot::Receiver<Replayed>,
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -22,6 +22,7 @@
 
 /// A store and the channels on which it reports.
 pub struct OpenedStore {
+    /// The handle of the store.
     pub store: Store,
     /// The content of the disk, once it has been read.
     pub content: oneshot::Receiver<Stored>,
--- a/storage/tests/disk.rs
+++ b/storage/tests/disk.rs
@@ -140,7 +140,7 @@
 /// again, and the corrupt snapshot is kept for analysis.
 #[test]
 fn a_corrupt_snapshot_is_not_an_empty_disk() {
-    let temp = TempFolder::new("spoilt");
+    let temp = TempFolder::new("corrupt");
     temp.disk().write(&state(1, 10)).unwrap();
     let path = temp.snapshot();
     let intact = fs::read(&path).unwrap();
--- a/storage/tests/journal.rs
+++ b/storage/tests/journal.rs
@@ -421,10 +421,10 @@
 
     // the head of an earlier start is also kept until another one is on disk
     let (mut segments, _) = temp.segments(bounds, 0.0);
-    let none = Head::default();
-    segments.write(0.0, &batch(0.0, 1, b"two", Some(0.5)), &none).unwrap();
-    segments.maintain(5.0, &none).unwrap();
-    segments.maintain(10.0, &none).unwrap();
+    let no_head = Head::default();
+    segments.write(0.0, &batch(0.0, 1, b"two", Some(0.5)), &no_head).unwrap();
+    segments.maintain(5.0, &no_head).unwrap();
+    segments.maintain(10.0, &no_head).unwrap();
     assert_eq!(temp.read().entries, [&b"second"[..], b"two"]);
     let third = Head::new(1, &[b"third".to_vec()]);
     segments.maintain(20.0, &third).unwrap();
@@ -529,9 +529,9 @@
     fs::write(middle, &bytes[..bytes.len() - 1]).unwrap();
     let (mut segments, read) = temp.segments(BOUNDS, 0.0);
     assert!(read.damaged);
-    let none = Head::default();
-    segments.write(1.0, &batch(1.0, 1, b"new", HOUR), &none).unwrap();
-    segments.maintain(10_000.0, &none).unwrap();
+    let no_head = Head::default();
+    segments.write(1.0, &batch(1.0, 1, b"new", HOUR), &no_head).unwrap();
+    segments.maintain(10_000.0, &no_head).unwrap();
     let read = temp.read();
     assert!(read.damaged, "nothing is deleted without a head");
     assert_eq!(read.entries.last().unwrap(), b"new");
