--- a/gossip/src/lib.rs
+++ b/gossip/src/lib.rs
@@ -77,7 +77,7 @@
             seeds_of(settings),
             unix.as_nanos() as u64 ^ u64::from(me) << 32,
         );
-        swarm.packet_most = 1100;
+        swarm.max_packet_bytes = 1100;
         let me_again: Rc<RefCell<Weak<Gossip>>> = Rc::default();
         let to = me_again.clone();
         let on_word = Rc::new(move |from, word| {
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,26 +1,30 @@
-//! Who is there: probes, second opinions, suspicion, and digests of news; no I/O.
+//! Membership and failure detection in the manner of SWIM, and the exchange of updates by digests; no I/O.
 //!
-//! A [`Swarm`] is one process's view of all others. Its host gives it the time (seconds of a steady clock),
-//! what was heard, and sends what it hands back; see [`Swarm::tick`], [`Swarm::next_wake`] and
-//! [`Swarm::heard`]. [`Spread`] adds what is held of the news, and whom it is passed on to.
+//! A [`Membership`] is one process's view of all others. Its host passes in the time (seconds of a steady
+//! clock) and the packets received, and sends the packets returned; see [`Membership::tick`],
+//! [`Membership::next_wake`] and [`Membership::receive`]. [`Disseminator`] adds the store of updates and
+//! selects the processes that they are sent to.
 
 mod digest;
-mod edges;
-mod hear;
-mod held;
+mod disseminator;
+mod edge_count;
+pub mod history;
+mod membership;
+mod packet;
 pub mod patch;
 mod probes;
-pub mod shelf;
-mod spread;
-mod swarm;
+mod receive;
+mod rumour_queue;
+mod schedule;
 mod table;
-mod talk;
-mod ways;
-mod words;
+mod update_store;
 
 pub use digest::Digest;
-pub use held::{Opened, Patches, Update, UpdateStore, Version};
+pub use disseminator::{
+    Disseminator, Effects, GossipMessage, Outgoing, Source, FANOUT_OTHER_REGIONS, FANOUT_OWN_REGION,
+    MAX_RECENT_REQUESTS, REQUEST_INTERVAL,
+};
+pub use membership::{Membership, Settings};
+pub use packet::{Body, Card, DriftReport, Member, Node, Packet, Rumour, Standing};
 pub use patch::Patch;
-pub use spread::{Disseminator, Effects, GossipMessage, Outgoing, Source, ABROAD, ASKED, ASK_AGAIN, NEAR};
-pub use swarm::{Membership, Settings};
-pub use words::{Body, Card, DriftReport, Member, Node, Packet, Rumour, Standing};
+pub use update_store::{Applied, Patches, Update, UpdateStore, Version};
--- a/membership/src/patch.rs
+++ b/membership/src/patch.rs
@@ -1,52 +1,54 @@
-//! What differs between two pieces of news: who holds the one builds the other from it, exactly, or not at all.
+//! Differences between two versions of an update. A process with the base rebuilds the other version exactly,
+//! or not at all.
 
 use std::rc::Rc;
 
-/// Of bytes, to tell pieces apart by what they are and not by their number.
+/// Checksum of content, which identifies it independently of its version number.
 pub type Checksum = u128;
 
-/// No piece built from a patch is longer.
-pub const MOST: usize = 4 << 20;
-/// Quick rather than tight: most of the gain is what both pieces share.
-const LEVEL: i32 = 1;
+/// Maximum length of the content rebuilt from a patch.
+pub const MAX_BYTES: usize = 4 << 20;
+/// Fast rather than small: most of the gain comes from what both versions share.
+const COMPRESSION_LEVEL: i32 = 1;
 
-/// The sum of a piece.
+/// Returns the checksum of some content.
 pub fn checksum(bytes: &[u8]) -> Checksum {
     xxhash_rust::xxh3::xxh3_128(bytes)
 }
 
-/// See the module.
+/// A compressed difference to a base.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Patch {
-    /// Sum of the piece that it builds on; none: it builds on nothing, and is the piece itself, packed.
+    /// Checksum of the base; `None` if the patch has no base and is the compressed content itself.
     pub base: Option<Checksum>,
-    /// Sum of the piece that it gives.
+    /// Checksum of the resulting content.
     pub result: Checksum,
-    /// Length of that piece, in bytes.
+    /// Length of the resulting content, in bytes.
     pub len: u32,
-    /// What differs (zstd, the base as its dictionary).
+    /// The difference (zstd with the base as its dictionary).
     pub bytes: Rc<[u8]>,
 }
 
 impl Patch {
-    /// What turns `base` into `piece`; none where that is no shorter than the piece itself.
-    pub fn new(base: Option<&[u8]>, piece: &[u8]) -> Option<Patch> {
-        let len = u32::try_from(piece.len()).ok().filter(|len| *len as usize <= MOST)?;
-        let mut packer = zstd::bulk::Compressor::with_dictionary(LEVEL, base.unwrap_or_default()).ok()?;
-        let bytes = packer.compress(piece).ok().filter(|b| b.len() < piece.len())?;
-        Some(Patch { base: base.map(checksum), result: checksum(piece), len, bytes: bytes.into() })
+    /// Creates a patch from `base` to `content`, or `None` if that is no shorter than the content itself.
+    pub fn new(base: Option<&[u8]>, content: &[u8]) -> Option<Patch> {
+        let len = u32::try_from(content.len()).ok().filter(|len| *len as usize <= MAX_BYTES)?;
+        let mut compressor =
+            zstd::bulk::Compressor::with_dictionary(COMPRESSION_LEVEL, base.unwrap_or_default()).ok()?;
+        let bytes = compressor.compress(content).ok().filter(|b| b.len() < content.len())?;
+        Some(Patch { base: base.map(checksum), result: checksum(content), len, bytes: bytes.into() })
     }
 
-    /// The piece, built from its base. None where that is another one, or the patch is spoilt: what comes out is
-    /// the very piece or nothing.
+    /// Rebuilds the content from its base. Returns `None` if the base is a different one or the patch is
+    /// corrupt: the result always has the expected checksum.
     pub fn apply(&self, base: Option<&[u8]>) -> Option<Rc<[u8]>> {
-        self.unpack(base).filter(|piece| checksum(piece) == self.result).map(Rc::from)
+        self.unpack(base).filter(|content| checksum(content) == self.result).map(Rc::from)
     }
 
-    /// The same, without a look at what came out.
+    /// Rebuilds the content without checking its checksum.
     pub fn unpack(&self, base: Option<&[u8]>) -> Option<Vec<u8>> {
-        let len = Some(self.len as usize).filter(|len| *len <= MOST)?;
-        let mut unpacker = zstd::bulk::Decompressor::with_dictionary(base.unwrap_or_default()).ok()?;
-        unpacker.decompress(&self.bytes, len).ok()
+        let len = Some(self.len as usize).filter(|len| *len <= MAX_BYTES)?;
+        let mut decompressor = zstd::bulk::Decompressor::with_dictionary(base.unwrap_or_default()).ok()?;
+        decompressor.decompress(&self.bytes, len).ok()
     }
 }
--- a/membership/src/probes.rs
+++ b/membership/src/probes.rs
@@ -1,278 +1,317 @@
-//! What is asked without having been asked.
+//! Periodic work: probes, suspicions and their timeouts.
 
-use crate::swarm::Membership;
-use crate::ways::Probe;
+use crate::membership::Membership;
+use crate::schedule::Probe;
 use crate::{Body, Member, Node, Packet, Standing};
 
-/// A gap in the calls longer than this means that this process stood still.
-const GAP: f64 = 1.0;
-/// Suspected ones are asked again after this many seconds, and so many of them at once.
-const AGAIN: f64 = 0.25;
-const AT_ONCE: usize = 16;
-/// Others are told of a suspicion this many seconds after it came up.
-const HUSH: f64 = 0.25;
-/// Where one is suspected, so many others not heard for so many seconds are asked at once.
-const ALARM: usize = 9;
-const SILENT: f64 = 0.6;
-/// So many are asked to ask another one.
-const HELPERS: usize = 2;
+/// A gap between two calls longer than this many seconds means that this process was paused.
+const MAX_CALL_GAP: f64 = 1.0;
+/// Suspected members are pinged again after this many seconds, and at most this many of them per call.
+const SUSPECT_PING_INTERVAL: f64 = 0.25;
+const MAX_SUSPECT_PINGS: usize = 16;
+/// A suspicion is announced to others this many seconds after it began.
+const ANNOUNCE_AFTER: f64 = 0.25;
+/// When a member becomes suspected, up to this many others are probed at once, namely those from which
+/// nothing arrived for `SILENT_AFTER` seconds.
+const MAX_SILENT_PROBES: usize = 9;
+const SILENT_AFTER: f64 = 0.6;
+/// Number of other members that are asked to ping a member indirectly.
+const INDIRECT_PINGS: usize = 2;
 
 impl Membership {
-    /// Does what is due; to be called at [`Swarm::next_wake`].
+    /// Does the work that is due and returns the packets to send. To be called at [`Membership::next_wake`].
     pub fn tick(&mut self, now: f64) -> Vec<(Node, Packet)> {
-        self.wake(now);
+        self.note_call(now);
         let mut out = Vec::new();
-        self.overdue(now, &mut out);
-        self.suspects(now, &mut out);
-        self.settle(now);
-        if now >= self.ways.next {
-            self.ways.hasten = false;
-            let late = now - self.ways.next;
-            self.ways.next = if late > self.set.period { now } else { self.ways.next } + self.set.period;
-            self.probe(now, &mut out);
-        } else if self.ways.hasten && now >= self.ways.hastened {
-            self.ways.hasten = false;
-            self.ways.hastened = now + self.set.period;
-            self.probe(now, &mut out);
+        self.check_overdue_probes(now, &mut out);
+        self.ping_suspects(now, &mut out);
+        self.refresh_derived(now);
+        if now >= self.schedule.next_probe {
+            self.schedule.early_probe = false;
+            let late = now - self.schedule.next_probe;
+            self.schedule.next_probe =
+                if late > self.settings.probe_period { now } else { self.schedule.next_probe }
+                    + self.settings.probe_period;
+            self.send_probe(now, &mut out);
+        } else if self.schedule.early_probe && now >= self.schedule.early_probe_after {
+            self.schedule.early_probe = false;
+            self.schedule.early_probe_after = now + self.settings.probe_period;
+            self.send_probe(now, &mut out);
         }
-        if std::mem::take(&mut self.ways.herald) {
+        if std::mem::take(&mut self.schedule.notify_core) {
             let core: Vec<Node> = self
                 .table
-                .with(Standing::Alive)
+                .with_standing(Standing::Alive)
                 .filter(|e| e.member.card.core)
                 .map(|e| e.member.node)
                 .collect();
             for node in core {
-                let n = self.ways.number();
-                out.push(self.doubtful(now, node, Body::Ping { n }));
+                let sequence = self.schedule.next_sequence();
+                out.push(self.minimal_packet(now, node, Body::Ping { sequence }));
             }
         }
-        if now >= self.ways.slow {
-            self.slow(now, &mut out);
+        if now >= self.schedule.next_retry {
+            self.retry_unreachable(now, &mut out);
         }
-        self.ask_members(now, &mut out);
-        self.settle(now);
+        self.query_members(now, &mut out);
+        self.refresh_derived(now);
         out
     }
 
-    /// When there is something to do next, if nothing is heard until then.
+    /// The time at which [`Membership::tick`] has work to do next, if nothing is received until then.
     pub fn next_wake(&self) -> f64 {
-        let ways = &self.ways;
-        let mut next = if ways.herald { self.last } else { ways.next.min(ways.slow) };
-        if ways.hasten {
-            next = next.min(ways.hastened);
+        let schedule = &self.schedule;
+        let mut next =
+            if schedule.notify_core { self.last_call } else { schedule.next_probe.min(schedule.next_retry) };
+        if schedule.early_probe {
+            next = next.min(schedule.early_probe_after);
         }
-        ways.probes.iter().for_each(|p| next = next.min(p.due));
-        if ways.greetings > 0 && !self.table.map.is_empty() {
-            next = next.min(ways.greet);
+        schedule.probes.iter().for_each(|p| next = next.min(p.due));
+        if schedule.startup_queries_left > 0 && !self.table.entries.is_empty() {
+            next = next.min(schedule.next_startup_query);
         }
-        match &ways.asked {
-            Some(asked) => next = next.min(asked.due),
-            None if ways.lacking.is_some() => next = next.min(ways.ask_not_before),
+        match &schedule.query {
+            Some(query) => next = next.min(query.due),
+            None if schedule.members_source.is_some() => next = next.min(schedule.next_query_after),
             None => {}
         }
-        for entry in self.table.with(Standing::Suspect) {
-            next = next.min(entry.due).min(entry.again);
+        for entry in self.table.with_standing(Standing::Suspect) {
+            next = next.min(entry.suspect_until).min(entry.next_ping);
         }
         next
     }
 
-    /// Notes the time of a call. After a standstill this process does not judge others by its own gap.
-    pub(crate) fn wake(&mut self, now: f64) {
-        let gap = now - self.last;
-        self.last = now;
-        if gap <= GAP {
+    /// Records the time of a call. After this process was paused, the missing answers say nothing about the
+    /// others: pending probes are dropped and suspicions start anew.
+    pub(crate) fn note_call(&mut self, now: f64) {
+        let gap = now - self.last_call;
+        self.last_call = now;
+        if gap <= MAX_CALL_GAP {
             return;
         }
-        self.ways.probes.clear();
-        self.ways.relays.clear();
-        self.ways.asked = None;
-        let again = now + self.set.suspicion;
-        for entry in self.table.map.values_mut().filter(|e| e.member.standing == Standing::Suspect) {
-            (entry.due, entry.again) = (again, now);
+        self.schedule.probes.clear();
+        self.schedule.relays.clear();
+        self.schedule.query = None;
+        let suspect_until = now + self.settings.suspicion_timeout;
+        for entry in self.table.entries.values_mut().filter(|e| e.member.standing == Standing::Suspect) {
+            (entry.suspect_until, entry.next_ping) = (suspect_until, now);
         }
-        self.ways.next = now;
-        self.ways.hurry(now);
-        // much may have been said meanwhile
+        self.schedule.next_probe = now;
+        self.schedule.retry_soon(now);
+        // Updates may have been missed in the meantime.
         if let Some(other) = self.sample_alive(1, |_| true).first() {
-            self.ways.lack(*other, true);
+            self.schedule.request_members(*other, true);
         }
-        self.ways.ask_not_before = self.ways.ask_not_before.min(now);
+        self.schedule.next_query_after = self.schedule.next_query_after.min(now);
     }
 
-    /// Probes that got no answer: others are asked, then it is suspected.
-    fn overdue(&mut self, now: f64, out: &mut Vec<(Node, Packet)>) {
-        self.ways.relays.retain(|r| r.due > now);
+    /// Handles probes without an answer: first sends indirect pings through others, then suspects the target.
+    fn check_overdue_probes(&mut self, now: f64, out: &mut Vec<(Node, Packet)>) {
+        self.schedule.relays.retain(|r| r.due > now);
         let mut i = 0;
-        while i < self.ways.probes.len() {
-            let probe = &mut self.ways.probes[i];
+        while i < self.schedule.probes.len() {
+            let probe = &mut self.schedule.probes[i];
             if probe.due > now {
                 i += 1;
                 continue;
             }
-            let (n, of, alone) = (probe.n, probe.of, probe.alone);
-            let alive = |m: &Member| m.standing == Standing::Alive && m.last_received < probe.sent;
-            let alive = self.table.map.get(&of).is_some_and(|e| alive(&e.member));
-            if alive && !probe.helped {
-                (probe.helped, probe.due) = (true, now + self.set.ack);
-                out.push(self.doubtful(now, of, Body::Ping { n }));
-                if !alone {
-                    self.help(now, n, of, out);
+            let (sequence, target, direct_only) = (probe.sequence, probe.target, probe.direct_only);
+            let is_alive = |m: &Member| m.standing == Standing::Alive && m.last_received < probe.sent;
+            let alive = self.table.entries.get(&target).is_some_and(|e| is_alive(&e.member));
+            if alive && !probe.indirect {
+                (probe.indirect, probe.due) = (true, now + self.settings.ack_timeout);
+                out.push(self.minimal_packet(now, target, Body::Ping { sequence }));
+                if !direct_only {
+                    self.request_indirect_pings(now, sequence, target, out);
                 }
                 i += 1;
                 continue;
             }
-            self.ways.probes.swap_remove(i);
-            if let Some(entry) = self.table.map.get_mut(&of).filter(|_| alive) {
-                entry.suspect(now, now + self.set.suspicion, false);
-                self.dirty = true;
-                self.alarm(now, of, out);
+            self.schedule.probes.swap_remove(i);
+            if let Some(entry) = self.table.entries.get_mut(&target).filter(|_| alive) {
+                entry.suspect(now, now + self.settings.suspicion_timeout, false);
+                self.table_changed = true;
+                self.probe_silent_members(now, target, out);
             }
         }
     }
 
-    /// `of` was just suspected: there may be more like it, or this process may be cut off. So others that
-    /// were not heard lately are asked at once, most of them of its region.
-    fn alarm(&mut self, now: f64, of: Node, out: &mut Vec<(Node, Packet)>) {
-        let Some(region) = self.table.map.get(&of).map(|e| e.member.card.region.as_str()) else { return };
+    /// Probes other members that were silent lately, most of them from the region of `target`, which was just
+    /// suspected: more members may have failed with it, or this process may be partitioned.
+    fn probe_silent_members(&mut self, now: f64, target: Node, out: &mut Vec<(Node, Packet)>) {
+        let Some(region) = self.table.entries.get(&target).map(|e| e.member.card.region.as_str()) else {
+            return;
+        };
         let (mut same, mut other) = (Vec::new(), Vec::new());
-        for member in
-            self.table.with(Standing::Alive).map(|e| &e.member).filter(|m| m.last_received < now - SILENT)
+        for member in self
+            .table
+            .with_standing(Standing::Alive)
+            .map(|e| &e.member)
+            .filter(|m| m.last_received < now - SILENT_AFTER)
         {
-            if self.ways.probes.iter().all(|p| p.of != member.node) {
+            if self.schedule.probes.iter().all(|p| p.target != member.node) {
                 if member.card.region == region { &mut same } else { &mut other }.push(member.node);
             }
         }
-        self.chance.shuffle(&mut same);
-        self.chance.shuffle(&mut other);
-        let most = ALARM - (ALARM / 3).min(other.len());
+        self.rng.shuffle(&mut same);
+        self.rng.shuffle(&mut other);
+        let most = MAX_SILENT_PROBES - (MAX_SILENT_PROBES / 3).min(other.len());
         same.truncate(most);
-        other.truncate(ALARM - same.len());
-        for of in same.into_iter().chain(other) {
-            let n = self.ways.number();
-            let due = now + self.set.ack;
-            self.ways.probes.push(Probe { n, of, sent: now, due, helped: false, alone: true });
-            out.push(self.doubtful(now, of, Body::Ping { n }));
+        other.truncate(MAX_SILENT_PROBES - same.len());
+        for target in same.into_iter().chain(other) {
+            let sequence = self.schedule.next_sequence();
+            let due = now + self.settings.ack_timeout;
+            self.schedule.probes.push(Probe {
+                sequence,
+                target,
+                sent: now,
+                due,
+                indirect: false,
+                direct_only: true,
+            });
+            out.push(self.minimal_packet(now, target, Body::Ping { sequence }));
         }
     }
 
-    /// The number of a probe for one that spoke though others doubt it, unless one is under way: words of before it
-    /// ended may have waited here while this process stood still, and only an answer says that it is there.
-    pub(crate) fn verify(&mut self, now: f64, of: Node) -> u32 {
-        if let Some(probe) = self.ways.probes.iter().find(|p| p.of == of) {
-            return probe.n;
+    /// Returns the sequence number for pinging a member that sent a packet though others accuse it, and
+    /// records the probe unless one is pending. Packets that it sent before it ended may have waited here
+    /// while this process was paused, so only an answer to a new ping shows that it is alive.
+    pub(crate) fn verification_ping(&mut self, now: f64, target: Node) -> u32 {
+        if let Some(probe) = self.schedule.probes.iter().find(|p| p.target == target) {
+            return probe.sequence;
         }
-        let (n, due) = (self.ways.number(), now + self.set.ack);
-        self.ways.probes.push(Probe { n, of, sent: now, due, helped: false, alone: true });
-        n
+        let (sequence, due) = (self.schedule.next_sequence(), now + self.settings.ack_timeout);
+        self.schedule.probes.push(Probe {
+            sequence,
+            target,
+            sent: now,
+            due,
+            indirect: false,
+            direct_only: true,
+        });
+        sequence
     }
 
-    /// Asks others to ask that one.
-    fn help(&mut self, now: f64, n: u32, of: Node, out: &mut Vec<(Node, Packet)>) {
-        for helper in self.sample_alive(HELPERS, |m| m.node != of) {
-            out.push(self.packet(now, helper, Body::PingReq { n, of }));
+    /// Asks other members to ping `target`.
+    fn request_indirect_pings(
+        &mut self,
+        now: f64,
+        sequence: u32,
+        target: Node,
+        out: &mut Vec<(Node, Packet)>,
+    ) {
+        for helper in self.sample_alive(INDIRECT_PINGS, |m| m.node != target) {
+            out.push(self.packet(now, helper, Body::PingReq { sequence, target }));
         }
     }
 
-    /// Suspected ones are asked again until their time is over.
-    fn suspects(&mut self, now: f64, out: &mut Vec<(Node, Packet)>) {
-        let due = |e: &&crate::table::Entry| now >= e.due || now >= e.again;
+    /// Pings suspected members again and declares them gone when their time is over.
+    fn ping_suspects(&mut self, now: f64, out: &mut Vec<(Node, Packet)>) {
+        let is_due = |e: &&crate::table::Entry| now >= e.suspect_until || now >= e.next_ping;
         let nodes: Vec<Node> =
-            self.table.with(Standing::Suspect).filter(due).map(|e| e.member.node).collect();
+            self.table.with_standing(Standing::Suspect).filter(is_due).map(|e| e.member.node).collect();
         let repeats = self.repeats();
-        let few = nodes.len() <= HELPERS;
-        let mut asked = 0;
+        let ask_helpers = nodes.len() <= INDIRECT_PINGS;
+        let mut pinged = 0;
         for node in nodes {
-            let Some(entry) = self.table.map.get_mut(&node) else { continue };
-            if now >= entry.due {
-                entry.stand(now, Standing::Gone);
-                self.dirty = true;
-                self.talk.put(now, node, repeats, false);
+            let Some(entry) = self.table.entries.get_mut(&node) else { continue };
+            if now >= entry.suspect_until {
+                entry.set_standing(now, Standing::Gone);
+                self.table_changed = true;
+                self.rumours.push(now, node, repeats, false);
                 continue;
             }
-            entry.again = now + AGAIN;
-            let own = !entry.open;
-            if own && now >= entry.member.since + HUSH {
-                entry.open = true;
-                self.talk.put(now, node, repeats, false);
+            entry.next_ping = now + SUSPECT_PING_INTERVAL;
+            let own_suspicion = !entry.announced;
+            if own_suspicion && now >= entry.member.since + ANNOUNCE_AFTER {
+                entry.announced = true;
+                self.rumours.push(now, node, repeats, false);
             }
-            asked += 1;
-            if asked <= AT_ONCE {
-                let n = self.ways.number();
-                let due = now + 2.0 * self.set.ack;
-                self.ways.probes.push(Probe { n, of: node, sent: now, due, helped: true, alone: true });
-                out.push(self.doubtful(now, node, Body::Ping { n }));
-                if own && few {
-                    self.help(now, n, node, out);
+            pinged += 1;
+            if pinged <= MAX_SUSPECT_PINGS {
+                let sequence = self.schedule.next_sequence();
+                let due = now + 2.0 * self.settings.ack_timeout;
+                self.schedule.probes.push(Probe {
+                    sequence,
+                    target: node,
+                    sent: now,
+                    due,
+                    indirect: true,
+                    direct_only: true,
+                });
+                out.push(self.minimal_packet(now, node, Body::Ping { sequence }));
+                if own_suspicion && ask_helpers {
+                    self.request_indirect_pings(now, sequence, node, out);
                 }
             }
         }
     }
 
-    /// The usual probe of the period: every second one along a ring, so that each is asked by somebody in
-    /// time, the others by chance, near and far.
-    fn probe(&mut self, now: f64, out: &mut Vec<(Node, Packet)>) {
-        self.sort_out();
-        self.ways.round = self.ways.round.wrapping_add(1);
-        let chosen = match self.ways.round % 4 {
-            0 | 2 => self.ways.ring.first().copied(),
-            1 => self.far_one().or_else(|| self.near_one()),
-            _ => self.near_one().or_else(|| self.far_one()),
+    /// Sends the probe of a period. Every second probe goes along a ring, so that each member is probed by
+    /// some other one in time. The remaining probes go to random members of the own region and of other
+    /// regions in turn.
+    fn send_probe(&mut self, now: f64, out: &mut Vec<(Node, Packet)>) {
+        self.sort_targets();
+        self.schedule.probe_round = self.schedule.probe_round.wrapping_add(1);
+        let chosen = match self.schedule.probe_round % 4 {
+            0 | 2 => self.schedule.ring.first().copied(),
+            1 => self.random_in_other_region().or_else(|| self.next_in_own_region()),
+            _ => self.next_in_own_region().or_else(|| self.random_in_other_region()),
         };
-        let Some(of) = chosen else { return };
-        let n = self.ways.number();
-        self.ways.probes.push(Probe {
-            n,
-            of,
+        let Some(target) = chosen else { return };
+        let sequence = self.schedule.next_sequence();
+        self.schedule.probes.push(Probe {
+            sequence,
+            target,
             sent: now,
-            due: now + self.set.ack,
-            helped: false,
-            alone: false,
+            due: now + self.settings.ack_timeout,
+            indirect: false,
+            direct_only: false,
         });
-        out.push(self.packet(now, of, Body::Ping { n }));
+        out.push(self.packet(now, target, Body::Ping { sequence }));
     }
 
-    /// The next one of the own region, each once a round.
-    fn near_one(&mut self) -> Option<Node> {
-        if self.ways.near_left.is_empty() {
-            self.ways.near_left.clone_from(&self.ways.near);
-            self.chance.shuffle(&mut self.ways.near_left);
+    /// Returns the next member of the own region in random order, each once per round.
+    fn next_in_own_region(&mut self) -> Option<Node> {
+        if self.schedule.own_region_left.is_empty() {
+            self.schedule.own_region_left.clone_from(&self.schedule.own_region);
+            self.rng.shuffle(&mut self.schedule.own_region_left);
         }
-        self.ways.near_left.pop()
+        self.schedule.own_region_left.pop()
     }
 
-    /// Any one of any other region; small regions are not asked less than large ones.
-    fn far_one(&mut self) -> Option<Node> {
-        let region = self.chance.choice(&self.ways.far)?;
-        self.chance.choice(region).copied()
+    /// Returns a random member of a random other region, so that small regions are probed as often as large ones.
+    fn random_in_other_region(&mut self) -> Option<Node> {
+        let region = self.rng.choice(&self.schedule.other_regions)?;
+        self.rng.choice(region).copied()
     }
 
-    /// Sorts the ones that are alive by where they are.
-    fn sort_out(&mut self) {
-        if !std::mem::take(&mut self.ways.stale) {
+    /// Groups the members that are alive by region.
+    fn sort_targets(&mut self) {
+        if !std::mem::take(&mut self.schedule.targets_stale) {
             return;
         }
-        let me = (self.set.card.region.as_str(), self.set.me);
-        let alive = self.table.with(Standing::Alive);
+        let me = (self.settings.card.region.as_str(), self.settings.me);
+        let alive = self.table.with_standing(Standing::Alive);
         let mut all: Vec<(&str, Node)> =
             alive.map(|e| (e.member.card.region.as_str(), e.member.node)).collect();
         all.sort_unstable();
         let place = all.partition_point(|a| *a < me);
-        let ways = &mut self.ways;
-        (ways.ring, ways.near, ways.far) = (Vec::new(), Vec::new(), Vec::new());
+        let schedule = &mut self.schedule;
+        (schedule.ring, schedule.own_region, schedule.other_regions) = (Vec::new(), Vec::new(), Vec::new());
         let mut region = None;
         for (place_region, node) in &all {
             if *place_region == me.0 {
-                ways.near.push(*node);
+                schedule.own_region.push(*node);
             } else {
                 if region != Some(place_region) {
                     region = Some(place_region);
-                    ways.far.push(Vec::new());
+                    schedule.other_regions.push(Vec::new());
                 }
-                ways.far.last_mut().into_iter().for_each(|f| f.push(*node));
+                schedule.other_regions.last_mut().into_iter().for_each(|group| group.push(*node));
             }
         }
-        ways.ring.extend(all[place..].iter().chain(&all[..place]).map(|a| a.1));
-        ways.near_left.retain(|n| ways.near.contains(n));
+        schedule.ring.extend(all[place..].iter().chain(&all[..place]).map(|a| a.1));
+        schedule.own_region_left.retain(|node| schedule.own_region.contains(node));
     }
 }
--- a/membership/src/table.rs
+++ b/membership/src/table.rs
@@ -1,52 +1,52 @@
-//! All others that are known.
+//! The table of all other known processes.
 
 use crate::{Card, Digest, Member, Node, Rumour, Standing};
 use std::collections::BTreeMap;
 
-/// So many others at most.
-const MOST: usize = 2048;
+/// Maximum number of members; a further one replaces the member that is gone for longest.
+const MAX_MEMBERS: usize = 2048;
 
-/// Another process with what only the swarm itself has to know of it.
+/// A member with the data that only this crate needs.
 pub(crate) struct Entry {
     pub member: Member,
-    /// Its newest turn heard of.
-    pub turn: u32,
-    /// Issue of its card.
-    pub issue: u32,
-    /// Issue of the own card that it has.
-    pub told: u32,
-    /// While suspected: when that ends.
-    pub due: f64,
-    /// While suspected: when to ask it again.
-    pub again: f64,
-    /// While suspected: others are told.
-    pub open: bool,
+    /// Its highest refutation count received in this incarnation.
+    pub refutations: u32,
+    /// Version of its card; 0 if the card is from an earlier incarnation.
+    pub card_version: u32,
+    /// Version of the own card that the member has.
+    pub delivered_card_version: u32,
+    /// While suspected: the time at which it is declared gone.
+    pub suspect_until: f64,
+    /// While suspected: the time of the next ping.
+    pub next_ping: f64,
+    /// While suspected: the suspicion has been announced to others, or came from others.
+    pub announced: bool,
 }
 
 impl Entry {
-    /// Sets the standing; returns whether it is another one.
-    pub fn stand(&mut self, now: f64, standing: Standing) -> bool {
-        let other = self.member.standing != standing;
-        if other {
+    /// Sets the standing and returns whether it changed.
+    pub fn set_standing(&mut self, now: f64, standing: Standing) -> bool {
+        let changed = self.member.standing != standing;
+        if changed {
             self.member.standing = standing;
             self.member.since = now;
         }
-        other
+        changed
     }
 
-    /// Begins a new incarnation, about which nothing is known yet.
-    pub fn reborn(&mut self, now: f64, incarnation: u64, turn: u32) {
+    /// Begins a new incarnation, of which only the refutation count is known.
+    pub fn start_incarnation(&mut self, now: f64, incarnation: u64, refutations: u32) {
         self.member.incarnation = incarnation;
         self.member.digest = Digest::default();
-        (self.turn, self.issue, self.told) = (turn, 0, 0);
-        self.stand(now, Standing::Alive);
+        (self.refutations, self.card_version, self.delivered_card_version) = (refutations, 0, 0);
+        self.set_standing(now, Standing::Alive);
     }
 
-    /// Takes a card if it is newer.
-    pub fn take_card(&mut self, card: Option<(u32, Card)>) -> bool {
+    /// Replaces the card if `card` is newer; returns whether it was.
+    pub fn update_card(&mut self, card: Option<(u32, Card)>) -> bool {
         match card {
-            Some((issue, card)) if issue > self.issue => {
-                self.issue = issue;
+            Some((card_version, card)) if card_version > self.card_version => {
+                self.card_version = card_version;
                 self.member.card = card;
                 true
             }
@@ -54,73 +54,89 @@
         }
     }
 
-    /// Suspects it until `due`.
-    pub fn suspect(&mut self, now: f64, due: f64, open: bool) {
-        self.stand(now, Standing::Suspect);
-        (self.due, self.again, self.open) = (due, now, open);
+    /// Marks the member as suspected until `suspect_until`.
+    pub fn suspect(&mut self, now: f64, suspect_until: f64, announced: bool) {
+        self.set_standing(now, Standing::Suspect);
+        (self.suspect_until, self.next_ping, self.announced) = (suspect_until, now, announced);
     }
 
-    /// What is to be said of it.
-    pub fn rumour(&self, now: f64, with_card: bool, suspicion: f64) -> Rumour {
-        let m = &self.member;
-        let age = match m.standing {
-            Standing::Suspect => ((suspicion - (self.due - now)).max(0.0) * 100.0) as u16,
+    /// Returns the rumour about this member.
+    pub fn rumour(&self, now: f64, with_card: bool, suspicion_timeout: f64) -> Rumour {
+        let member = &self.member;
+        let age = match member.standing {
+            Standing::Suspect => ((suspicion_timeout - (self.suspect_until - now)).max(0.0) * 100.0) as u16,
             _ => 0,
         };
-        let card = (with_card && m.standing == Standing::Alive).then(|| (self.issue, m.card.clone()));
-        Rumour { node: m.node, incarnation: m.incarnation, turn: self.turn, standing: m.standing, age, card }
+        let card = (with_card && member.standing == Standing::Alive)
+            .then(|| (self.card_version, member.card.clone()));
+        Rumour {
+            node: member.node,
+            incarnation: member.incarnation,
+            refutations: self.refutations,
+            standing: member.standing,
+            age,
+            card,
+        }
     }
 }
 
-/// All others by number.
+/// All other processes by their id.
 #[derive(Default)]
 pub(crate) struct Table {
-    pub map: BTreeMap<Node, Entry>,
+    pub entries: BTreeMap<Node, Entry>,
 }
 
 impl Table {
-    /// Adds one that is alive; `false` if there is no room.
+    /// Adds a member that is alive; `false` if the table is full.
     pub fn add(
         &mut self,
         now: f64,
         node: Node,
         incarnation: u64,
-        turn: u32,
-        (issue, card): (u32, Card),
+        refutations: u32,
+        (card_version, card): (u32, Card),
     ) -> bool {
-        if self.map.len() >= MOST && !self.drop_gone() {
+        if self.entries.len() >= MAX_MEMBERS && !self.evict_longest_gone() {
             return false;
         }
         let (standing, last_received, digest) = (Standing::Alive, f64::NEG_INFINITY, Digest::default());
         let member = Member { node, incarnation, card, standing, since: now, last_received, digest };
-        let entry = Entry { member, turn, issue, told: 0, due: 0.0, again: 0.0, open: false };
-        self.map.insert(node, entry);
+        let entry = Entry {
+            member,
+            refutations,
+            card_version,
+            delivered_card_version: 0,
+            suspect_until: 0.0,
+            next_ping: 0.0,
+            announced: false,
+        };
+        self.entries.insert(node, entry);
         true
     }
 
-    /// Makes room by forgetting the one that is gone for longest.
-    fn drop_gone(&mut self) -> bool {
-        let gone = self.map.values().filter(|e| e.member.standing == Standing::Gone);
+    /// Removes the member that is gone for longest to make room.
+    fn evict_longest_gone(&mut self) -> bool {
+        let gone = self.entries.values().filter(|e| e.member.standing == Standing::Gone);
         let longest = gone.min_by(|a, b| a.member.since.total_cmp(&b.member.since)).map(|e| e.member.node);
-        longest.is_some_and(|node| self.map.remove(&node).is_some())
+        longest.is_some_and(|node| self.entries.remove(&node).is_some())
     }
 
-    /// Forgets those that are gone since before `before`, unless most are gone: then it is this process
-    /// that may have been cut off, and it has to find back to them.
-    pub fn forget(&mut self, before: f64) {
-        let gone = self.map.values().filter(|e| e.member.standing == Standing::Gone).count();
-        if gone > 0 && gone * 2 <= self.map.len() {
-            self.map.retain(|_, e| e.member.standing != Standing::Gone || e.member.since >= before);
+    /// Removes the members that are gone since before `before`, unless more than half are gone. In that case
+    /// this process may be partitioned and needs the entries to find the others again.
+    pub fn remove_gone_before(&mut self, before: f64) {
+        let gone = self.entries.values().filter(|e| e.member.standing == Standing::Gone).count();
+        if gone > 0 && gone * 2 <= self.entries.len() {
+            self.entries.retain(|_, e| e.member.standing != Standing::Gone || e.member.since >= before);
         }
     }
 
-    /// Whether most others are suspected or gone.
-    pub fn lonely(&self) -> bool {
-        self.with(Standing::Alive).count() * 2 < self.map.len()
+    /// Returns whether more than half of the others are suspected or gone.
+    pub fn mostly_unreachable(&self) -> bool {
+        self.with_standing(Standing::Alive).count() * 2 < self.entries.len()
     }
 
-    /// Those with this standing.
-    pub fn with(&self, standing: Standing) -> impl Iterator<Item = &Entry> {
-        self.map.values().filter(move |e| e.member.standing == standing)
+    /// Iterates over the members with this standing.
+    pub fn with_standing(&self, standing: Standing) -> impl Iterator<Item = &Entry> {
+        self.entries.values().filter(move |e| e.member.standing == standing)
     }
 }
--- a/messaging/tests/words.rs
+++ b/messaging/tests/words.rs
@@ -39,7 +39,7 @@
     let rumour = |i| Rumour {
         node: 167903232 + i as u32,
         incarnation: 1_760_000_000_000_000,
-        turn: 300,
+        refutations: 300,
         standing: Standing::Alive,
         age: 0,
         card: Some((2, card())),
@@ -47,11 +47,11 @@
     Packet {
         from: 167903233,
         incarnation: 1_760_000_000_000_000,
-        turn: 3,
+        refutations: 3,
         load: 700,
         digest,
         card: None,
-        body: Body::Ping { n: 3_000_000_000 },
+        body: Body::Ping { sequence: 3_000_000_000 },
         rumours: (0..rumours).map(rumour).collect(),
     }
 }
