--- a/messaging/src/frame.rs
+++ b/messaging/src/frame.rs
@@ -1,22 +1,22 @@
-//! Frames on a link: the length as 4 bytes, most significant first, and so many bytes.
+//! Frames on a link: the length as 4 bytes, most significant byte first, followed by that many bytes.
 
 use crate::{encode, Node, WireMessage};
 use bytes::{Buf, BytesMut};
 
-/// The longest frame.
-pub(crate) const MOST: usize = 4 << 20;
-/// The first frame of a link: this and the number of who opened it.
-const HELLO: &[u8; 4] = b"wax1";
+/// The maximum length of a frame.
+pub(crate) const MAX_FRAME: usize = 4 << 20;
+/// The first frame of a link is this prefix and the id of the process that opened it.
+const HELLO_PREFIX: &[u8; 4] = b"wax1";
 
-/// Why a link can't go on.
+/// A frame's length exceeds the maximum, so the link has to end.
 #[derive(Debug, PartialEq)]
 pub(crate) struct TooLong;
 
-/// Takes the next whole frame; `None` while there is none.
-pub(crate) fn next(buf: &mut BytesMut) -> Result<Option<BytesMut>, TooLong> {
-    let Some(head) = buf.first_chunk::<4>() else { return Ok(None) };
-    let len = u32::from_be_bytes(*head) as usize;
-    if len > MOST {
+/// Removes and returns the next complete frame; `None` if there is none yet.
+pub(crate) fn take_next(buf: &mut BytesMut) -> Result<Option<BytesMut>, TooLong> {
+    let Some(header) = buf.first_chunk::<4>() else { return Ok(None) };
+    let len = u32::from_be_bytes(*header) as usize;
+    if len > MAX_FRAME {
         return Err(TooLong);
     }
     if buf.len() < 4 + len {
@@ -26,34 +26,35 @@
     Ok(Some(buf.split_to(len)))
 }
 
-/// Bytes still missing of the frame that began; 0 if none did.
-pub(crate) fn missing(buf: &BytesMut) -> usize {
-    let len = buf.first_chunk::<4>().map_or(0, |head| u32::from_be_bytes(*head) as usize);
-    (4 + len.min(MOST)).saturating_sub(buf.len())
+/// Returns how many bytes of an incomplete frame are missing; with an empty buffer, those of a header.
+pub(crate) fn missing_bytes(buf: &BytesMut) -> usize {
+    let len = buf.first_chunk::<4>().map_or(0, |header| u32::from_be_bytes(*header) as usize);
+    (4 + len.min(MAX_FRAME)).saturating_sub(buf.len())
 }
 
-/// Appends a word as a frame, if that leaves at most `most` bytes in the buffer; else nothing.
-pub(crate) fn put(word: &WireMessage, to: &mut Vec<u8>, most: usize) -> bool {
-    let start = to.len();
-    to.extend_from_slice(&[0; 4]);
-    let encoded = encode(word, to).is_ok();
-    let len = to.len() - start - 4;
-    if !encoded || len > MOST || to.len() > most {
-        to.truncate(start);
+/// Appends a message as a frame and returns `true`, unless it can't be encoded, is too long or would leave
+/// more than `max_len` bytes in the buffer.
+pub(crate) fn append(message: &WireMessage, buffer: &mut Vec<u8>, max_len: usize) -> bool {
+    let start = buffer.len();
+    buffer.extend_from_slice(&[0; 4]);
+    let encoded = encode(message, buffer).is_ok();
+    let len = buffer.len() - start - 4;
+    if !encoded || len > MAX_FRAME || buffer.len() > max_len {
+        buffer.truncate(start);
         return false;
     }
-    to[start..start + 4].copy_from_slice(&(len as u32).to_be_bytes());
+    buffer[start..start + 4].copy_from_slice(&(len as u32).to_be_bytes());
     true
 }
 
 /// Appends the first frame of a link.
-pub(crate) fn put_hello(me: Node, to: &mut Vec<u8>) {
-    to.extend_from_slice(&8u32.to_be_bytes());
-    to.extend_from_slice(HELLO);
-    to.extend_from_slice(&me.to_be_bytes());
+pub(crate) fn append_hello(me: Node, buffer: &mut Vec<u8>) {
+    buffer.extend_from_slice(&8u32.to_be_bytes());
+    buffer.extend_from_slice(HELLO_PREFIX);
+    buffer.extend_from_slice(&me.to_be_bytes());
 }
 
-/// Who opened the link, by its first frame.
-pub(crate) fn hello(frame: &[u8]) -> Option<Node> {
-    frame.strip_prefix(HELLO)?.try_into().ok().map(Node::from_be_bytes)
+/// Returns the process that opened the link, from its first frame.
+pub(crate) fn parse_hello(frame: &[u8]) -> Option<Node> {
+    frame.strip_prefix(HELLO_PREFIX)?.try_into().ok().map(Node::from_be_bytes)
 }
--- a/messaging/src/lib.rs
+++ b/messaging/src/lib.rs
@@ -1,19 +1,20 @@
-//! Messages between the own processes: words, framing, links over TCP and datagrams.
+//! Messages between the processes of the system: their types and encoding, frames, links over TCP, and
+//! datagrams.
 
 pub mod clock;
 mod counts;
-mod cuts;
 mod frame;
 mod link;
 pub mod list;
-mod post;
-mod word;
+mod partitions;
+mod transport;
+mod wire_message;
 
 pub use counts::{Counts, KINDS};
-pub use post::Transport;
-pub use word::{
-    decode, encode, epoch_of_round, from_fixed, round_of_epoch, to_fixed, NameReport, NameTotal, Patched,
-    WireMessage,
+pub use transport::Transport;
+pub use wire_message::{
+    decode, encode, epoch_of_round, from_fixed, round_of_epoch, to_fixed, NameReport, NameTotal, WireMessage,
+    WirePatch,
 };
 
 /// The id of a process: the IPv4 address of its machine as a number.
--- a/messaging/src/link.rs
+++ b/messaging/src/link.rs
@@ -1,7 +1,7 @@
-//! One link: what waits to be written, and the task that reads and writes it.
+//! A link to another process: its send queue, and the tasks that read and write it.
 
 use crate::frame;
-use crate::post::Inner;
+use crate::transport::Inner;
 use crate::{Node, WireMessage};
 use bytes::BytesMut;
 use socket2::SockRef;
@@ -17,56 +17,58 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// So many frames and bytes wait at most.
-const FRAMES: usize = 256;
-const BYTES: usize = 8 << 20;
-/// News wait in rows of their own, behind all other words, until a row has so many frames or bytes. What finds
-/// no room is not sent: who lacks it hears so by digests and asks again.
-const NEWS_FRAMES: usize = 32;
-const NEWS_BYTES: usize = 64 << 10;
-/// Buffers larger than this are given back after use.
-const LARGE: usize = 64 << 10;
-/// A connect may take so long.
-const CONNECT: Duration = Duration::from_secs(1);
-/// Written bytes may stay without an answer of the other machine for so long.
-const UNANSWERED: Duration = Duration::from_millis(1500);
-/// The first frame may take so long, and the end of the other direction.
-const LINGER: Duration = Duration::from_secs(2);
+/// Maximum number of frames and bytes that wait in a link.
+const MAX_FRAMES: usize = 256;
+const MAX_BYTES: usize = 8 << 20;
+/// Updates wait in queues of their own, behind all other messages, until a queue has this many frames or
+/// bytes. An update that finds no room is not sent: a receiver that lacks it sees that when it compares
+/// digests, and fetches it.
+const MAX_UPDATE_FRAMES: usize = 32;
+const MAX_UPDATE_BYTES: usize = 64 << 10;
+/// Buffers with a larger capacity are freed after use.
+const KEPT_CAPACITY: usize = 64 << 10;
+/// Maximum time to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time that written bytes may stay unacknowledged by the other machine.
+const ACK_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum time for the first frame to arrive, and for the other direction to end.
+const HELLO_AND_CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One link.
-pub(crate) struct Line {
+/// A link to another process.
+pub(crate) struct Link {
     pub to: Node,
     queue: RefCell<Queue>,
     wake: Notify,
-    /// Nothing more is put in; it ends once all is written.
-    ending: Cell<bool>,
-    /// Something went over it since the last look.
-    pub busy: Cell<bool>,
-    /// Looks without anything.
-    pub idle: Cell<u32>,
+    /// No more messages are accepted; the link ends once everything is written.
+    closing: Cell<bool>,
+    /// Whether something was sent or received since the last idle check.
+    pub used: Cell<bool>,
+    /// The number of idle checks since the last use.
+    pub idle_checks: Cell<u32>,
 }
 
+/// The frames of a link that are not written yet.
 #[derive(Default)]
 struct Queue {
     bytes: Vec<u8>,
-    /// News by urgency: what brings a list of servers alone goes ahead of documents.
-    news: [Row; 2],
-    /// Frames put in and not written yet, also those being written.
+    /// Updates by urgency: those with only a list of servers go ahead of documents.
+    updates: [UpdateQueue; 2],
+    /// Frames accepted and not written yet, including those being written.
     frames: usize,
     /// Bytes being written.
-    out: usize,
+    writing: usize,
 }
 
-/// News that wait.
+/// Updates that wait to be written.
 #[derive(Default)]
-struct Row {
+struct UpdateQueue {
     frames: VecDeque<Vec<u8>>,
     bytes: usize,
 }
 
-impl Row {
-    fn full(&self) -> bool {
-        self.frames.len() >= NEWS_FRAMES || self.bytes >= NEWS_BYTES
+impl UpdateQueue {
+    fn is_full(&self) -> bool {
+        self.frames.len() >= MAX_UPDATE_FRAMES || self.bytes >= MAX_UPDATE_BYTES
     }
 
     fn push(&mut self, frame: Vec<u8>) {
@@ -82,127 +84,129 @@
 }
 
 impl Queue {
-    /// Frames and bytes of news that wait.
-    fn news(&self) -> (usize, usize) {
-        let rows = self.news.iter().map(|row| (row.frames.len(), row.bytes));
-        rows.fold((0, 0), |sum, row| (sum.0 + row.0, sum.1 + row.1))
+    /// Returns the number of frames and bytes of waiting updates.
+    fn update_totals(&self) -> (usize, usize) {
+        let lengths = self.updates.iter().map(|waiting| (waiting.frames.len(), waiting.bytes));
+        lengths.fold((0, 0), |sum, waiting| (sum.0 + waiting.0, sum.1 + waiting.1))
     }
 }
 
-impl Line {
-    pub fn new(to: Node) -> Rc<Line> {
-        Rc::new(Line {
+impl Link {
+    pub fn new(to: Node) -> Rc<Link> {
+        Rc::new(Link {
             to,
             queue: RefCell::default(),
             wake: Notify::new(),
-            ending: Cell::new(false),
-            busy: Cell::new(true),
-            idle: Cell::new(0),
+            closing: Cell::new(false),
+            used: Cell::new(true),
+            idle_checks: Cell::new(0),
         })
     }
 
-    /// Says who opens the link, before anything else.
-    pub fn greet(&self, me: Node) {
-        frame::put_hello(me, &mut self.queue.borrow_mut().bytes);
+    /// Enqueues the first frame, which names the process that opens the link.
+    pub fn enqueue_hello(&self, me: Node) {
+        frame::append_hello(me, &mut self.queue.borrow_mut().bytes);
     }
 
-    /// Puts a word in, and returns its bytes; none if there is no room.
-    pub fn put(&self, word: &WireMessage) -> Option<usize> {
+    /// Enqueues a message and returns its bytes, or `None` if there is no room.
+    pub fn enqueue(&self, message: &WireMessage) -> Option<usize> {
         let queue = &mut *self.queue.borrow_mut();
-        let row = word.news_row();
-        if queue.frames >= FRAMES || row.is_some_and(|row| queue.news[row].full()) {
+        let update_queue = message.update_queue();
+        if queue.frames >= MAX_FRAMES || update_queue.is_some_and(|index| queue.updates[index].is_full()) {
             return None;
         }
-        let room = BYTES.saturating_sub(queue.out + queue.news().1);
-        let bytes = match row {
+        let room = MAX_BYTES.saturating_sub(queue.writing + queue.update_totals().1);
+        let bytes = match update_queue {
             None => {
                 let before = queue.bytes.len();
-                frame::put(word, &mut queue.bytes, room).then(|| queue.bytes.len() - before)
+                frame::append(message, &mut queue.bytes, room).then(|| queue.bytes.len() - before)
             }
-            Some(row) => {
-                let mut piece = Vec::new();
-                let put = frame::put(word, &mut piece, room.saturating_sub(queue.bytes.len()));
-                put.then(|| {
-                    let bytes = piece.len();
-                    queue.news[row].push(piece);
+            Some(index) => {
+                let mut frame_bytes = Vec::new();
+                let appended =
+                    frame::append(message, &mut frame_bytes, room.saturating_sub(queue.bytes.len()));
+                appended.then(|| {
+                    let bytes = frame_bytes.len();
+                    queue.updates[index].push(frame_bytes);
                     bytes
                 })
             }
         }?;
         queue.frames += 1;
-        self.busy.set(true);
+        self.used.set(true);
         self.wake.notify_one();
         Some(bytes)
     }
 
-    /// Bytes that wait or are being written.
+    /// Returns the bytes that wait or are being written.
     pub fn pending(&self) -> usize {
         let queue = self.queue.borrow();
-        queue.bytes.len() + queue.news().1 + queue.out
+        queue.bytes.len() + queue.update_totals().1 + queue.writing
     }
 
-    /// Ends the link once all is written.
-    pub fn end(&self) {
-        self.ending.set(true);
+    /// Ends the link once everything is written.
+    pub fn close(&self) {
+        self.closing.set(true);
         self.wake.notify_one();
     }
 
-    /// Frames that were not written.
-    fn left(&self) -> usize {
+    /// Returns the number of frames that were not written.
+    fn unsent_frames(&self) -> usize {
         self.queue.borrow().frames
     }
 }
 
-/// Options of each link's socket.
-fn tune(stream: SockRef<'_>) -> io::Result<()> {
+/// Sets the options of a link's socket.
+fn set_options(stream: SockRef<'_>) -> io::Result<()> {
     stream.set_tcp_nodelay(true)?;
-    stream.set_tcp_user_timeout(Some(UNANSWERED))
+    stream.set_tcp_user_timeout(Some(ACK_TIMEOUT))
 }
 
-/// Opens a link and serves it until its end.
-pub(crate) async fn dial(post: Rc<Inner>, line: Rc<Line>, wait: Duration) {
-    if !wait.is_zero() {
-        tokio::time::sleep(wait).await;
+/// Opens a link after `delay` and serves it until its end.
+pub(crate) async fn open(transport: Rc<Inner>, link: Rc<Link>, delay: Duration) {
+    if !delay.is_zero() {
+        tokio::time::sleep(delay).await;
     }
-    let opening = async {
-        post.cuts.mended(post.me, line.to).await;
-        connect(&post, line.to).await
+    let connecting = async {
+        transport.partitions.wait_until_connected(transport.me, link.to).await;
+        connect(&transport, link.to).await
     };
-    let failed = match timeout(CONNECT, opening).await {
+    let failed = match timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(Ok(stream)) => {
-            post.counts.links.set(post.counts.links.get() + 1);
-            run(&post, &line, stream, BytesMut::new()).await.is_err()
+            transport.counts.links.set(transport.counts.links.get() + 1);
+            run(&transport, &link, stream, BytesMut::new()).await.is_err()
         }
         Ok(Err(e)) => {
-            tracing::debug!("link to {}: {e}", Ipv4Addr::from(line.to));
+            tracing::debug!("link to {}: {e}", Ipv4Addr::from(link.to));
             true
         }
         Err(_) => {
-            tracing::debug!("link to {}: no answer", Ipv4Addr::from(line.to));
+            tracing::debug!("link to {}: connecting timed out", Ipv4Addr::from(link.to));
             true
         }
     };
-    post.ended(&line, line.left(), failed);
+    transport.link_ended(&link, link.unsent_frames(), failed);
 }
 
-async fn connect(post: &Inner, to: Node) -> io::Result<TcpStream> {
+/// Connects to a process.
+async fn connect(transport: &Inner, to: Node) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
-    tune(SockRef::from(&socket))?;
-    let me = Ipv4Addr::from(post.me);
+    set_options(SockRef::from(&socket))?;
+    let me = Ipv4Addr::from(transport.me);
     if me.is_loopback() {
-        // several processes of one machine: the other side is to see which one this is
+        // With several processes on one machine, the source address tells the other side which one this is.
         socket.bind(SocketAddr::from((me, 0)))?;
     }
-    socket.connect(SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::from(to), post.port))).await
+    socket.connect(SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::from(to), transport.port))).await
 }
 
 /// Serves a link that another process opened, until its end.
-pub(crate) async fn accept(post: Rc<Inner>, mut stream: TcpStream, from: SocketAddr) {
+pub(crate) async fn accept(transport: Rc<Inner>, mut stream: TcpStream, from: SocketAddr) {
     let mut buf = BytesMut::with_capacity(512);
-    let greeted = async {
+    let hello = async {
         loop {
-            match frame::next(&mut buf) {
-                Ok(Some(first)) => return frame::hello(&first),
+            match frame::take_next(&mut buf) {
+                Ok(Some(first_frame)) => return frame::parse_hello(&first_frame),
                 Ok(None) if buf.len() > 16 => return None,
                 Ok(None) => {}
                 Err(_) => return None,
@@ -212,94 +216,101 @@
             }
         }
     };
-    let node = timeout(LINGER, greeted).await.ok().flatten();
-    let matches = |node: &Node| from.ip() == Ipv4Addr::from(*node) && *node != post.me;
+    let node = timeout(HELLO_AND_CLOSE_TIMEOUT, hello).await.ok().flatten();
+    let matches = |node: &Node| from.ip() == Ipv4Addr::from(*node) && *node != transport.me;
     let Some(node) = node.filter(matches) else {
-        tracing::debug!("{from}: a link without its greeting");
-        post.unreadable();
+        tracing::debug!("{from}: link without a valid first frame");
+        transport.count_unreadable();
         return;
     };
-    if tune(SockRef::from(&stream)).is_err() {
+    if set_options(SockRef::from(&stream)).is_err() {
         return;
     }
-    let line = Line::new(node);
-    post.counts.links.set(post.counts.links.get() + 1);
-    post.taken(&line);
-    let failed = run(&post, &line, stream, buf).await.is_err();
-    post.ended(&line, line.left(), failed);
+    let link = Link::new(node);
+    transport.counts.links.set(transport.counts.links.get() + 1);
+    transport.register_incoming(&link);
+    let failed = run(&transport, &link, stream, buf).await.is_err();
+    transport.link_ended(&link, link.unsent_frames(), failed);
 }
 
 /// Reads and writes until both directions have ended, or one failed.
-async fn run(post: &Inner, line: &Rc<Line>, stream: TcpStream, buf: BytesMut) -> io::Result<()> {
-    let (mut r, mut w) = stream.into_split();
-    let mut reading = std::pin::pin!(read(post, line, &mut r, buf));
-    let mut writing = std::pin::pin!(write(post, line, &mut w));
-    let first = tokio::select! {
-        done = &mut reading => done.map(|_| true),
-        done = &mut writing => done.map(|_| false),
+async fn run(transport: &Inner, link: &Rc<Link>, stream: TcpStream, buf: BytesMut) -> io::Result<()> {
+    let (mut reader, mut writer) = stream.into_split();
+    let mut reader_task = std::pin::pin!(read(transport, link, &mut reader, buf));
+    let mut writer_task = std::pin::pin!(write(transport, link, &mut writer));
+    let finished = tokio::select! {
+        result = &mut reader_task => result.map(|_| true),
+        result = &mut writer_task => result.map(|_| false),
     };
-    // nothing more goes into it; what came before its end is still read and written
-    post.retire(line);
-    line.end();
-    match first {
-        Ok(true) => timeout(LINGER, writing).await?,
-        Ok(false) => timeout(LINGER, reading).await?,
+    // No more messages are accepted; what was enqueued or sent before is still written and read.
+    transport.unregister(link);
+    link.close();
+    match finished {
+        Ok(true) => timeout(HELLO_AND_CLOSE_TIMEOUT, writer_task).await?,
+        Ok(false) => timeout(HELLO_AND_CLOSE_TIMEOUT, reader_task).await?,
         Err(e) => Err(e),
     }
 }
 
-async fn read(post: &Inner, line: &Line, r: &mut OwnedReadHalf, mut buf: BytesMut) -> io::Result<()> {
+/// Passes received messages to the transport until the other side ends its direction.
+async fn read(
+    transport: &Inner,
+    link: &Link,
+    reader: &mut OwnedReadHalf,
+    mut buf: BytesMut,
+) -> io::Result<()> {
     loop {
         loop {
-            let Ok(frame) = frame::next(&mut buf) else {
-                post.unreadable();
+            let Ok(frame) = frame::take_next(&mut buf) else {
+                transport.count_unreadable();
                 return Err(io::ErrorKind::InvalidData.into());
             };
             let Some(frame) = frame else { break };
-            line.busy.set(true);
-            post.cuts.mended(post.me, line.to).await;
-            post.word(line.to, &frame);
+            link.used.set(true);
+            transport.partitions.wait_until_connected(transport.me, link.to).await;
+            transport.receive(link.to, &frame);
         }
-        if buf.is_empty() && buf.capacity() > LARGE {
+        if buf.is_empty() && buf.capacity() > KEPT_CAPACITY {
             buf = BytesMut::new();
         }
-        // never by what a length claims alone
-        buf.reserve(frame::missing(&buf).clamp(2048, LARGE));
-        if r.read_buf(&mut buf).await? == 0 {
+        // The capacity is bounded: a length alone must not make this process allocate much.
+        buf.reserve(frame::missing_bytes(&buf).clamp(2048, KEPT_CAPACITY));
+        if reader.read_buf(&mut buf).await? == 0 {
             return Ok(());
         }
     }
 }
 
-async fn write(post: &Inner, line: &Line, w: &mut OwnedWriteHalf) -> io::Result<()> {
+/// Writes what is enqueued until the link is closed.
+async fn write(transport: &Inner, link: &Link, writer: &mut OwnedWriteHalf) -> io::Result<()> {
     let mut out = Vec::new();
     loop {
         let frames = {
-            let queue = &mut *line.queue.borrow_mut();
+            let queue = &mut *link.queue.borrow_mut();
             std::mem::swap(&mut queue.bytes, &mut out);
-            let mut frames = queue.frames - queue.news().0;
+            let mut frames = queue.frames - queue.update_totals().0;
             if out.is_empty() {
-                if let Some(piece) = queue.news.iter_mut().find_map(Row::pop) {
-                    (out, frames) = (piece, 1);
+                if let Some(frame_bytes) = queue.updates.iter_mut().find_map(UpdateQueue::pop) {
+                    (out, frames) = (frame_bytes, 1);
                 }
             }
-            queue.out = out.len();
+            queue.writing = out.len();
             frames
         };
         if out.is_empty() {
-            if line.ending.get() {
-                return w.shutdown().await;
+            if link.closing.get() {
+                return writer.shutdown().await;
             }
-            line.wake.notified().await;
+            link.wake.notified().await;
             continue;
         }
-        timeout(UNANSWERED, post.cuts.mended(post.me, line.to)).await?;
-        w.write_all(&out).await?;
-        let mut queue = line.queue.borrow_mut();
-        queue.out = 0;
+        timeout(ACK_TIMEOUT, transport.partitions.wait_until_connected(transport.me, link.to)).await?;
+        writer.write_all(&out).await?;
+        let mut queue = link.queue.borrow_mut();
+        queue.writing = 0;
         queue.frames -= frames;
         out.clear();
-        if out.capacity() > LARGE {
+        if out.capacity() > KEPT_CAPACITY {
             out = Vec::new();
         }
     }
