--- a/data-plane/tests/rules/hive.rs
+++ b/data-plane/tests/rules/hive.rs
@@ -5,11 +5,11 @@
 use lupinledge_consensus::Ballot;
 use lupinledge_gossip::{Gossip, Host, Update};
 use lupinledge_membership::{Card, Source};
-use lupinledge_messaging::list::{ServerEntry, ServerList};
+use lupinledge_messaging::list::{ListedServer, ServerList};
 use lupinledge_messaging::{
     encode, epoch_of_round, from_fixed, round_of_epoch, to_fixed, NameTotal, Node, WireMessage,
 };
-use lupinledge_operations::voter::{self, Out, Voter};
+use lupinledge_operations::voter::{self, Action, Voter};
 use lupinledge_operations::{Key, Message};
 use serde_bytes::ByteBuf;
 use std::cell::{Cell, RefCell};
@@ -22,7 +22,7 @@
 
 enum Order {
     Document(u64, Document),
-    Rows(u64, Vec<ServerEntry>),
+    Rows(u64, Vec<ListedServer>),
     /// The duty is held under the epoch of this round from now on, by the same process.
     Round(u32),
     /// These vote on operation keys from now on.
@@ -102,14 +102,16 @@
 
 impl Holder {
     /// Lets the voter act; what it writes is on disk at once.
-    fn vote(&self, act: impl FnOnce(&mut Voter, f64, &mut Vec<Out>)) {
+    fn vote(&self, act: impl FnOnce(&mut Voter, f64, &mut Vec<Action>)) {
         let (mut voter, now, mut out) = (self.voter.borrow_mut(), self.gossip.now(), Vec::new());
         act(&mut voter, now, &mut out);
         while !out.is_empty() {
             for order in std::mem::take(&mut out) {
                 match order {
-                    Out::Send(to, message) => self.gossip.post().send(to, &WireMessage::Operation(message)),
-                    Out::Append { number, .. } => voter.saved(now, number, &mut out),
+                    Action::Send(to, message) => {
+                        self.gossip.post().send(to, &WireMessage::Operation(message))
+                    }
+                    Action::Append { number, .. } => voter.on_saved(now, number, &mut out),
                 }
             }
         }
@@ -130,7 +132,7 @@
     fn voters(&self, members: &[Node]) {
         let index = self.electorate.get() + 1;
         self.electorate.set(index);
-        self.vote(|voter, now, out| voter.members(now, index, members, &[], out));
+        self.vote(|voter, now, out| voter.set_members(now, index, members, &[], out));
     }
 }
 
@@ -185,7 +187,7 @@
                         return;
                     }
                 }
-                return self.vote(|voter, now, out| voter.heard(now, from, message, out));
+                return self.vote(|voter, now, out| voter.on_message(now, from, message, out));
             }
             _ => return,
         };
@@ -224,7 +226,7 @@
     pub fn document(&self, index: u64, document: Document) {
         let _ = self.orders.send(Order::Document(index, document));
     }
-    pub fn rows(&self, number: u64, rows: Vec<ServerEntry>) {
+    pub fn rows(&self, number: u64, rows: Vec<ListedServer>) {
         let _ = self.orders.send(Order::Rows(number, rows));
     }
     pub fn round(&self, round: u32) {
@@ -245,7 +247,7 @@
 
 /// A voter that votes from the start.
 fn founder(me: Node) -> voter::Settings {
-    voter::Settings { me, seed: 1, founds: true, records_most: KEYS, answer_bytes_most: ANSWER_BYTES }
+    voter::Settings { me, seed: 1, founder: true, max_records: KEYS, max_answer_bytes: ANSWER_BYTES }
 }
 
 async fn run(
@@ -280,7 +282,7 @@
         preferred: RefCell::default(),
         votes,
     });
-    holder.vote(|voter, now, out| voter.saved(now, 1, out));
+    holder.vote(|voter, now, out| voter.on_saved(now, 1, out));
     holder.voters(&[gossip.me()]);
     let host: Rc<dyn Host> = holder.clone();
     gossip.set_host(Rc::downgrade(&host));
--- a/messaging/src/list.rs
+++ b/messaging/src/list.rs
@@ -9,12 +9,12 @@
     /// The epoch of the duty holder, and its number of this list.
     pub number: (u64, u64),
     /// One entry per server.
-    pub rows: Vec<ServerEntry>,
+    pub rows: Vec<ListedServer>,
 }
 
 /// A server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ServerEntry {
+pub struct ListedServer {
     /// Its id, which requests name in `Lupinledge-Expect-Instance`.
     pub id: String,
     /// The service that it runs.
--- a/messaging/tests/encoding.rs
+++ b/messaging/tests/encoding.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of messages, also from arbitrary bytes.
 
 use lupinledge_membership::{Body, Card, Digest, Packet, Patch, Rumour, Standing};
-use lupinledge_messaging::list::{ServerEntry, ServerList};
+use lupinledge_messaging::list::{ListedServer, ServerList};
 use lupinledge_messaging::{
     clock::ClockEstimate, decode, encode, to_fixed, NameReport, NameTotal, WireMessage, WirePatch,
 };
@@ -116,7 +116,7 @@
         assert!(decode::<WireMessage>(truncated).is_err());
         assert!(decode::<WireMessage>(&[&original[..], &[0]].concat()).is_err());
     }
-    let row = ServerEntry {
+    let row = ListedServer {
         id: "srv-1".into(),
         service: "plans".into(),
         address: ([10, 1, 0, 7], 9000).into(),
