--- a/gossip/src/cli.rs
+++ b/gossip/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line that both programs have.
+//! The command line of the system's programs.
 
 use crate::log;
 use eyre::WrapErr;
@@ -7,55 +7,55 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// What a program says of itself.
+/// The description of a program.
 pub struct Program {
     /// Its name.
     pub name: &'static str,
     /// Its version.
     pub version: &'static str,
-    /// What it is, in a line.
+    /// A one-line summary.
     pub what: &'static str,
-    /// What it can be asked for beside that.
+    /// The commands that it has besides those of every program.
     pub commands: &'static [SubCommand],
 }
 
-/// A command that asks running processes for something and prints what they say.
+/// A command that queries running processes and prints the answer.
 pub struct SubCommand {
     /// Its name.
     pub name: &'static str,
-    /// Its arguments, as the help shows them.
+    /// Its arguments, as shown in the help.
     pub arguments: &'static str,
-    /// What it does, in a line.
+    /// A one-line summary.
     pub what: &'static str,
-    /// Runs it with its arguments.
+    /// Runs the command with its arguments and returns the text to print.
     pub run: fn(&[String]) -> eyre::Result<String>,
 }
 
-/// Runs a program's `main`: `run` without arguments, or what the arguments ask for.
-pub fn main(about: Program, run: fn() -> eyre::Result<()>) -> ExitCode {
-    let code = cli(&about, pico_args::Arguments::from_env(), run);
+/// Runs a program's `main`: `run` if there are no arguments, or the command that they name.
+pub fn main(program: Program, run: fn() -> eyre::Result<()>) -> ExitCode {
+    let exit_code = cli(&program, pico_args::Arguments::from_env(), run);
     log::flush();
-    code.unwrap_or_else(|e| {
-        // nothing is to be done where this can't be written either
+    exit_code.unwrap_or_else(|e| {
+        // If standard error can't be written, the error can't be reported.
         let _ = writeln!(std::io::stderr(), "level=error event=failed fault={:?}", format!("{e:#}"));
         ExitCode::FAILURE
     })
 }
 
 fn cli(
-    about: &Program,
+    program: &Program,
     mut args: pico_args::Arguments,
     run: fn() -> eyre::Result<()>,
 ) -> eyre::Result<ExitCode> {
-    let Program { name, version, what, commands } = about;
+    let Program { name, version, what, commands } = program;
     if args.contains(["-h", "--help"]) {
         println!(
             "{name}: {what}\n\n    \
-             {name}               runs by the settings file that LUPINLEDGE_NODE_FILE names\n    \
-             {name} check FILE    checks a settings file or a configuration, and names the field at fault\n    \
+             {name}               runs with the settings file named by LUPINLEDGE_NODE_FILE\n    \
+             {name} check FILE    checks a settings file or a configuration, and names the invalid field\n    \
              {}{name} --help\n    \
              {name} --version\n\n\
-             While it runs: SIGHUP has the settings read anew, SIGTERM ends it in order.",
+             SIGHUP reloads the settings, SIGTERM shuts the program down in order.",
             commands
                 .iter()
                 .map(|c| format!("{name} {} {}\n        {}\n    ", c.name, c.arguments, c.what))
@@ -68,25 +68,25 @@
         return Ok(ExitCode::SUCCESS);
     }
     let command = args.subcommand()?;
-    if let Some(asked) = commands.iter().find(|c| Some(c.name) == command.as_deref()) {
-        let rest = args.finish().into_iter().map(|arg| arg.to_string_lossy().into_owned());
-        print!("{}", (asked.run)(&rest.collect::<Vec<_>>())?);
+    if let Some(selected) = commands.iter().find(|c| Some(c.name) == command.as_deref()) {
+        let arguments = args.finish().into_iter().map(|arg| arg.to_string_lossy().into_owned());
+        print!("{}", (selected.run)(&arguments.collect::<Vec<_>>())?);
         return Ok(ExitCode::SUCCESS);
     }
     let file = match command.as_deref() {
         Some("check") => Some(args.free_from_str::<String>().wrap_err("check")?),
-        Some(other) => eyre::bail!("`{other}`: no such command; see --help"),
+        Some(other) => eyre::bail!("unknown command `{other}`; see --help"),
         None => None,
     };
     let rest = args.finish();
-    eyre::ensure!(rest.is_empty(), "{rest:?}: not understood; see --help");
+    eyre::ensure!(rest.is_empty(), "unexpected arguments {rest:?}; see --help");
     match file {
         Some(file) => check(Path::new(&file)),
         None => run().map(|()| ExitCode::SUCCESS),
     }
 }
 
-/// Says what is wrong with a file, settings or configuration.
+/// Checks a file with settings or a configuration and prints the result.
 fn check(path: &Path) -> eyre::Result<ExitCode> {
     let bytes = std::fs::read(path).wrap_err_with(|| path.display().to_string())?;
     let value: serde_json::Value =
--- a/gossip/src/log.rs
+++ b/gossip/src/log.rs
@@ -1,5 +1,6 @@
-//! The log: one line of key=value pairs for each event, to standard error. Lines cost processor time: only what
-//! changes hands or goes wrong is told. Whatever becomes of who reads them, they hold nobody up.
+//! The log: one line of key=value pairs per event, to standard error. Lines cost processor time, so only
+//! changes of responsibility and failures are logged. A slow or stuck reader of the log never blocks the
+//! process.
 
 use lupinledge_logging::{panics, Lines};
 use std::fmt;
@@ -13,46 +14,51 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// An event as `level=info event=won epoch=257`.
-struct Line;
+/// Formats an event as `level=info event=won epoch=257`.
+struct LineFormat;
 
-impl<S, N> FormatEvent<S, N> for Line
+impl<S, N> FormatEvent<S, N> for LineFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
         let level = match *event.metadata().level() {
             tracing::Level::ERROR => "error",
             tracing::Level::WARN => "warn",
             _ => "info",
         };
-        write!(to, "level={level}")?;
-        let mut pairs = Pairs { to, end: Ok(()) };
-        event.record(&mut pairs);
-        pairs.end?;
-        writeln!(pairs.to)
+        write!(writer, "level={level}")?;
+        let mut fields = FieldWriter { writer, result: Ok(()) };
+        event.record(&mut fields);
+        fields.result?;
+        writeln!(fields.writer)
     }
 }
 
-struct Pairs<'a> {
-    to: Writer<'a>,
-    end: fmt::Result,
+struct FieldWriter<'a> {
+    writer: Writer<'a>,
+    result: fmt::Result,
 }
 
-impl Pairs<'_> {
-    fn pair(&mut self, field: &Field, value: fmt::Arguments<'_>) {
-        self.end = self.end.and_then(|()| write!(self.to, " {}={value}", field.name()));
+impl FieldWriter<'_> {
+    fn write_pair(&mut self, field: &Field, value: fmt::Arguments<'_>) {
+        self.result = self.result.and_then(|()| write!(self.writer, " {}={value}", field.name()));
     }
 }
 
-impl Visit for Pairs<'_> {
+impl Visit for FieldWriter<'_> {
     fn record_str(&mut self, field: &Field, value: &str) {
-        let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
-        if !value.is_empty() && value.chars().all(plain) {
-            self.pair(field, format_args!("{value}"));
+        let is_plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
+        if !value.is_empty() && value.chars().all(is_plain) {
+            self.write_pair(field, format_args!("{value}"));
         } else {
-            self.pair(field, format_args!("{value:?}"));
+            self.write_pair(field, format_args!("{value:?}"));
         }
     }
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
@@ -61,17 +67,17 @@
     }
 }
 
-/// At the end of the process its lines have so long to come out.
-const FLUSH: Duration = Duration::from_millis(200);
+/// The time that the remaining lines get to be written when the process ends.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-static LINES: OnceLock<Lines> = OnceLock::new();
+static WRITER: OnceLock<Lines> = OnceLock::new();
 
-/// Takes one whole line a call.
-struct OneLine;
+/// Passes on one whole line per call.
+struct LineWriter;
 
-impl io::Write for OneLine {
+impl io::Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        LINES.get().into_iter().for_each(|lines| lines.put(line.to_vec()));
+        WRITER.get().into_iter().for_each(|lines| lines.put(line.to_vec()));
         Ok(line.len())
     }
     fn flush(&mut self) -> io::Result<()> {
@@ -79,22 +85,23 @@
     }
 }
 
-/// Waits for the lines so far, but not for a reader that stands still. To be called before the process ends.
+/// Waits until the lines so far are written, but not longer if the reader is stuck. To be called before the
+/// process ends.
 pub fn flush() {
-    LINES.get().into_iter().for_each(|lines| lines.flush(FLUSH));
+    WRITER.get().into_iter().for_each(|lines| lines.flush(FLUSH_TIMEOUT));
 }
 
-fn tell_panic(panic: &PanicHookInfo) {
+fn log_panic(panic: &PanicHookInfo) {
     tracing::error!(event = "panicked", fault = %panic);
     flush();
 }
 
-/// From here on events are written, and a panic on this thread ends the process.
+/// Starts the log. From then on events are written, and a panic on this thread ends the process.
 pub fn start() {
-    LINES.get_or_init(|| Lines::start(io::stderr()));
-    let fmt = tracing_subscriber::fmt().with_max_level(tracing::Level::INFO).with_writer(|| OneLine);
-    let _ = fmt.event_format(Line).try_init();
-    // the shared parts tell of each connection; at thousands a second that is too dear
+    WRITER.get_or_init(|| Lines::start(io::stderr()));
+    let fmt = tracing_subscriber::fmt().with_max_level(tracing::Level::INFO).with_writer(|| LineWriter);
+    let _ = fmt.event_format(LineFormat).try_init();
+    // The shared crates log each connection; at thousands per second that would cost too much.
     log::set_max_level(log::LevelFilter::Warn);
-    panics::end_the_process(tell_panic);
+    panics::end_the_process(log_panic);
 }
--- a/gossip/src/metrics.rs
+++ b/gossip/src/metrics.rs
@@ -1,21 +1,21 @@
-//! The figures of a process as text, a line each: the name, a space, the number.
+//! The metrics of a process as text, one line each: the name, a space and the number.
 
 use lupinledge_invariants::{violations, Invariant};
 use std::fmt::Write;
 
-/// Takes a figure's name and number.
+/// Receives the name and value of a metric.
 pub type MetricSink<'a> = dyn FnMut(&str, u64) + 'a;
 
-/// The violations of each invariant, then what `figures` adds.
-pub fn render(figures: impl FnOnce(&mut MetricSink)) -> String {
+/// Renders the violations of each invariant, followed by the metrics that `write_metrics` adds.
+pub fn render(write_metrics: impl FnOnce(&mut MetricSink)) -> String {
     let mut text = String::new();
-    let mut line = |name: &str, value: u64| {
-        // nothing written into memory fails
+    let mut sink = |name: &str, value: u64| {
+        // Writing into memory cannot fail.
         let _ = writeln!(text, "{name} {value}");
     };
     for invariant in Invariant::ALL {
-        line(&format!("invariant_violations.{}", invariant.name()), violations(invariant));
+        sink(&format!("invariant_violations.{}", invariant.name()), violations(invariant));
     }
-    figures(&mut line);
+    write_metrics(&mut sink);
     text
 }
--- a/gossip/src/settings.rs
+++ b/gossip/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: read at the start, at SIGHUP, and when it changed.
+//! The settings file, which is read at the start, at SIGHUP, and after each change.
 
 use eyre::{eyre, WrapErr};
 use lupinledge_config::Settings;
@@ -8,54 +8,54 @@
 use tokio::signal::unix::Signal;
 use tokio::time::timeout;
 
-/// The variable that names the file.
+/// The environment variable with the path of the file.
 pub const VARIABLE: &str = "LUPINLEDGE_NODE_FILE";
-const LOOK: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Where the settings are.
+/// Returns the path of the settings file.
 pub fn path() -> eyre::Result<PathBuf> {
-    std::env::var_os(VARIABLE).map(PathBuf::from).ok_or_else(|| eyre!("`{VARIABLE}`: not set"))
+    std::env::var_os(VARIABLE).map(PathBuf::from).ok_or_else(|| eyre!("the variable `{VARIABLE}` is not set"))
 }
 
-/// Reads and checks the file; an error names the field.
+/// Reads and checks the file; an error names the invalid field.
 pub fn read(path: &Path) -> eyre::Result<Settings> {
     let bytes = std::fs::read(path).wrap_err_with(|| path.display().to_string())?;
     Settings::parse(&bytes).map_err(|fault| eyre!("{}: {fault}", path.display()))
 }
 
-/// What tells one state of a file from another: its time, its length, and which file it is.
-type State = (Option<SystemTime>, u64, u64);
+/// The properties by which a change of a file is detected: its modification time, length and inode.
+type FileState = (Option<SystemTime>, u64, u64);
 
-fn state(path: &Path) -> Option<State> {
+fn file_state(path: &Path) -> Option<FileState> {
     let metadata = std::fs::metadata(path).ok()?;
     Some((metadata.modified().ok(), metadata.len(), metadata.ino()))
 }
 
-/// Takes the file anew whenever it changes, as long as the process runs. One that can't be read, or that `take`
-/// refuses, changes nothing and is logged with the field at fault; it is looked at again each time, since it may have
-/// been met half written.
-pub async fn watch(path: PathBuf, mut hangup: Signal, take: impl Fn(Settings) -> eyre::Result<()>) {
-    let mut last = state(&path);
-    let mut refused: Option<String> = None;
+/// Applies the file again after each change, as long as the process runs. A file that can't be read, or that
+/// `apply` refuses, changes nothing and is logged with the invalid field. It is read again at each check,
+/// since it may have been read half written.
+pub async fn watch(path: PathBuf, mut hangup: Signal, apply: impl Fn(Settings) -> eyre::Result<()>) {
+    let mut last_state = file_state(&path);
+    let mut last_fault: Option<String> = None;
     loop {
-        let asked = timeout(LOOK, hangup.recv()).await.is_ok();
-        let now = state(&path);
-        if !asked && now == last && refused.is_none() {
+        let requested = timeout(CHECK_INTERVAL, hangup.recv()).await.is_ok();
+        let current_state = file_state(&path);
+        if !requested && current_state == last_state && last_fault.is_none() {
             continue;
         }
-        last = now;
-        match read(&path).and_then(&take) {
+        last_state = current_state;
+        match read(&path).and_then(&apply) {
             Ok(()) => {
-                refused = None;
+                last_fault = None;
                 tracing::info!(event = "settings_taken");
             }
-            // whatever is wrong with the new file, the old one has served until now
+            // The previous settings stay in force, whatever is wrong with the new file.
             Err(e) => {
                 let fault = format!("{e:#}");
-                if asked || refused.as_ref() != Some(&fault) {
+                if requested || last_fault.as_ref() != Some(&fault) {
                     tracing::error!(event = "settings_refused", %fault);
                 }
-                refused = Some(fault);
+                last_fault = Some(fault);
             }
         }
     }
