--- a/membership/src/disseminator.rs
+++ b/membership/src/disseminator.rs
@@ -8,8 +8,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Number of processes in each other region, and in the own one, to which an update is sent.
+/// Number of processes in each other region to which an update is sent.
 pub const FANOUT_OTHER_REGIONS: usize = 2;
+/// Number of processes in the own region to which an update is sent.
 pub const FANOUT_OWN_REGION: usize = 4;
 
 /// Seconds until the same peer is asked again for updates.
--- a/membership/src/history.rs
+++ b/membership/src/history.rs
@@ -5,8 +5,9 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Maximum number of versions kept, and maximum bytes of those that are not the newest two.
+/// Maximum number of versions kept.
 pub const MAX_VERSIONS: usize = 8;
+/// Maximum bytes of the versions kept beside the newest two.
 pub const MAX_OLD_BYTES: usize = 256 << 10;
 
 struct Entry {
