--- a/data-plane/src/door.rs
+++ b/data-plane/src/door.rs
@@ -13,11 +13,13 @@
 use lupinledge_config::config::RouteKind;
 use lupinledge_config::{Route, Tables, Tenant};
 use lupinledge_operations::{Fingerprint, Key};
-use lupinledge_proxy::clients::{bare, say, text, whole, whole_counted, Answering, Reply, Unread};
-use lupinledge_proxy::exchange::{Answer, Attempt, Exchange, Ticket};
-use lupinledge_proxy::ids::Ids;
-use lupinledge_proxy::transport::body::{Memory, Taken};
-use lupinledge_proxy::transport::heads::Heads;
+use lupinledge_proxy::clients::{
+    empty_reply, header_text, read_body, read_body_with_budget, text_reply, BodyError, Reply, RequestHandler,
+};
+use lupinledge_proxy::exchange::{Answer, Attempt, Exchange, PendingRequest};
+use lupinledge_proxy::ids::RecentIds;
+use lupinledge_proxy::transport::body::{MemoryBudget, Reservation};
+use lupinledge_proxy::transport::framing::RequestFraming;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -58,12 +60,12 @@
     pools: Rc<Pools>,
     operations: Rc<Operations>,
     /// Those that may have run.
-    ids: RefCell<Ids>,
+    ids: RefCell<RecentIds>,
     failures: Failures,
     /// Where the last request fell between the parts of a split, from 0 to 1.
     split: Cell<f64>,
     /// For the bodies of requests.
-    memory: Arc<Memory>,
+    memory: Arc<MemoryBudget>,
     pub closing: Cell<bool>,
 }
 
@@ -87,7 +89,7 @@
 
 impl Door {
     pub fn new(pools: Rc<Pools>, operations: Rc<Operations>, memory_mb: f64, seed: u64) -> Rc<Door> {
-        let memory = Memory::of((memory_mb * 1e6 * BODIES) as usize);
+        let memory = MemoryBudget::new((memory_mb * 1e6 * BODIES) as usize);
         let split = Cell::new(fastrand::Rng::with_seed(seed).f64());
         let closing = Cell::new(false);
         Rc::new(Door {
@@ -101,11 +103,17 @@
         })
     }
 
-    async fn read(&self, req: Request<Incoming>, heads: &Heads, by: Instant) -> Result<Reply, Refusal> {
+    async fn read(
+        &self,
+        req: Request<Incoming>,
+        heads: &RequestFraming,
+        by: Instant,
+    ) -> Result<Reply, Refusal> {
         let (came, shuts) = (self.pools.clock.now(), self.pools.shut().1);
         let tables = self.pools.tables();
         let (mut head, body) = req.into_parts();
-        let host = head.uri.host().or_else(|| text(&head.headers, &HOST)).unwrap_or_default().to_string();
+        let host =
+            head.uri.host().or_else(|| header_text(&head.headers, &HOST)).unwrap_or_default().to_string();
         if tables.version() == 0 {
             return Err(Box::new(later(0.5))); // nothing is in force yet
         }
@@ -127,20 +135,21 @@
             }
         };
         let most = tables.limits().max_body_bytes;
-        let told = text(&head.headers, &CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok());
+        let told = header_text(&head.headers, &CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok());
         let large = || refuse(StatusCode::PAYLOAD_TOO_LARGE, "body: too long");
         if told.is_some_and(|l| l > most) {
             return Err(large());
         }
         // one that tells no length takes room as it comes
-        let room = self.memory.take(told.unwrap_or(0) as usize);
+        let room = self.memory.try_reserve(told.unwrap_or(0) as usize);
         let mut room = room.ok_or_else(|| Box::new(later(NO_ROOM)))?;
-        let takes = |bytes: usize| told.is_some() || room.grow(bytes);
-        let body = match tokio::time::timeout_at(by, whole_counted(body, most as usize, takes)).await {
+        let takes = |bytes: usize| told.is_some() || room.try_grow(bytes);
+        let body = match tokio::time::timeout_at(by, read_body_with_budget(body, most as usize, takes)).await
+        {
             Ok(Ok(body)) => body,
-            Ok(Err(Unread::NoRoom)) => return Err(Box::new(later(NO_ROOM))),
-            Ok(Err(Unread::TooLong)) => return Err(large()),
-            Ok(Err(Unread::Broken)) => return Err(refuse(StatusCode::BAD_REQUEST, "body: broken")),
+            Ok(Err(BodyError::NoMemory)) => return Err(Box::new(later(NO_ROOM))),
+            Ok(Err(BodyError::TooLong)) => return Err(large()),
+            Ok(Err(BodyError::Broken)) => return Err(refuse(StatusCode::BAD_REQUEST, "body: broken")),
             Err(_) => return Err(refuse(StatusCode::REQUEST_TIMEOUT, "body: not there in time")),
         };
         if let (Some(hint), _) = self.pools.shut() {
@@ -205,13 +214,13 @@
         let Some((pool, new)) = place(&self.pools, tables, route, tenant, asked) else {
             return Ok((later(0.5), Vec::new()));
         };
-        let new_id = |id: &[u8]| self.ids.borrow_mut().enter(id, asked.came.secs(), REMEMBERED);
+        let new_id = |id: &[u8]| self.ids.borrow_mut().insert(id, asked.came.secs(), REMEMBERED);
         if once.as_deref().is_some_and(|id| !new_id(id)) {
             return Err(refuse(StatusCode::CONFLICT, "Lupinledge-Attempt-Id: had before"));
         }
-        let (answer, attempts) = pool.take(new, carried).answer_with_attempts().await;
+        let (answer, attempts) = pool.submit(new, carried).answer_with_attempts().await;
         if let (Answer::Denied(_), Some(id)) = (&answer, &once) {
-            self.ids.borrow_mut().forget(id);
+            self.ids.borrow_mut().remove(id);
         }
         Ok((self.reply(answer), attempts))
     }
@@ -244,7 +253,7 @@
         asked: Asked,
         tenant: Option<Tenant>,
         carried: Carried,
-        room: Taken,
+        room: Reservation,
     ) -> (Reply, Vec<Attempt>) {
         let (operations, pools) = (self.operations.clone(), self.pools.clone());
         let attempt_id = asked.attempt_id.clone();
@@ -257,13 +266,13 @@
         let reply = match ended.await.unwrap_or(Ended::Lost) {
             Ended::Performed(answer, attempts) => return (self.reply(answer), attempts),
             Ended::Repeated(answer) => KeptAnswer::decoded(&answer, attempt_id.as_ref())
-                .map_or_else(|| bare(StatusCode::BAD_GATEWAY), passed),
-            Ended::AtWork => say(StatusCode::CONFLICT, "Lupinledge-Operation-Key: in work"),
+                .map_or_else(|| empty_reply(StatusCode::BAD_GATEWAY), passed),
+            Ended::AtWork => text_reply(StatusCode::CONFLICT, "Lupinledge-Operation-Key: in work"),
             Ended::OtherRequest => {
                 let text = "Lupinledge-Operation-Key: used for another request";
-                say(StatusCode::UNPROCESSABLE_ENTITY, text)
+                text_reply(StatusCode::UNPROCESSABLE_ENTITY, text)
             }
-            Ended::Lost => bare(StatusCode::BAD_GATEWAY),
+            Ended::Lost => empty_reply(StatusCode::BAD_GATEWAY),
             Ended::Unavailable => later(NO_MAJORITY),
             Ended::NotSent => match self.pools.shut().0 {
                 Some(hint) => away(hint),
@@ -279,7 +288,7 @@
             // not sent, see `Pools::shut`
             Answer::Denied(after) if self.pools.shut().0.is_some() => away(after.secs()),
             Answer::Denied(after) => retry(StatusCode::TOO_MANY_REQUESTS, after.secs()),
-            Answer::Aborted => bare(StatusCode::BAD_GATEWAY),
+            Answer::Aborted => empty_reply(StatusCode::BAD_GATEWAY),
         }
     }
 
@@ -293,11 +302,11 @@
 }
 
 fn refuse(status: StatusCode, what: &'static str) -> Refusal {
-    Box::new(say(status, what))
+    Box::new(text_reply(status, what))
 }
 
 fn retry(status: StatusCode, secs: f64) -> Reply {
-    let mut reply = bare(status);
+    let mut reply = empty_reply(status);
     if secs > 0.0 {
         let secs = HeaderValue::from_str(&format!("{secs:.3}"));
         secs.into_iter().for_each(|s| drop(reply.headers_mut().insert(RETRY_AFTER, s)));
@@ -381,14 +390,19 @@
 
 /// Hands a request whose key is claimed to its pool, by the tables in force now. None: its time is over, or there is no
 /// such route any more, or it is not the tenant's.
-fn take(pools: &Pools, asked: &Asked, before: Option<&Tenant>, carried: Carried) -> Option<Ticket<Trail>> {
+fn take(
+    pools: &Pools,
+    asked: &Asked,
+    before: Option<&Tenant>,
+    carried: Carried,
+) -> Option<PendingRequest<Trail>> {
     let tables = pools.tables();
     let route = tables.route(&asked.host, &asked.path).filter(|r| r.kind == RouteKind::Keyed)?;
     let tenant = tenant(&tables, route, asked.token.as_deref()).ok()?;
     let same_tenant = tenant.map(|t| &t.name) == before.map(|t| &t.name);
     let (pool, new) = place(pools, &tables, route, tenant, asked)?;
     let may_go = same_tenant && pools.shut().0.is_none() && new.time_left > Span::ZERO;
-    may_go.then(|| pool.take(new, carried))
+    may_go.then(|| pool.submit(new, carried))
 }
 
 /// The id of a request that may run once, among its tenant's.
@@ -402,17 +416,17 @@
 /// seconds that is.
 pub struct Early<F>(pub F);
 
-impl<F: Fn() -> f64 + 'static> Answering for Early<F> {
-    async fn answer(&self, req: Request<Incoming>, _: &Heads, whole_by: Instant) -> Reply {
-        let _ = tokio::time::timeout_at(whole_by, whole(req.into_body(), EARLY_BODY)).await;
+impl<F: Fn() -> f64 + 'static> RequestHandler for Early<F> {
+    async fn handle(&self, req: Request<Incoming>, _: &RequestFraming, whole_by: Instant) -> Reply {
+        let _ = tokio::time::timeout_at(whole_by, read_body(req.into_body(), EARLY_BODY)).await;
         away((self.0)())
     }
 }
 
-impl Answering for Door {
-    async fn answer(&self, req: Request<Incoming>, heads: &Heads, whole_by: Instant) -> Reply {
+impl RequestHandler for Door {
+    async fn handle(&self, req: Request<Incoming>, heads: &RequestFraming, whole_by: Instant) -> Reply {
         if let (Some(hint), _) = self.pools.shut() {
-            return Early(move || hint).answer(req, heads, whole_by).await;
+            return Early(move || hint).handle(req, heads, whole_by).await;
         }
         match self.read(req, heads, whole_by).await {
             Ok(reply) => reply,
@@ -423,7 +437,7 @@
             }
         }
     }
-    fn closing(&self) {
+    fn on_closing(&self) {
         self.closing.set(true);
     }
 }
--- a/data-plane/src/failures.rs
+++ b/data-plane/src/failures.rs
@@ -76,7 +76,7 @@
 
 /// As `server:outcome:milliseconds`, by commas.
 fn described(attempts: &[Attempt]) -> String {
-    let one = |a: &Attempt| format!("{}:{:?}:{:.0}", a.srv, a.how, a.took.secs() * 1e3);
+    let one = |a: &Attempt| format!("{}:{:?}:{:.0}", a.server, a.outcome, a.duration.secs() * 1e3);
     attempts.iter().map(one).collect::<Vec<_>>().join(",")
 }
 
--- a/data-plane/src/failures/tests.rs
+++ b/data-plane/src/failures/tests.rs
@@ -14,7 +14,8 @@
 
 #[test]
 fn attempts_are_described_in_order() {
-    let attempt = |srv: &str, how, ms| Attempt { srv: srv.into(), how, took: Span::millis(ms) };
+    let attempt =
+        |server: &str, outcome, ms| Attempt { server: server.into(), outcome, duration: Span::millis(ms) };
     let attempts = [attempt("i-1", Outcome::Full, 3), attempt("i-2", Outcome::Reset, 40)];
     assert_eq!(described(&attempts), "i-1:Full:3,i-2:Reset:40");
     assert_eq!(described(&[]), "");
--- a/data-plane/src/guard.rs
+++ b/data-plane/src/guard.rs
@@ -10,7 +10,7 @@
 };
 use lupinledge_gossip::Gossip;
 use lupinledge_membership::DriftReport;
-use lupinledge_proxy::clients::Clients;
+use lupinledge_proxy::clients::ClientConnections;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     gossip: Rc<Gossip>,
     pools: Rc<Pools>,
     ready: Rc<Cell<bool>>,
-    clients: Rc<Clients<Door>>,
+    clients: Rc<ClientConnections<Door>>,
     audit: Audit,
     watch: DriftMonitor,
     turns: u32,
@@ -44,7 +44,7 @@
         gossip: Rc<Gossip>,
         pools: Rc<Pools>,
         ready: Rc<Cell<bool>>,
-        clients: Rc<Clients<Door>>,
+        clients: Rc<ClientConnections<Door>>,
         seed: u64,
     ) -> Guard {
         let watch = DriftMonitor::new(gossip.now(), Settings::new(nest.settings().bounds.config_apply_s));
@@ -116,7 +116,7 @@
                 self.doubted = Some((tables.clone(), judge_name));
                 self.ready.set(false);
                 self.pools.set_shut(Some(self.watch.retry_after(self.gossip.now())));
-                self.clients.closing();
+                self.clients.start_closing();
                 let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
                 let (part, fingerprints) =
                     (part.map_or(u8::MAX, |p| p as u8), self.audit.live_print().parts());
--- a/data-plane/src/ledger.rs
+++ b/data-plane/src/ledger.rs
@@ -115,7 +115,7 @@
             let total = Total { counted: from_fixed(*total), level: level.map(from_fixed) };
             self.own.borrow_mut().record_total(self.now(), call.name, call.sum, total);
             let pool = call.pool.upgrade().into_iter();
-            pool.for_each(|p| p.counted(call.name, total.counted, total.level, Outcome::Passed));
+            pool.for_each(|p| p.counter_call_ended(call.name, total.counted, total.level, Outcome::Passed));
         }
     }
 
@@ -141,7 +141,9 @@
             let sum = self.own.borrow_mut().add(now, name, amount, f64::from(life));
             let Some(sum) = sum else {
                 // not counted: the pool keeps to its own part of that quota, as with a counter out of reach
-                pool.upgrade().into_iter().for_each(|p| p.counted(name, 0.0, None, Outcome::NoConnection));
+                pool.upgrade()
+                    .into_iter()
+                    .for_each(|p| p.counter_call_ended(name, 0.0, None, Outcome::NoConnection));
                 continue;
             };
             words.push((name, to_fixed(sum), life.ceil() as u16));
@@ -170,7 +172,7 @@
             if how != Outcome::TimedOut {
                 self.own.borrow_mut().undo(call.name, call.amount);
             }
-            call.pool.upgrade().into_iter().for_each(|p| p.counted(call.name, 0.0, None, how));
+            call.pool.upgrade().into_iter().for_each(|p| p.counter_call_ended(call.name, 0.0, None, how));
         }
     }
 }
--- a/data-plane/src/nest.rs
+++ b/data-plane/src/nest.rs
@@ -96,7 +96,7 @@
         let (mut asked, mut again) = (0, began);
         loop {
             if let Some(now) = self.estimate.borrow().remote_time(self.gossip.now()) {
-                return lupinledge_proxy::clock::Clock::showing(now);
+                return lupinledge_proxy::clock::Clock::starting_at(now);
             }
             if began.elapsed() > most {
                 tracing::warn!(event = "clock", from = "own");
--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -11,7 +11,7 @@
 use lupinledge_operations::message::{Message, Progress};
 use lupinledge_operations::operation_table::State;
 use lupinledge_operations::record::{ClaimId, Fingerprint, Key};
-use lupinledge_proxy::exchange::{Answer, Attempt, Ticket};
+use lupinledge_proxy::exchange::{Answer, Attempt, PendingRequest};
 use serde_bytes::ByteBuf;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -121,7 +121,11 @@
 impl Operations {
     /// Sees a request to its end. `send` hands it to the servers' pool once it may run; none: there is nothing to send
     /// it to any more. Not to be dropped before its end, or its key stays taken.
-    pub async fn perform(&self, request: Request, send: impl FnOnce() -> Option<Ticket<Trail>>) -> Ended {
+    pub async fn perform(
+        &self,
+        request: Request,
+        send: impl FnOnce() -> Option<PendingRequest<Trail>>,
+    ) -> Ended {
         let _active = Active::new(self);
         loop {
             let ended = self.ended.notified();
@@ -157,7 +161,11 @@
         }
     }
 
-    async fn claim_and_send(&self, request: &Request, send: impl FnOnce() -> Option<Ticket<Trail>>) -> Ended {
+    async fn claim_and_send(
+        &self,
+        request: &Request,
+        send: impl FnOnce() -> Option<PendingRequest<Trail>>,
+    ) -> Ended {
         loop {
             let Some(claim) = self.begin(request) else { return Ended::NotSent };
             let settled = self.settle(request, &claim).await;
@@ -339,7 +347,7 @@
         &self,
         request: &Request,
         claim: ClaimId,
-        send: impl FnOnce() -> Option<Ticket<Trail>>,
+        send: impl FnOnce() -> Option<PendingRequest<Trail>>,
     ) -> Ended {
         let Some(ticket) = send() else {
             self.withdraw(request.key, claim);
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -12,10 +12,10 @@
 use lupinledge_messaging::list::{ListedServer, ServerList};
 use lupinledge_proxy::clock::Clock;
 use lupinledge_proxy::counters::Counters;
-use lupinledge_proxy::exchange::{Entry, Exchange};
-use lupinledge_proxy::srvs::{SrvBounds, Srvs};
-use lupinledge_proxy::transport::body::Memory;
-use lupinledge_proxy::transport::descriptors::Share;
+use lupinledge_proxy::exchange::{Exchange, ServerListEntry};
+use lupinledge_proxy::servers::{ServerConnections, ServerLimits};
+use lupinledge_proxy::transport::body::MemoryBudget;
+use lupinledge_proxy::transport::descriptors::DescriptorPool;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -67,9 +67,9 @@
     pub clock: Clock,
     pub counters: Rc<Counters>,
     ledger: Rc<Ledger>,
-    places: Rc<Share>,
+    places: Rc<DescriptorPool>,
     /// For the answers of servers, over all pools.
-    answers: Arc<Memory>,
+    answers: Arc<MemoryBudget>,
     wanted: RefCell<Wanted>,
     /// Nothing is sent; clients that come are to come back after so many seconds.
     shut: Cell<Option<f64>>,
@@ -82,11 +82,11 @@
         settings: Rc<Settings>,
         clock: Clock,
         ledger: Rc<Ledger>,
-        places: Rc<Share>,
+        places: Rc<DescriptorPool>,
         seed: u64,
     ) -> Rc<Pools> {
         let world = World::new(&settings, seed);
-        let answers = Memory::of((settings.limits.memory_mb * 1e6 * ANSWERS) as usize);
+        let answers = MemoryBudget::new((settings.limits.memory_mb * 1e6 * ANSWERS) as usize);
         let (counters, wanted) = (Rc::default(), RefCell::new(Wanted { gateways: 1, ..Wanted::default() }));
         let settings = RefCell::new(settings);
         Rc::new(Pools {
@@ -162,7 +162,7 @@
         }
         let w = self.wanted.borrow();
         let open = w.pools.values().chain(&w.retired).filter(|_| hint.is_some());
-        open.for_each(|p| p.exchange.turn_away(Span::from_secs(hint.unwrap_or_default())));
+        open.for_each(|p| p.exchange.deny_waiting(Span::from_secs(hint.unwrap_or_default())));
     }
 
     /// A route or tenant whose rules in a pool are not those of the tables; one pool a call.
@@ -295,7 +295,7 @@
         for (nth, s) in w.tables.services().iter().enumerate() {
             let terms = terms(&self.settings.borrow(), &self.world, (nth, s), w.gateways, &w.lines);
             match w.pools.get(&s.name) {
-                Some(p) => p.exchange.change(terms),
+                Some(p) => p.exchange.set_terms(terms),
                 None => drop(w.pools.insert(s.name.clone(), self.open(terms))),
             }
         }
@@ -303,20 +303,20 @@
 
     fn open(&self, terms: lupinledge::interface::Terms) -> Pool {
         let exchange: Rc<Exchange<Trail>> = Exchange::new(terms, self.clock, self.counters.clone());
-        let bounds = SrvBounds {
-            connect_wait: Duration::from_millis(400),
-            idle_most: Duration::from_secs(8),
-            keep_alive: true,
-            rest: Duration::from_millis(3),
-            whole_within: Duration::from_millis(1500),
-            largest_body: 4 << 20,
-            largest_heads: 32 << 10,
-            unacked: Some(Duration::from_millis(1500)),
+        let bounds = ServerLimits {
+            connect_timeout: Duration::from_millis(400),
+            max_idle: Duration::from_secs(8),
+            honor_keep_alive: true,
+            min_idle_before_reuse: Duration::from_millis(3),
+            response_timeout: Duration::from_millis(1500),
+            max_body_bytes: 4 << 20,
+            max_head_bytes: 32 << 10,
+            tcp_user_timeout: Some(Duration::from_millis(1500)),
         };
-        let srvs = Srvs::new(&exchange, Trail, bounds, self.places.clone());
-        srvs.bound_memory(self.answers.clone());
+        let srvs = ServerConnections::new(&exchange, Trail, bounds, self.places.clone());
+        srvs.set_memory_budget(self.answers.clone());
         exchange.attach(srvs, Some(self.ledger.account(Rc::downgrade(&exchange))));
-        let drive = tokio::task::spawn_local(exchange.clone().drive()).abort_handle();
+        let drive = tokio::task::spawn_local(exchange.clone().run()).abort_handle();
         Pool { exchange, drive }
     }
 
@@ -334,12 +334,12 @@
                 let state = if shut { ServerState::Draining } else { ServerState::Ready };
                 // one met warm has been so for ever
                 let started_at = Some(w.born.get(&r.id).copied().unwrap_or(Timestamp::from_secs(0.0)));
-                let row =
+                let server_entry =
                     ServerEntry { server: 0, zone, cell: 0, state, weight: f64::from(r.slots), started_at };
-                Some(Entry { name: r.id.clone(), addr: r.address, row })
+                Some(ServerListEntry { name: r.id.clone(), addr: r.address, server_entry })
             };
             let rows = w.list.rows.iter().filter(|r| r.service == *service);
-            pool.exchange.list(ListKind::Full, rows.filter_map(entry).collect());
+            pool.exchange.update_servers(ListKind::Full, rows.filter_map(entry).collect());
         }
     }
 }
--- a/data-plane/src/ready.rs
+++ b/data-plane/src/ready.rs
@@ -3,8 +3,8 @@
 use crate::metrics::Metrics;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use lupinledge_proxy::clients::{bare, say, Answering, Reply};
-use lupinledge_proxy::transport::heads::Heads;
+use lupinledge_proxy::clients::{empty_reply, text_reply, Reply, RequestHandler};
+use lupinledge_proxy::transport::framing::RequestFraming;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -18,13 +18,13 @@
     pub metrics: Rc<Metrics>,
 }
 
-impl Answering for Ready {
-    async fn answer(&self, req: Request<Incoming>, _: &Heads, _: Instant) -> Reply {
+impl RequestHandler for Ready {
+    async fn handle(&self, req: Request<Incoming>, _: &RequestFraming, _: Instant) -> Reply {
         match req.uri().path() {
-            READINESS if self.flag.get() => bare(StatusCode::OK),
-            READINESS => bare(StatusCode::SERVICE_UNAVAILABLE),
-            METRICS => say(StatusCode::OK, self.metrics.text()),
-            _ => bare(StatusCode::NOT_FOUND),
+            READINESS if self.flag.get() => empty_reply(StatusCode::OK),
+            READINESS => empty_reply(StatusCode::SERVICE_UNAVAILABLE),
+            METRICS => text_reply(StatusCode::OK, self.metrics.text()),
+            _ => empty_reply(StatusCode::NOT_FOUND),
         }
     }
 }
--- a/data-plane/src/start.rs
+++ b/data-plane/src/start.rs
@@ -12,9 +12,9 @@
 use lupinledge_config::Settings;
 use lupinledge_gossip::{log, settings, Gossip};
 use lupinledge_membership::Card;
-use lupinledge_proxy::clients::{Answering, ClientBounds, Clients};
-use lupinledge_proxy::transport::descriptors::Share;
-use lupinledge_proxy::transport::listen::Gate;
+use lupinledge_proxy::clients::{ClientConnections, ClientLimits, RequestHandler};
+use lupinledge_proxy::transport::descriptors::DescriptorPool;
+use lupinledge_proxy::transport::listener::Listener;
 use std::cell::Cell;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -52,29 +52,33 @@
     runtime.wrap_err("runtime")?.block_on(serve(told, path))
 }
 
-fn bounds(header: f64, idle: f64, header_bytes: usize) -> ClientBounds {
-    ClientBounds {
-        idle: Duration::from_secs_f64(idle.clamp(0.1, 3600.0)),
-        head: Duration::from_secs_f64(header.clamp(0.1, 3600.0)),
-        whole: Duration::from_secs(60),
-        unfinished: Duration::from_millis(250),
-        sweep: Duration::from_millis(250),
-        prompt: Duration::from_millis(300),
-        largest_head: header_bytes.clamp(8 << 10, 1 << 20),
+fn bounds(header: f64, idle: f64, header_bytes: usize) -> ClientLimits {
+    ClientLimits {
+        idle_timeout: Duration::from_secs_f64(idle.clamp(0.1, 3600.0)),
+        head_timeout: Duration::from_secs_f64(header.clamp(0.1, 3600.0)),
+        request_timeout: Duration::from_secs(60),
+        unfinished_timeout: Duration::from_millis(250),
+        sweep_interval: Duration::from_millis(250),
+        first_byte_wait: Duration::from_millis(300),
+        max_head_bytes: header_bytes.clamp(8 << 10, 1 << 20),
     }
 }
 
 /// Takes connections of one address for good.
-async fn accept<A: Answering>(gate: &Gate, clients: &Rc<Clients<A>>, places: &Share) {
+async fn accept<A: RequestHandler>(
+    gate: &Listener,
+    clients: &Rc<ClientConnections<A>>,
+    places: &DescriptorPool,
+) {
     loop {
-        let (stream, peer, place) = gate.next(|| clients.make_room()).await;
-        clients.serve(stream, peer, place, places.tight());
+        let (stream, peer, place) = gate.accept(|| clients.free_descriptors()).await;
+        clients.serve(stream, peer, place, places.is_low());
     }
 }
 
-fn open(name: &str, at: Option<SocketAddr>, places: &Rc<Share>) -> eyre::Result<Gate> {
+fn open(name: &str, at: Option<SocketAddr>, places: &Rc<DescriptorPool>) -> eyre::Result<Listener> {
     let at = at.ok_or_else(|| eyre!("`listen.{name}`: missing"))?;
-    Gate::open(at, places.clone()).wrap_err_with(|| format!("`listen.{name}`: {at}"))
+    Listener::bind(at, places.clone()).wrap_err_with(|| format!("`listen.{name}`: {at}"))
 }
 
 async fn serve(told: Settings, path: std::path::PathBuf) -> eyre::Result<()> {
@@ -85,11 +89,12 @@
         ^ u64::from(u32::from(told.ip)) << 32;
     let descriptors = (told.limits.max_fds as usize).saturating_sub(RESERVED).max(64);
     // a quarter to the server side: a request out there holds a client's connection here for longer
-    let (server_places, client_places) = (Share::of(descriptors / 4), Share::of(descriptors * 3 / 4 - 16));
+    let (server_places, client_places) =
+        (DescriptorPool::new(descriptors / 4), DescriptorPool::new(descriptors * 3 / 4 - 16));
     let ready = Rc::new(Cell::new(false));
 
     // the port is there at once: who asks before the state is here hears that it is not ready
-    let ready_places = Share::of(16);
+    let ready_places = DescriptorPool::new(16);
     let ready_gate = open("ready", told.listen.ready, &ready_places)?;
     let counters: Rc<lupinledge_proxy::counters::Counters> = Rc::default();
 
@@ -111,7 +116,7 @@
     let nest = Nest::new(told.clone(), gossip.clone(), ledger.clone(), operations.clone());
     let metrics = Metrics::new(nest.clone());
     let ready_answers = Rc::new(Ready { flag: ready.clone(), metrics: metrics.clone() });
-    let ready_side = Clients::start(ready_answers, counters.clone(), bounds(3.0, 15.0, 8 << 10));
+    let ready_side = ClientConnections::start(ready_answers, counters.clone(), bounds(3.0, 15.0, 8 << 10));
     tokio::task::spawn_local(async move { accept(&ready_gate, &ready_side, &ready_places).await });
     tokio::task::spawn_local(gossip.clone().run());
     let (follows, drifts) = (nest.clone(), path.with_extension("drift"));
@@ -123,7 +128,7 @@
     let gate = open("front", told.listen.front, &client_places)?;
     let soon = nest.clone();
     let early = Early(move || soon.soon());
-    let early = Clients::start(Rc::new(early), counters, bounds(3.0, 15.0, 16 << 10));
+    let early = ClientConnections::start(Rc::new(early), counters, bounds(3.0, 15.0, 16 << 10));
     let began = Instant::now();
     let rising = async {
         let clock = nest.clock(CLOCK_WAIT).await;
@@ -148,14 +153,14 @@
         _ = term.recv() => None,
         _ = int.recv() => None,
     };
-    early.end_all();
+    early.close_all();
     let Some(pools) = pools else {
-        let _ = timeout(LAST, early.all_ended()).await;
+        let _ = timeout(LAST, early.wait_closed()).await;
         tracing::info!(event = "ended", taken = 0);
         return Ok(());
     };
     let door = Door::new(pools.clone(), operations.clone(), told.limits.memory_mb, seed);
-    let clients = Clients::start(door, pools.counters.clone(), bounds(3.0, 15.0, 16 << 10));
+    let clients = ClientConnections::start(door, pools.counters.clone(), bounds(3.0, 15.0, 16 << 10));
     ready.set(true);
     gossip.set_card(|card| card.ready = true);
     tracing::info!(event = "ready", version = pools.tables().version());
@@ -166,7 +171,7 @@
         loop {
             let now = p.tables().limits();
             if limits.replace(now) != Some(now) {
-                c.bound(bounds(now.header_timeout, now.idle_timeout, now.max_header_bytes));
+                c.set_limits(bounds(now.header_timeout, now.idle_timeout, now.max_header_bytes));
             }
             woken.woken.notified().await;
         }
@@ -186,16 +191,16 @@
     ready.set(false);
     gossip.set_card(|card| (card.ready, card.leaving) = (false, true));
     // clients that still have this address find it open while they learn another one
-    clients.closing();
+    clients.start_closing();
     let _ = timeout(Duration::from_secs_f64(grace * STAY), accept(&gate, &clients, &client_places)).await;
-    clients.end_all();
-    while let Some((stream, peer, place)) = gate.queued().await {
+    clients.close_all();
+    while let Some((stream, peer, place)) = gate.accept_queued().await {
         clients.serve(stream, peer, place, true);
     }
     drop(gate);
-    clients.end_all();
+    clients.close_all();
     let left = Duration::from_secs_f64(grace * END).saturating_sub(began.elapsed());
-    let _ = timeout(left, clients.all_ended()).await;
+    let _ = timeout(left, clients.wait_closed()).await;
     // those whose clients have left, and what others have to keep of them
     let left = Duration::from_secs_f64(grace * END).saturating_sub(began.elapsed());
     let _ = timeout(left, operations.all_ended()).await;
--- a/data-plane/src/wire.rs
+++ b/data-plane/src/wire.rs
@@ -8,8 +8,8 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
-use lupinledge_proxy::exchange::{Back, Dispatch, Wire};
-use lupinledge_proxy::srvs::ServerWire;
+use lupinledge_proxy::exchange::{Dispatch, DispatchResult, Protocol};
+use lupinledge_proxy::servers::ServerProtocol;
 
 pub const ATTEMPT: HeaderName = HeaderName::from_static("lupinledge-attempt-id");
 pub const OPERATION_KEY: HeaderName = HeaderName::from_static("lupinledge-operation-key");
@@ -89,21 +89,21 @@
 /// The wire between the system and its servers.
 pub struct Trail;
 
-impl Wire for Trail {
-    type Carried = Carried;
-    type Made = Made;
+impl Protocol for Trail {
+    type ForwardedRequest = Carried;
+    type ServerResponse = Made;
 }
 
-impl ServerWire for Trail {
-    fn message(&self, d: &Dispatch<Trail>, left: Span) -> Request<Full<Bytes>> {
-        let c = &d.carried;
+impl ServerProtocol for Trail {
+    fn build_request(&self, d: &Dispatch<Trail>, left: Span) -> Request<Full<Bytes>> {
+        let c = &d.request;
         let mut req = Request::new(Full::new(c.body.clone()));
         *req.method_mut() = c.method.clone();
         *req.uri_mut() = c.uri.clone();
         let h = req.headers_mut();
         *h = c.headers.clone();
         h.insert(DEADLINE, HeaderValue::from((left.secs() * 1e3).max(1.0) as u64));
-        HeaderValue::from_str(&d.name).into_iter().for_each(|id| drop(h.insert(EXPECTED, id)));
+        HeaderValue::from_str(&d.server_name).into_iter().for_each(|id| drop(h.insert(EXPECTED, id)));
         if !c.body.is_empty() || !matches!(c.method, Method::GET | Method::HEAD | Method::DELETE) {
             h.insert(CONTENT_LENGTH, HeaderValue::from(c.body.len()));
         }
@@ -113,19 +113,19 @@
     /// An answer that does not bear the request's id, and no other, belongs to another one; a success without the
     /// stamp, with a coding or that says it has not run is none of the server's; a word of another protocol is no
     /// answer: the request may have run, and the connection is not used again.
-    fn read(&self, d: &Dispatch<Trail>, answer: Response<Bytes>) -> (Back<Trail>, bool) {
+    fn read_response(&self, d: &Dispatch<Trail>, answer: Response<Bytes>) -> (DispatchResult<Trail>, bool) {
         let (mut head, body) = answer.into_parts();
         let h = &mut head.headers;
         let mut ids = h.get_all(ATTEMPT).iter();
-        let own = ids.next().is_some_and(|id| d.carried.headers.get(ATTEMPT) == Some(id));
+        let own = ids.next().is_some_and(|id| d.request.headers.get(ATTEMPT) == Some(id));
         if !own || ids.next().is_some() || head.status.is_informational() {
-            return (Back::bare(Outcome::Reset), false);
+            return (DispatchResult::without_response(Outcome::Reset), false);
         }
         let load = h.remove(LOAD).as_ref().and_then(load).unwrap_or_default();
-        let (how, made) = match head.status {
+        let (outcome, response) = match head.status {
             StatusCode::MISDIRECTED_REQUEST => (Outcome::NoConnection, false),
             s if s.is_success() && !(h.contains_key(STAMP) && plain(h)) => {
-                return (Back::bare(Outcome::Reset), false);
+                return (DispatchResult::without_response(Outcome::Reset), false);
             }
             _ if h.contains_key(NOT_RUN) => (Outcome::Full, false),
             // it may have run, and the client would take them for the system's promise that it has not
@@ -133,10 +133,10 @@
             s if s.is_server_error() => (Outcome::Error, true),
             _ => (Outcome::Passed, true),
         };
-        let keep = how != Outcome::NoConnection;
+        let keep = outcome != Outcome::NoConnection;
         strip(h);
-        let made = made.then_some(Made { status: head.status, headers: head.headers, body });
-        (Back { how, made, billed: 0.0, load }, keep)
+        let response = response.then_some(Made { status: head.status, headers: head.headers, body });
+        (DispatchResult { outcome, response, billed_units: 0.0, load }, keep)
     }
 }
 
--- a/gateway/src/program/start.rs
+++ b/gateway/src/program/start.rs
@@ -9,14 +9,14 @@
 use crate::protocol::discovery::Discovery;
 use crate::protocol::srv::{self, Edge};
 use crate::protocol::Exchange;
-use lupinledge_proxy::clients::Clients;
+use lupinledge_proxy::clients::ClientConnections;
 use lupinledge_proxy::clock::{duration, Clock};
 use lupinledge_proxy::counters::Counters;
 use lupinledge_proxy::exchange::CounterSide;
 use lupinledge_proxy::logger;
-use lupinledge_proxy::srvs::Srvs;
-use lupinledge_proxy::transport::descriptors::Share;
-use lupinledge_proxy::transport::listen::Gate;
+use lupinledge_proxy::servers::ServerConnections;
+use lupinledge_proxy::transport::descriptors::DescriptorPool;
+use lupinledge_proxy::transport::listener::Listener;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
@@ -60,23 +60,24 @@
     let exchange = Exchange::new(told.terms.clone(), clock, counters.clone());
     if let Some(to_come) = told.watch {
         log::info!("watching for settings to come: decided as before, counted as watch.*");
-        exchange.observe(Box::new(Watched::new(to_come, counters.clone())));
+        exchange.set_observer(Box::new(Watched::new(to_come, counters.clone())));
     }
     let wire = Edge { largest: told.terms.max_units };
-    let srvs = Srvs::new(&exchange, wire, srv::bounds(&told.outside), Share::of(srv_places));
+    let srvs =
+        ServerConnections::new(&exchange, wire, srv::bounds(&told.outside), DescriptorPool::new(srv_places));
     let connect_wait = duration(told.outside.connect_wait);
     let counter = told.counter.map(|a| Counter::start(&exchange, a, told.terms.count_wait, connect_wait));
     exchange.attach(srvs, counter.clone().map(|c| c as Rc<dyn CounterSide>));
-    let mut drive = tokio::task::spawn_local(exchange.clone().drive());
+    let mut drive = tokio::task::spawn_local(exchange.clone().run());
     let zones = told.outside.zones.clone();
     let discovery = Discovery::start(&exchange, told.discovery, zones, told.outside.connect_wait, told.known);
 
-    let places = Share::of(client_places);
-    let gate = Gate::open(told.listen, places.clone());
+    let places = DescriptorPool::new(client_places);
+    let gate = Listener::bind(told.listen, places.clone());
     let gate = gate.map_err(|e| format!("`listen`: {}: {e}", told.listen))?;
     let front = Front::new(exchange.clone(), told.outside);
-    let clients = Clients::start(front.clone(), counters.clone(), client::BOUNDS);
-    let addr = gate.addr().map_err(|e| format!("`listen`: {e}"))?;
+    let clients = ClientConnections::start(front.clone(), counters.clone(), client::BOUNDS);
+    let addr = gate.local_addr().map_err(|e| format!("`listen`: {e}"))?;
     log::info!("{} listens on {addr}", told.name);
 
     let (d, ctr) = (discovery.clone(), counter.clone());
@@ -93,12 +94,12 @@
     let (f, d, e, ctr) = (front, discovery.clone(), exchange.clone(), counter.clone());
     tokio::task::spawn_local(async move {
         let all = async {
-            while !(d.answered() && e.listed() && ctr.as_ref().is_none_or(|c| c.tried())) {
+            while !(d.answered() && e.has_server_list() && ctr.as_ref().is_none_or(|c| c.tried())) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
         let _ = timeout(READY_WAIT, all).await;
-        while !e.listed() {
+        while !e.has_server_list() {
             sleep(Duration::from_millis(5)).await;
         }
         f.ready();
@@ -107,8 +108,8 @@
 
     let mut accept = Box::pin(async {
         loop {
-            let (stream, peer, place) = gate.next(|| clients.make_room()).await;
-            clients.serve(stream, peer, place, places.tight());
+            let (stream, peer, place) = gate.accept(|| clients.free_descriptors()).await;
+            clients.serve(stream, peer, place, places.is_low());
         }
     });
     tokio::select! {
@@ -118,17 +119,17 @@
         fault = &mut drive => return Err(format!("the decisions ended: {fault:?}")),
     }
     log::info!("ending");
-    clients.closing();
+    clients.start_closing();
     let _ = timeout(STAY, accept.as_mut()).await;
     drop(accept);
-    clients.end_all();
+    clients.close_all();
     // a req in the accept queue is taken already, also where the descriptors are used up for the moment
-    while let Some((stream, peer, place)) = gate.queued().await {
+    while let Some((stream, peer, place)) = gate.accept_queued().await {
         clients.serve(stream, peer, place, true);
     }
     drop(gate);
-    clients.end_all();
-    clients.all_ended().await;
+    clients.close_all();
+    clients.wait_closed().await;
     exchange.all_answered().await;
     if let Some(counter) = counter {
         // what the last answers gave back is still told, if the counter takes it
--- a/gateway/src/protocol/client.rs
+++ b/gateway/src/protocol/client.rs
@@ -9,9 +9,11 @@
 use lupinledge::interface::{Effect, NewRequest};
 use lupinledge::time::Span;
 use lupinledge_gateway_settings::HostSettings;
-use lupinledge_proxy::clients::{bare, say, text, whole, Answering, ClientBounds, Reply, Unread};
+use lupinledge_proxy::clients::{
+    empty_reply, header_text, read_body, text_reply, BodyError, ClientLimits, Reply, RequestHandler,
+};
 use lupinledge_proxy::exchange::Answer;
-use lupinledge_proxy::transport::heads::Heads;
+use lupinledge_proxy::transport::framing::RequestFraming;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,14 +33,14 @@
 const UNUSED: Duration = Duration::from_millis(2300);
 
 /// The bounds on client connections.
-pub const BOUNDS: ClientBounds = ClientBounds {
-    idle: UNUSED,
-    head: UNUSED,
-    whole: UNUSED,
-    unfinished: Duration::from_millis(250),
-    sweep: Duration::from_millis(100),
-    prompt: Duration::from_millis(100),
-    largest_head: 32 * 1024,
+pub const BOUNDS: ClientLimits = ClientLimits {
+    idle_timeout: UNUSED,
+    head_timeout: UNUSED,
+    request_timeout: UNUSED,
+    unfinished_timeout: Duration::from_millis(250),
+    sweep_interval: Duration::from_millis(100),
+    first_byte_wait: Duration::from_millis(100),
+    max_head_bytes: 32 * 1024,
 };
 
 /// Reads clients' reqs and answers them by the exchange.
@@ -63,16 +65,16 @@
         let (mut head, body) = req.into_parts();
         let frontend = head.uri.path().split('/').nth(1).unwrap_or_default();
         let known = self.outside.frontends.iter().position(|f| f == frontend);
-        let frontend = known.ok_or_else(|| say(StatusCode::NOT_FOUND, "no such frontend"))?;
+        let frontend = known.ok_or_else(|| text_reply(StatusCode::NOT_FOUND, "no such frontend"))?;
         let effect = self.exchange.terms().frontends[frontend].effect;
         let method = if effect == Effect::Replayable { Method::GET } else { Method::POST };
         if head.method != method {
-            let mut refusal = say(StatusCode::METHOD_NOT_ALLOWED, "not the frontend's method");
+            let mut refusal = text_reply(StatusCode::METHOD_NOT_ALLOWED, "not the frontend's method");
             let allow = HeaderValue::from_str(method.as_str());
             allow.into_iter().for_each(|m| drop(refusal.headers_mut().insert(ALLOW, m)));
             return Err(refusal);
         }
-        let malformed = |what| say(StatusCode::BAD_REQUEST, what);
+        let malformed = |what| text_reply(StatusCode::BAD_REQUEST, what);
         let id = head.headers.get(&REQ_ID).filter(|id| !id.is_empty()).cloned();
         let id = id.ok_or_else(|| malformed("X-Request-Id: missing"))?;
         let key = head.headers.remove(&REQ_KEY).filter(|k| !k.is_empty());
@@ -83,15 +85,15 @@
         let customer = customer.filter(|c| c.len() == 16 && c.bytes().all(|b| b.is_ascii_hexdigit()));
         let customer = customer.and_then(|c| u64::from_str_radix(c, 16).ok());
         let customer = customer.filter(|c| *c < 1 << 33).ok_or_else(|| malformed("client: no customer"))?;
-        let plan = text(&head.headers, &PLAN);
+        let plan = header_text(&head.headers, &PLAN);
         let plan = self.outside.plans.iter().position(|p| Some(p.as_str()) == plan);
         let plan = plan.ok_or_else(|| malformed("Plan: none of the plans"))?;
-        let left = text(&head.headers, &WAIT).and_then(|w| w.parse::<f64>().ok());
+        let left = header_text(&head.headers, &WAIT).and_then(|w| w.parse::<f64>().ok());
         let left = left.filter(|w| (0.0..=LONGEST_WAIT).contains(w));
         let left = left.ok_or_else(|| malformed("X-Deadline: no seconds"))?;
         let terms = self.exchange.terms();
         let left = left.min(terms.frontends[frontend].timeout.secs());
-        let quota = text(&head.headers, &QUOTA).unwrap_or_default();
+        let quota = header_text(&head.headers, &QUOTA).unwrap_or_default();
         // past what one req can have, it would spoil the count of whose name it bears
         let units = part(quota, "units").filter(|u| *u > 0.0 && *u <= terms.max_units);
         let units = units.ok_or_else(|| malformed("Quota-Info: no units"))?;
@@ -104,14 +106,14 @@
         let body = if body.is_end_stream() {
             Bytes::new()
         } else {
-            let late = |_| say(StatusCode::REQUEST_TIMEOUT, "body not whole in time");
+            let late = |_| text_reply(StatusCode::REQUEST_TIMEOUT, "body not whole in time");
             let whole_by = whole_by.min(Instant::now() + Duration::from_secs_f64(left));
-            timeout_at(whole_by, whole(body, LARGEST_BODY)).await.map_err(late)?.map_err(refuse)?
+            timeout_at(whole_by, read_body(body, LARGEST_BODY)).await.map_err(late)?.map_err(refuse)?
         };
         let new = NewRequest {
             id: 0,
             frontend,
-            repeat: text(&head.headers, &REPEAT) == Some("1"),
+            repeat: header_text(&head.headers, &REPEAT) == Some("1"),
             units,
             customer,
             plan,
@@ -123,20 +125,20 @@
     }
 }
 
-impl Answering for Front {
-    async fn answer(&self, req: Request<Incoming>, heads: &Heads, whole_by: Instant) -> Reply {
+impl RequestHandler for Front {
+    async fn handle(&self, req: Request<Incoming>, heads: &RequestFraming, whole_by: Instant) -> Reply {
         if req.uri().path() == HEALTH {
             let ready = self.ready.get() && !self.closing.get();
-            return bare(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
+            return empty_reply(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
         }
         let came = self.exchange.clock.now();
         let read = match self.read(req, whole_by).await {
             Ok(_) if heads.fault().is_some() => {
-                Err(say(StatusCode::BAD_REQUEST, heads.fault().unwrap_or_default()))
+                Err(text_reply(StatusCode::BAD_REQUEST, heads.fault().unwrap_or_default()))
             }
             // an id names one req: another one under it would get what belongs to the first
             Ok((_, carried)) if !self.exchange.first_seen(carried.id.as_bytes()) => {
-                Err(say(StatusCode::CONFLICT, "X-Request-Id: had before"))
+                Err(text_reply(StatusCode::CONFLICT, "X-Request-Id: had before"))
             }
             read => read,
         };
@@ -151,25 +153,25 @@
         };
         let spent = self.exchange.clock.now() - came;
         let new = NewRequest { time_left: new.time_left - spent, ..new };
-        match self.exchange.take(new, carried).answer().await {
+        match self.exchange.submit(new, carried).answer().await {
             Answer::Passed(made) => {
                 let mut reply = Response::new(Full::new(made.body));
                 made.kind.into_iter().for_each(|k| drop(reply.headers_mut().insert(CONTENT_TYPE, k)));
                 reply
             }
             Answer::Denied(back_off) => {
-                let mut reply = bare(StatusCode::TOO_MANY_REQUESTS);
+                let mut reply = empty_reply(StatusCode::TOO_MANY_REQUESTS);
                 if back_off > Span::ZERO {
                     let secs = HeaderValue::from_str(&format!("{:.3}", back_off.secs()));
                     secs.into_iter().for_each(|s| drop(reply.headers_mut().insert(RETRY_AFTER, s)));
                 }
                 reply
             }
-            Answer::Failed(_) | Answer::Aborted => bare(StatusCode::BAD_GATEWAY),
+            Answer::Failed(_) | Answer::Aborted => empty_reply(StatusCode::BAD_GATEWAY),
         }
     }
 
-    fn closing(&self) {
+    fn on_closing(&self) {
         self.closing.set(true);
     }
 }
@@ -177,11 +179,11 @@
 /// What a client may name, far past any use, so that sums stay sums.
 const LONGEST_WAIT: f64 = 86_400.0;
 
-fn refuse(unread: Unread) -> Reply {
+fn refuse(unread: BodyError) -> Reply {
     match unread {
-        Unread::TooLong => say(StatusCode::PAYLOAD_TOO_LARGE, "body over 64 KiB"),
-        Unread::Broken => say(StatusCode::BAD_REQUEST, "broken body"),
-        Unread::NoRoom => say(StatusCode::SERVICE_UNAVAILABLE, "no room for the body"),
+        BodyError::TooLong => text_reply(StatusCode::PAYLOAD_TOO_LARGE, "body over 64 KiB"),
+        BodyError::Broken => text_reply(StatusCode::BAD_REQUEST, "broken body"),
+        BodyError::NoMemory => text_reply(StatusCode::SERVICE_UNAVAILABLE, "no room for the body"),
     }
 }
 
--- a/gateway/src/protocol/counter.rs
+++ b/gateway/src/protocol/counter.rs
@@ -7,7 +7,7 @@
 use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
 use lupinledge_proxy::clock::duration;
-use lupinledge_proxy::exchange::{CounterSide, Meeting};
+use lupinledge_proxy::exchange::{CounterSide, WeakExchange};
 use lupinledge_proxy::transport::dial::dial;
 use lupinledge_proxy::transport::ending::{Ending, Why};
 use std::cell::{Cell, RefCell};
@@ -65,7 +65,7 @@
 }
 
 pub struct Counter {
-    exchange: Meeting<Edge>,
+    exchange: WeakExchange<Edge>,
     addr: Cell<SocketAddr>,
     wait: Duration,
     connect_wait: Duration,
@@ -107,7 +107,7 @@
 
     fn told(&self, name: u64, total: f64, how: Outcome) {
         if let Some(exchange) = self.exchange.upgrade() {
-            exchange.counted(name, total, None, how);
+            exchange.counter_call_ended(name, total, None, how);
         }
     }
 
--- a/gateway/src/protocol/discovery.rs
+++ b/gateway/src/protocol/discovery.rs
@@ -10,7 +10,7 @@
 use lupinledge::interface::{ListKind, ServerEntry, ServerState};
 use lupinledge::time::{Span, Timestamp};
 use lupinledge_proxy::clock::duration;
-use lupinledge_proxy::exchange::Entry;
+use lupinledge_proxy::exchange::ServerListEntry;
 use lupinledge_proxy::transport::dial::dial;
 use lupinledge_proxy::transport::ending::{Ending, Why};
 use serde::Deserialize;
@@ -56,7 +56,7 @@
 pub struct Members {
     pub generation: u64,
     pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ServerListEntry>,
     /// What is wrong with entries that were left out.
     pub faults: Vec<String>,
 }
@@ -76,7 +76,7 @@
 }
 
 impl WireMember {
-    fn entry(self, zones: &[String]) -> Result<Entry, String> {
+    fn entry(self, zones: &[String]) -> Result<ServerListEntry, String> {
         let state = match self.lifecycle.as_str() {
             "active" => ServerState::Ready,
             "leaving" => ServerState::Draining,
@@ -87,7 +87,7 @@
         let addr = addr.map_err(|_| format!("`hostPort`: `{}` is no address", self.host_port))?;
         let born = self.started_at_ms.filter(|ms| *ms > 0);
         let zone = zones.iter().position(|z| Some(z) == self.zone.as_ref());
-        let row = ServerEntry {
+        let server_entry = ServerEntry {
             server: 0,
             zone: zone.map_or(u16::MAX, |z| z as u16),
             cell: self.cell.unwrap_or_default(),
@@ -95,7 +95,7 @@
             weight: self.weight.unwrap_or(1.0),
             started_at: born.map(|ms| Timestamp::default() + Span::millis(ms as i64)),
         };
-        Ok(Entry { name: self.instance_id, addr, row })
+        Ok(ServerListEntry { name: self.instance_id, addr, server_entry })
     }
 }
 
@@ -121,7 +121,7 @@
         let connect_wait = duration(connect_wait);
         let exchange = exchange.clone();
         if let Some(k) = known {
-            exchange.list(ListKind::Cached, k.entries);
+            exchange.update_servers(ListKind::Cached, k.entries);
         }
         let (addr, moved, answered) = (Cell::new(addr), Notify::new(), Cell::new(false));
         let d = Rc::new(Discovery { exchange, addr, moved, zones, connect_wait, generation, answered });
@@ -231,7 +231,8 @@
         news.faults.iter().for_each(|f| log::warn!("discovery: an entry left out: {f}"));
         self.generation.set(Some(news.generation));
         if news.whole || !news.entries.is_empty() {
-            self.exchange.list(if news.whole { ListKind::Full } else { ListKind::Delta }, news.entries);
+            self.exchange
+                .update_servers(if news.whole { ListKind::Full } else { ListKind::Delta }, news.entries);
         }
         Ok(())
     }
--- a/gateway/src/protocol/srv.rs
+++ b/gateway/src/protocol/srv.rs
@@ -9,8 +9,8 @@
 use lupinledge::time::Span;
 use lupinledge_gateway_settings::HostSettings;
 use lupinledge_proxy::clock::duration;
-use lupinledge_proxy::exchange::{Back, Dispatch, Wire};
-use lupinledge_proxy::srvs::{ServerWire, SrvBounds};
+use lupinledge_proxy::exchange::{Dispatch, DispatchResult, Protocol};
+use lupinledge_proxy::servers::{ServerLimits, ServerProtocol};
 use std::time::Duration;
 
 const REQ_ID: HeaderName = HeaderName::from_static("x-request-id");
@@ -31,17 +31,17 @@
 const REST: Duration = Duration::from_millis(3);
 
 /// The bounds on connections to srvs.
-pub fn bounds(outside: &HostSettings) -> SrvBounds {
-    let connect_wait = duration(outside.connect_wait);
-    SrvBounds {
-        connect_wait,
-        idle_most: duration(outside.keepalive).saturating_sub(connect_wait),
-        keep_alive: false,
-        rest: REST,
-        whole_within: WHOLE_WITHIN,
-        largest_body: LARGEST_BODY,
-        largest_heads: LARGEST_HEADS,
-        unacked: None,
+pub fn bounds(outside: &HostSettings) -> ServerLimits {
+    let connect_timeout = duration(outside.connect_wait);
+    ServerLimits {
+        connect_timeout,
+        max_idle: duration(outside.keepalive).saturating_sub(connect_timeout),
+        honor_keep_alive: false,
+        min_idle_before_reuse: REST,
+        response_timeout: WHOLE_WITHIN,
+        max_body_bytes: LARGEST_BODY,
+        max_head_bytes: LARGEST_HEADS,
+        tcp_user_timeout: None,
     }
 }
 
@@ -51,14 +51,14 @@
     pub largest: f64,
 }
 
-impl Wire for Edge {
-    type Carried = Carried;
-    type Made = Made;
+impl Protocol for Edge {
+    type ForwardedRequest = Carried;
+    type ServerResponse = Made;
 }
 
-impl ServerWire for Edge {
-    fn message(&self, d: &Dispatch<Edge>, left: Span) -> Request<Full<Bytes>> {
-        let c = &d.carried;
+impl ServerProtocol for Edge {
+    fn build_request(&self, d: &Dispatch<Edge>, left: Span) -> Request<Full<Bytes>> {
+        let c = &d.request;
         let mut req = Request::new(Full::new(c.body.clone()));
         *req.method_mut() = c.method.clone();
         *req.uri_mut() = c.uri.clone();
@@ -75,22 +75,27 @@
         req
     }
 
-    fn read(&self, _: &Dispatch<Edge>, answer: Response<Bytes>) -> (Back<Edge>, bool) {
+    fn read_response(&self, _: &Dispatch<Edge>, answer: Response<Bytes>) -> (DispatchResult<Edge>, bool) {
         let (head, body) = answer.into_parts();
         let text = |name: &HeaderName| head.headers.get(name).and_then(|v| v.to_str().ok());
         let back = match head.status {
             StatusCode::OK => {
-                let billed = text(&BILLED).and_then(|v| v.trim().parse::<f64>().ok());
-                let billed = billed.filter(|b| *b > 0.0 && *b <= self.largest).unwrap_or(0.0);
+                let billed_units = text(&BILLED).and_then(|v| v.trim().parse::<f64>().ok());
+                let billed_units = billed_units.filter(|b| *b > 0.0 && *b <= self.largest).unwrap_or(0.0);
                 let made = Made { kind: head.headers.get(CONTENT_TYPE).cloned(), body };
-                Back { how: Outcome::Passed, made: Some(made), billed, load: Vec::new() }
+                DispatchResult {
+                    outcome: Outcome::Passed,
+                    response: Some(made),
+                    billed_units,
+                    load: Vec::new(),
+                }
             }
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
                 if text(&NOT_RUN).is_some_and(|v| v.trim() == "1") =>
             {
-                Back::bare(Outcome::Full)
+                DispatchResult::without_response(Outcome::Full)
             }
-            _ => Back::bare(Outcome::Error),
+            _ => DispatchResult::without_response(Outcome::Error),
         };
         (back, true)
     }
--- a/gossip/src/log.rs
+++ b/gossip/src/log.rs
@@ -1,7 +1,7 @@
 //! The log: one line of key=value pairs for each event, to standard error. Lines cost processor time: only what
 //! changes hands or goes wrong is told. Whatever becomes of who reads them, they hold nobody up.
 
-use lupinledge_logging::{panics, Lines};
+use lupinledge_logging::{panics, LineWriter};
 use std::fmt;
 use std::io;
 use std::panic::PanicHookInfo;
@@ -64,14 +64,14 @@
 /// At the end of the process its lines have so long to come out.
 const FLUSH: Duration = Duration::from_millis(200);
 
-static LINES: OnceLock<Lines> = OnceLock::new();
+static LINES: OnceLock<LineWriter> = OnceLock::new();
 
 /// Takes one whole line a call.
 struct OneLine;
 
 impl io::Write for OneLine {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        LINES.get().into_iter().for_each(|lines| lines.put(line.to_vec()));
+        LINES.get().into_iter().for_each(|lines| lines.write_line(line.to_vec()));
         Ok(line.len())
     }
     fn flush(&mut self) -> io::Result<()> {
@@ -91,10 +91,10 @@
 
 /// From here on events are written, and a panic on this thread ends the process.
 pub fn start() {
-    LINES.get_or_init(|| Lines::start(io::stderr()));
+    LINES.get_or_init(|| LineWriter::start(io::stderr()));
     let fmt = tracing_subscriber::fmt().with_max_level(tracing::Level::INFO).with_writer(|| OneLine);
     let _ = fmt.event_format(Line).try_init();
     // the shared parts tell of each connection; at thousands a second that is too dear
     log::set_max_level(log::LevelFilter::Warn);
-    panics::end_the_process(tell_panic);
+    panics::abort_on_panic(tell_panic);
 }
--- a/logging/src/lib.rs
+++ b/logging/src/lib.rs
@@ -21,23 +21,23 @@
 
 /// The way to the thread that writes.
 #[derive(Clone)]
-pub struct Lines {
+pub struct LineWriter {
     to: SyncSender<Item>,
     dropped: Arc<AtomicU64>,
 }
 
-impl Lines {
+impl LineWriter {
     /// Starts a thread that writes to `out` for as long as the process runs.
-    pub fn start(out: impl Write + Send + 'static) -> Lines {
+    pub fn start(out: impl Write + Send + 'static) -> LineWriter {
         let (to, items) = sync_channel(WAITING_AT_MOST);
         let dropped: Arc<AtomicU64> = Arc::default();
         let lost = dropped.clone();
         std::thread::spawn(move || write(out, &items, &lost));
-        Lines { to, dropped }
+        LineWriter { to, dropped }
     }
 
     /// Hands on a line with its end, or counts it as dropped.
-    pub fn put(&self, line: Vec<u8>) {
+    pub fn write_line(&self, line: Vec<u8>) {
         if self.to.try_send(Item::Line(line)).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
--- a/logging/src/panics.rs
+++ b/logging/src/panics.rs
@@ -7,7 +7,7 @@
 
 /// To be called on the thread that all tasks run on. `tell` writes what happened to the log, and waits until it is
 /// written. Panics of other threads are told too; who waits for these threads hears of their end.
-pub fn end_the_process(tell: impl Fn(&PanicHookInfo) + Send + Sync + 'static) {
+pub fn abort_on_panic(tell: impl Fn(&PanicHookInfo) + Send + Sync + 'static) {
     let tasks = current().id();
     set_hook(Box::new(move |panic| {
         tell(panic);
--- a/proxy/src/clients.rs
+++ b/proxy/src/clients.rs
@@ -1,10 +1,10 @@
 //! Clients: their connections, behind which a service answers their reqs.
 
 use crate::counters::Counters;
-pub use crate::transport::body::{whole, whole_counted, Unread};
-use crate::transport::descriptors::Place;
+pub use crate::transport::body::{read_body, read_body_with_budget, BodyError};
+use crate::transport::descriptors::DescriptorPermit;
 use crate::transport::ending::{Ending, Why};
-use crate::transport::heads::{Followed, Heads};
+use crate::transport::framing::{Followed, RequestFraming};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -33,43 +33,47 @@
 pub type Reply = Response<Full<Bytes>>;
 
 /// How a wire's reqs are answered.
-pub trait Answering: 'static {
-    /// Answers one req, which is to be there whole by `whole_by`, see [`ClientBounds::whole`]. What the
+pub trait RequestHandler: 'static {
+    /// Answers one req, which is to be there whole by `whole_by`, see [`ClientLimits::request_timeout`]. What the
     /// connection's `heads` say may change while the body is read: a fault makes the req malformed. A reply
     /// with `Connection: close` ends the connection, as one has to where a body was not read to its end. The
     /// future is dropped when the client leaves.
-    fn answer(&self, req: Request<Incoming>, heads: &Heads, whole_by: Instant)
-        -> impl Future<Output = Reply>;
-    /// Told when the connections begin to close, see [`Clients::closing`].
-    fn closing(&self) {}
+    fn handle(
+        &self,
+        req: Request<Incoming>,
+        heads: &RequestFraming,
+        whole_by: Instant,
+    ) -> impl Future<Output = Reply>;
+    /// Told when the connections begin to close, see [`ClientConnections::start_closing`].
+    fn on_closing(&self) {}
 }
 
 /// What bounds client connections.
 #[derive(Clone, Copy, Debug)]
-pub struct ClientBounds {
+pub struct ClientLimits {
     /// Between two reqs, a connection is ended after so long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A head is there whole within so long of its first byte, a connection's first one of the connecting.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// A req is to be there whole within so long of its head's end, a connection's first one of the connecting.
-    pub whole: Duration,
+    pub request_timeout: Duration,
     /// A connection that is to end and has begun a req without ending it, or of whose answer nothing more can be
     /// written, is cut after so long: time enough for what is already under way on a network.
-    pub unfinished: Duration,
+    pub unfinished_timeout: Duration,
     /// `idle` and `head` are looked at so often.
-    pub sweep: Duration,
+    pub sweep_interval: Duration,
     /// A usual client's req comes right behind its connection. Where descriptors lack, one that has brought
     /// nothing for so long is the first to go.
-    pub prompt: Duration,
+    pub first_byte_wait: Duration,
     /// The longest head, in bytes; 8 KiB at the least.
-    pub largest_head: usize,
+    pub max_head_bytes: usize,
 }
 
 /// All client connections of one listening address, and what their reqs are answered by.
-pub struct Clients<A: Answering> {
+pub struct ClientConnections<A: RequestHandler> {
     answering: Rc<A>,
     counters: Rc<Counters>,
-    bounds: Cell<ClientBounds>,
+    bounds: Cell<ClientLimits>,
     closing: Cell<bool>,
     opened: Cell<u64>,
     links: RefCell<BTreeMap<u64, Rc<Link>>>,
@@ -82,7 +86,7 @@
     used: Cell<bool>,
     /// Since when no req is being answered on it.
     since: Cell<Instant>,
-    heads: Rc<Heads>,
+    heads: Rc<RequestFraming>,
     stop: Notify,
     why: Cell<Option<Why>>,
 }
@@ -144,10 +148,10 @@
     }
 }
 
-impl<A: Answering> Clients<A> {
+impl<A: RequestHandler> ClientConnections<A> {
     /// With no connection yet.
-    pub fn start(answering: Rc<A>, counters: Rc<Counters>, bounds: ClientBounds) -> Rc<Clients<A>> {
-        let clients = Rc::new(Clients {
+    pub fn start(answering: Rc<A>, counters: Rc<Counters>, bounds: ClientLimits) -> Rc<ClientConnections<A>> {
+        let clients = Rc::new(ClientConnections {
             answering,
             counters,
             bounds: Cell::new(bounds),
@@ -161,7 +165,7 @@
     }
 
     /// Other bounds hold from here on; the largest head for new connections.
-    pub fn bound(&self, bounds: ClientBounds) {
+    pub fn set_limits(&self, bounds: ClientLimits) {
         self.bounds.set(bounds);
     }
 
@@ -169,11 +173,12 @@
     /// never end a head would hold all descriptors between them.
     async fn sweep(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(self.bounds.get().sweep).await;
-            let ClientBounds { idle, head, .. } = self.bounds.get();
+            tokio::time::sleep(self.bounds.get().sweep_interval).await;
+            let ClientLimits { idle_timeout, head_timeout, .. } = self.bounds.get();
             for l in self.links.borrow().values().filter(|l| l.why.get().is_none()) {
                 let between = l.used.get() && l.heads.begun().is_none();
-                let (most, why) = if between { (idle, Why::Idle) } else { (head, Why::Unread) };
+                let (most, why) =
+                    if between { (idle_timeout, Why::Idle) } else { (head_timeout, Why::Unread) };
                 if l.unused().is_some_and(|u| u >= most) {
                     l.end(why);
                 }
@@ -182,9 +187,9 @@
     }
 
     /// From here on each answer asks its client to take another connection.
-    pub fn closing(&self) {
+    pub fn start_closing(&self) {
         self.closing.set(true);
-        self.answering.closing();
+        self.answering.on_closing();
     }
 
     /// Answers say nothing of another connection any more.
@@ -193,12 +198,12 @@
     }
 
     /// Ends the connections that nobody uses now, the others after their answer.
-    pub fn end_all(&self) {
+    pub fn close_all(&self) {
         self.links.borrow().values().for_each(|l| l.end(Why::Drained));
     }
 
     /// Waits until there is no connection.
-    pub async fn all_ended(&self) {
+    pub async fn wait_closed(&self) {
         while !self.links.borrow().is_empty() {
             self.none_left.notified().await;
         }
@@ -206,10 +211,11 @@
 
     /// Ends connections that have brought no req in the time in which a usual one comes; with none, the one
     /// that has been idle for longest.
-    pub fn make_room(&self) {
+    pub fn free_descriptors(&self) {
         let links = self.links.borrow();
         let unused = || links.values().filter(|l| l.why.get().is_none() && l.unused().is_some());
-        let silent = unused().filter(|l| !l.used.get() && l.unused() >= Some(self.bounds.get().prompt));
+        let silent =
+            unused().filter(|l| !l.used.get() && l.unused() >= Some(self.bounds.get().first_byte_wait));
         if silent.take(MAKING_ROOM).map(|l| l.end(Why::Crowded)).count() == 0 {
             let idle = unused().filter(|l| l.used.get()).max_by_key(|l| l.unused());
             idle.into_iter().for_each(|l| l.end(Why::Crowded));
@@ -217,7 +223,7 @@
     }
 
     /// Serves a connection until it ends; with `tight`, for one req only.
-    pub fn serve(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr, place: Place, tight: bool) {
+    pub fn serve(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr, place: DescriptorPermit, tight: bool) {
         self.counters.client_connections.up();
         let nth = self.opened.get();
         self.opened.set(nth + 1);
@@ -230,19 +236,19 @@
             let stream = Followed::new(stream, link.heads.clone());
             let conn = hyper::server::conn::http1::Builder::new()
                 .auto_date_header(false)
-                .max_buf_size(clients.bounds.get().largest_head)
+                .max_buf_size(clients.bounds.get().max_head_bytes)
                 .serve_connection(TokioIo::new(stream), TowerToHyperService::new(reader));
             tokio::pin!(conn);
             let end = tokio::select! {
                 biased;
                 end = conn.as_mut() => end,
-                _ = link.to_end(|| clients.bounds.get().unfinished) => {
+                _ = link.to_end(|| clients.bounds.get().unfinished_timeout) => {
                     conn.as_mut().graceful_shutdown();
                     // a req may have come with the last look at it
                     let cut = link.cut() && !link.busy.get();
                     tokio::select! {
                         end = conn.as_mut() => end,
-                        _ = link.unused_for(clients.bounds.get().unfinished), if !cut => Ok(()),
+                        _ = link.unused_for(clients.bounds.get().unfinished_timeout), if !cut => Ok(()),
                         _ = std::future::ready(()), if cut => Ok(()),
                     }
                 }
@@ -259,13 +265,13 @@
 }
 
 /// The service of one connection.
-struct Reader<A: Answering> {
-    clients: Rc<Clients<A>>,
+struct Reader<A: RequestHandler> {
+    clients: Rc<ClientConnections<A>>,
     link: Rc<Link>,
     last: bool,
 }
 
-impl<A: Answering> Clone for Reader<A> {
+impl<A: RequestHandler> Clone for Reader<A> {
     fn clone(&self) -> Reader<A> {
         Reader { clients: self.clients.clone(), link: self.link.clone(), last: self.last }
     }
@@ -281,7 +287,7 @@
     }
 }
 
-impl<A: Answering> Service<Request<Incoming>> for Reader<A> {
+impl<A: RequestHandler> Service<Request<Incoming>> for Reader<A> {
     type Response = Reply;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Reply, Infallible>>>>;
@@ -292,11 +298,11 @@
     fn call(&mut self, req: Request<Incoming>) -> Self::Future {
         self.link.busy.set(true);
         let since = if self.link.used.replace(true) { Instant::now() } else { self.link.since.get() };
-        let whole_by = since + self.clients.bounds.get().whole;
+        let whole_by = since + self.clients.bounds.get().request_timeout;
         let busy = Busy(self.link.clone());
         let (clients, last) = (self.clients.clone(), self.last);
         Box::pin(async move {
-            let mut reply = clients.answering.answer(req, &busy.0.heads, whole_by).await;
+            let mut reply = clients.answering.handle(req, &busy.0.heads, whole_by).await;
             if last || busy.0.heads.last() || clients.closing.get() {
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 busy.0.why.set(busy.0.why.get().or(Some(Why::ClosedHere)));
@@ -307,20 +313,20 @@
 }
 
 /// A reply with no body.
-pub fn bare(status: StatusCode) -> Reply {
+pub fn empty_reply(status: StatusCode) -> Reply {
     let mut reply = Response::new(Full::default());
     *reply.status_mut() = status;
     reply
 }
 
 /// A reply that says something in words.
-pub fn say(status: StatusCode, what: impl Into<Bytes>) -> Reply {
+pub fn text_reply(status: StatusCode, what: impl Into<Bytes>) -> Reply {
     let mut reply = Response::new(Full::new(what.into()));
     *reply.status_mut() = status;
     reply
 }
 
 /// A header's value without the space around it; `None` too where it is no ASCII text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim)
 }
--- a/proxy/src/clock.rs
+++ b/proxy/src/clock.rs
@@ -17,7 +17,7 @@
         Clock { unix, at: Instant::now() }
     }
     /// A clock that shows so many seconds now.
-    pub fn showing(secs: f64) -> Clock {
+    pub fn starting_at(secs: f64) -> Clock {
         Clock { unix: Duration::from_secs_f64(secs.clamp(0.0, 1e12)), at: Instant::now() }
     }
     /// Unix time.
--- a/proxy/src/exchange.rs
+++ b/proxy/src/exchange.rs
@@ -1,12 +1,12 @@
 //! Where client side and server side meet. The exchange turns what either side reports into events, plays all
 //! events of one wakeup as one round of the decisions, and carries the actions out on the other side.
 
-mod promises;
-mod servers;
+mod request_invariants;
+mod server_table;
 
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::ids::Ids;
+use crate::ids::RecentIds;
 use lupinledge::control::Control;
 use lupinledge::interface::{
     Action, Ended, Event, ListKind, NewRequest, Outcome, ServerEntry, ServerState, Terms,
@@ -14,8 +14,8 @@
 use lupinledge::state::Basis;
 use lupinledge::time::{Span, Timestamp};
 use lupinledge_invariants::{check, Invariant};
-use promises::{may_have_run, Promises};
-use servers::Servers;
+use request_invariants::{may_have_run, RequestInvariants};
+use server_table::ServerTable;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,19 +23,19 @@
 use tokio::sync::{oneshot, Notify};
 
 /// What one wire towards clients and servers has of its own.
-pub trait Wire: 'static {
+pub trait Protocol: 'static {
     /// What goes on from the client to a srv.
-    type Carried: 'static;
+    type ForwardedRequest: 'static;
     /// What a srv made for a req.
-    type Made: 'static;
+    type ServerResponse: 'static;
 }
 
 /// The final answer to a req.
-pub enum Answer<W: Wire> {
+pub enum Answer<W: Protocol> {
     /// What a srv made.
-    Passed(W::Made),
+    Passed(W::ServerResponse),
     /// No srv passed it; what the last of those that answered all the same said of it.
-    Failed(W::Made),
+    Failed(W::ServerResponse),
     /// Not run, with a hint when to come back; zero is none.
     Denied(Span),
     /// It may have run, and nothing is known of it.
@@ -43,57 +43,57 @@
 }
 
 /// One dispatch, for the server side.
-pub struct Dispatch<W: Wire> {
+pub struct Dispatch<W: Protocol> {
     /// The req's id, as the exchange gave it.
-    pub req: u64,
+    pub request_id: u64,
     /// Which of its req's dispatches it is, from 0.
-    pub nth: u16,
+    pub attempt: u16,
     /// The srv's index.
-    pub srv: u32,
+    pub server: u32,
     /// The srv's outside name.
-    pub name: Rc<str>,
+    pub server_name: Rc<str>,
     /// The srv's address by the last list.
     pub addr: SocketAddr,
     /// When it has to be over.
-    pub until: Timestamp,
+    pub deadline: Timestamp,
     /// Shared with its req's other dispatches.
-    pub carried: Rc<W::Carried>,
+    pub request: Rc<W::ForwardedRequest>,
 }
 
 /// How a dispatch ended.
-pub struct Back<W: Wire> {
+pub struct DispatchResult<W: Protocol> {
     /// By how far it came: whether it may have run is told by this alone.
-    pub how: Outcome,
+    pub outcome: Outcome,
     /// With `Passed` what the srv made, with any other outcome its own answer that tells of the failure, if it
     /// is one that the client may get.
-    pub made: Option<W::Made>,
+    pub response: Option<W::ServerResponse>,
     /// Its billed units, or zero.
-    pub billed: f64,
+    pub billed_units: f64,
     /// What the srv told of its load, for the decisions; may be empty.
     pub load: Vec<f32>,
 }
 
-impl<W: Wire> Back<W> {
+impl<W: Protocol> DispatchResult<W> {
     /// An end that tells nothing more.
-    pub fn bare(how: Outcome) -> Back<W> {
-        Back { how, made: None, billed: 0.0, load: Vec::new() }
+    pub fn without_response(outcome: Outcome) -> DispatchResult<W> {
+        DispatchResult { outcome, response: None, billed_units: 0.0, load: Vec::new() }
     }
 }
 
 /// Stops a dispatch when called: closes its connection, reports nothing.
-pub type Stop = Box<dyn FnOnce()>;
+pub type CancelDispatch = Box<dyn FnOnce()>;
 
 /// What takes dispatches to srvs.
-pub trait ServerSide<W: Wire> {
-    /// Sends a dispatch; its end comes to [`Exchange::ended`], later than this call, unless it is stopped.
-    fn send(&self, d: Dispatch<W>) -> Stop;
+pub trait ServerSide<W: Protocol> {
+    /// Sends a dispatch; its end comes to [`Exchange::dispatch_ended`], later than this call, unless it is stopped.
+    fn send(&self, d: Dispatch<W>) -> CancelDispatch;
     /// Closes the idle connections to a srv.
     fn close_idle(&self, srv: u32);
 }
 
 /// What takes calls to the counter.
 pub trait CounterSide {
-    /// Adds to a name's total, which is kept for `life`; the answer comes to [`Exchange::counted`].
+    /// Adds to a name's total, which is kept for `life`; the answer comes to [`Exchange::counter_call_ended`].
     fn add(&self, name: u64, amount: f64, life: Span);
     /// All calls of a round are there.
     fn flush(&self);
@@ -108,50 +108,50 @@
 }
 
 /// A srv's entry in the list, by its outside name.
-pub struct Entry {
+pub struct ServerListEntry {
     /// By it the exchange knows the srv again.
     pub name: String,
     /// Where it takes connections.
     pub addr: SocketAddr,
     /// The rest, for the decisions; the index in it is the exchange's to fill.
-    pub row: ServerEntry,
+    pub server_entry: ServerEntry,
 }
 
 /// How one dispatch of a request ended, for the log of a failed request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The srv's outside name.
-    pub srv: Rc<str>,
+    pub server: Rc<str>,
     /// How it ended.
-    pub how: Outcome,
+    pub outcome: Outcome,
     /// From the decision to send it until its end.
-    pub took: Span,
+    pub duration: Span,
 }
 
 struct Out {
-    srv: u32,
+    server: u32,
     sent: Timestamp,
-    stop: Stop,
+    stop: CancelDispatch,
     /// Its first byte may have gone to the srv.
     begun: bool,
 }
 
-struct Open<W: Wire> {
+struct Open<W: Protocol> {
     answer: Option<oneshot::Sender<Final<W>>>,
-    carried: Rc<W::Carried>,
+    request: Rc<W::ForwardedRequest>,
     /// The last srv's own answer that tells of a failure.
-    failed: Option<W::Made>,
+    failed: Option<W::ServerResponse>,
     ends: Timestamp,
     tries: Vec<Option<Out>>,
     /// A first byte of it went to a srv.
     begun: bool,
     /// The dispatches that have ended.
     attempts: Vec<Attempt>,
-    promises: Promises,
+    promises: RequestInvariants,
 }
 
 /// The meeting of both sides; see the module.
-pub struct Exchange<W: Wire> {
+pub struct Exchange<W: Protocol> {
     /// The time that all points are by.
     pub clock: Clock,
     /// Shared with both sides.
@@ -164,9 +164,9 @@
     /// Reqs that may be over; looked at when a round's actions are done.
     done: RefCell<Vec<u64>>,
     taken: Cell<u64>,
-    ids: RefCell<Ids>,
+    ids: RefCell<RecentIds>,
     unanswered: Cell<usize>,
-    srvs: RefCell<Servers>,
+    srvs: RefCell<ServerTable>,
     listed: Cell<bool>,
     timer: Cell<Option<Timestamp>>,
     woken: Notify,
@@ -176,7 +176,7 @@
 }
 
 /// A req that waits for its final answer; dropped before that, its client has left.
-pub struct Ticket<W: Wire> {
+pub struct PendingRequest<W: Protocol> {
     id: u64,
     exchange: Rc<Exchange<W>>,
     answer: oneshot::Receiver<Final<W>>,
@@ -185,7 +185,7 @@
 /// The final answer, and the dispatches that had ended by then.
 type Final<W> = (Answer<W>, Vec<Attempt>);
 
-impl<W: Wire> Ticket<W> {
+impl<W: Protocol> PendingRequest<W> {
     /// Waits for the final answer.
     pub async fn answer(mut self) -> Answer<W> {
         self.with_attempts().await.0
@@ -201,13 +201,13 @@
     }
 }
 
-impl<W: Wire> Drop for Ticket<W> {
+impl<W: Protocol> Drop for PendingRequest<W> {
     fn drop(&mut self) {
         self.exchange.left(self.id);
     }
 }
 
-impl<W: Wire> Exchange<W> {
+impl<W: Protocol> Exchange<W> {
     /// One with neither side yet, see [`Exchange::attach`].
     pub fn new(terms: Terms, clock: Clock, counters: Rc<Counters>) -> Rc<Exchange<W>> {
         Rc::new(Exchange {
@@ -233,7 +233,7 @@
     }
 
     /// Shows all rounds from now on.
-    pub fn observe(&self, observer: Box<dyn Observer>) {
+    pub fn set_observer(&self, observer: Box<dyn Observer>) {
         *self.observer.borrow_mut() = Some(observer);
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// Other terms are in force from here on; the decisions hear of them in the order of all events.
-    pub fn change(&self, terms: Terms) {
+    pub fn set_terms(&self, terms: Terms) {
         *self.terms.borrow_mut() = Rc::new(terms.clone());
         self.tell(Event::Terms(Box::new(terms)));
     }
@@ -260,29 +260,33 @@
     }
 
     /// Whether any list of srvs is there.
-    pub fn listed(&self) -> bool {
+    pub fn has_server_list(&self) -> bool {
         self.listed.get()
     }
 
     /// Whether an id from outside was not had while a req under it could be open.
     pub fn first_seen(&self, id: &[u8]) -> bool {
         let longest = self.terms.borrow().frontends.iter().map(|f| f.timeout.secs()).fold(0.0, f64::max);
-        self.ids.borrow_mut().enter(id, self.clock.now().secs(), longest)
+        self.ids.borrow_mut().insert(id, self.clock.now().secs(), longest)
     }
 
     /// A req from the client side; ids from outside stop here.
-    pub fn take(self: &Rc<Self>, mut req: NewRequest, carried: W::Carried) -> Ticket<W> {
+    pub fn submit(
+        self: &Rc<Self>,
+        mut new_request: NewRequest,
+        request: W::ForwardedRequest,
+    ) -> PendingRequest<W> {
         let id = self.taken.get() + 1;
         self.taken.set(id);
-        req.id = id;
+        new_request.id = id;
         self.counters.taken.up();
         self.unanswered.set(self.unanswered.get() + 1);
         let (answer, wait) = oneshot::channel();
-        let ends = self.clock.now() + req.time_left;
-        let promises = Promises::of(&req, &self.terms.borrow());
+        let ends = self.clock.now() + new_request.time_left;
+        let promises = RequestInvariants::of(&new_request, &self.terms.borrow());
         let open = Open {
             answer: Some(answer),
-            carried: Rc::new(carried),
+            request: Rc::new(request),
             failed: None,
             ends,
             tries: Vec::new(),
@@ -291,8 +295,8 @@
             promises,
         };
         self.open.borrow_mut().insert(id, open);
-        self.tell(Event::Req(req));
-        Ticket { id, exchange: self.clone(), answer: wait }
+        self.tell(Event::Req(new_request));
+        PendingRequest { id, exchange: self.clone(), answer: wait }
     }
 
     fn left(&self, id: u64) {
@@ -354,24 +358,24 @@
     /// come up first, and meanwhile the req may have ended or its srv begun to drain.
     pub fn may_begin(&self, d: &Dispatch<W>) -> bool {
         let mut open = self.open.borrow_mut();
-        let Some(o) = open.get_mut(&d.req).filter(|o| o.answer.is_some()) else { return false };
+        let Some(o) = open.get_mut(&d.request_id).filter(|o| o.answer.is_some()) else { return false };
         let srvs = self.srvs.borrow();
-        let Some(srv) = srvs.by_index.get(&d.srv).filter(|s| s.takes_new) else { return false };
-        if self.clock.now() >= d.until {
+        let Some(srv) = srvs.by_index.get(&d.server).filter(|s| s.takes_new) else { return false };
+        if self.clock.now() >= d.deadline {
             return false;
         }
-        let others = o.tries.iter().enumerate().filter(|(nth, _)| *nth != usize::from(d.nth));
+        let others = o.tries.iter().enumerate().filter(|(nth, _)| *nth != usize::from(d.attempt));
         let other_begun = others.filter_map(|(_, t)| t.as_ref()).any(|t| t.begun);
-        o.promises.begin(d.srv, srv.zone, other_begun);
+        o.promises.begin(d.server, srv.zone, other_begun);
         o.begun = true;
-        if let Some(Some(out)) = o.tries.get_mut(usize::from(d.nth)) {
+        if let Some(Some(out)) = o.tries.get_mut(usize::from(d.attempt)) {
             out.begun = true;
         }
         true
     }
 
     /// Denies each req of which nothing went to a srv, and nothing is about to; none of these is dispatched any more.
-    pub fn turn_away(&self, hint: Span) {
+    pub fn deny_waiting(&self, hint: Span) {
         let idle = |o: &Open<W>| o.answer.is_some() && !o.begun && o.tries.iter().all(Option::is_none);
         let idle: Vec<u64> = self.open.borrow().iter().filter(|(_, o)| idle(o)).map(|(id, _)| *id).collect();
         for id in idle {
@@ -382,19 +386,19 @@
     }
 
     /// Whether a srv is in the list: a connection to one that is not is of no further use.
-    pub fn has(&self, srv: u32) -> bool {
+    pub fn lists_server(&self, srv: u32) -> bool {
         self.srvs.borrow().by_index.get(&srv).is_some_and(|s| s.listed)
     }
 
     /// The end of a dispatch, from the server side.
-    pub fn ended(&self, req: u64, nth: u16, back: Back<W>) {
+    pub fn dispatch_ended(&self, req: u64, nth: u16, back: DispatchResult<W>) {
         let out = self.open.borrow_mut().get_mut(&req).and_then(|o| o.tries.get_mut(nth as usize)?.take());
         let Some(out) = out else { return };
-        self.note_attempt(req, &out, back.how);
-        self.srvs.borrow_mut().back(out.srv);
-        self.counters.dispatch.up(back.how);
-        match back.made {
-            Some(made) if back.how == Outcome::Passed => self.answer(req, Answer::Passed(made)),
+        self.note_attempt(req, &out, back.outcome);
+        self.srvs.borrow_mut().back(out.server);
+        self.counters.dispatch.up(back.outcome);
+        match back.response {
+            Some(made) if back.outcome == Outcome::Passed => self.answer(req, Answer::Passed(made)),
             Some(made) => {
                 if let Some(o) = self.open.borrow_mut().get_mut(&req) {
                     o.failed = Some(made);
@@ -404,19 +408,20 @@
         }
         let closed = self.open.borrow().get(&req).is_none_or(|o| o.answer.is_none());
         let took = self.clock.now() - out.sent;
-        let end = Ended { id: req, nth, outcome: back.how, took, closed, billed: back.billed };
+        let end = Ended { id: req, nth, outcome: back.outcome, took, closed, billed: back.billed_units };
         self.tell(Event::Ended(end, back.load));
         self.done.borrow_mut().push(req);
     }
 
     /// Keeps what a dispatch that has ended tells of its request.
-    fn note_attempt(&self, req: u64, out: &Out, how: Outcome) {
-        let srv = self.srvs.borrow().by_index.get(&out.srv).map_or_else(|| "gone".into(), |s| s.name.clone());
-        let took = self.clock.now() - out.sent;
+    fn note_attempt(&self, req: u64, out: &Out, outcome: Outcome) {
+        let server =
+            self.srvs.borrow().by_index.get(&out.server).map_or_else(|| "gone".into(), |s| s.name.clone());
+        let duration = self.clock.now() - out.sent;
         if let Some(o) = self.open.borrow_mut().get_mut(&req) {
-            let begun = how != Outcome::Cancelled || out.begun;
-            o.promises.may_have_run |= begun && may_have_run(how);
-            o.attempts.push(Attempt { srv, how, took });
+            let begun = outcome != Outcome::Cancelled || out.begun;
+            o.promises.may_have_run |= begun && may_have_run(outcome);
+            o.attempts.push(Attempt { server, outcome, duration });
         }
     }
 
@@ -427,13 +432,13 @@
 
     /// The end of a counter's call, from the counter side: with `Passed` the name's new total, and what is left of the
     /// customer's quota where the counter keeps that.
-    pub fn counted(&self, name: u64, total: f64, level: Option<f64>, outcome: Outcome) {
+    pub fn counter_call_ended(&self, name: u64, total: f64, level: Option<f64>, outcome: Outcome) {
         self.counters.counter_call.up(outcome);
         self.tell(Event::Counted { name, total, level, outcome });
     }
 
     /// News of the list, from discovery.
-    pub fn list(&self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn update_servers(&self, kind: ListKind, entries: Vec<ServerListEntry>) {
         let (mut rows, mut stale) = (Vec::with_capacity(entries.len()), Vec::new());
         {
             let srvs = &mut *self.srvs.borrow_mut();
@@ -446,10 +451,11 @@
                 if s.addr != e.addr {
                     stale.push(i);
                 }
-                (s.addr, s.born, s.zone) = (e.addr, e.row.started_at.or(s.born), e.row.zone);
+                (s.addr, s.born, s.zone) =
+                    (e.addr, e.server_entry.started_at.or(s.born), e.server_entry.zone);
                 (s.takes_new, s.listed) =
-                    (e.row.state == ServerState::Ready, e.row.state != ServerState::Gone);
-                rows.push(ServerEntry { server: i, started_at: s.born, ..e.row });
+                    (e.server_entry.state == ServerState::Ready, e.server_entry.state != ServerState::Gone);
+                rows.push(ServerEntry { server: i, started_at: s.born, ..e.server_entry });
             }
             stale.extend(srvs.by_index.iter().filter(|(_, s)| !s.listed).map(|(i, _)| *i));
             self.listed.set(self.listed.get() || !srvs.by_index.is_empty());
@@ -467,7 +473,7 @@
 
     /// Plays rounds for good. All that one wakeup of the program brought is there when this task has its
     /// turn, since it was put behind the tasks that were woken with the one that told it.
-    pub async fn drive(self: Rc<Self>) {
+    pub async fn run(self: Rc<Self>) {
         loop {
             match self.timer.get() {
                 None => self.woken.notified().await,
@@ -516,7 +522,7 @@
                     self.counters.counter_calls.up();
                     match &*self.counter_side.borrow() {
                         Some(counter) => counter.add(name, amount, life),
-                        None => self.counted(name, 0.0, None, Outcome::NoConnection),
+                        None => self.counter_call_ended(name, 0.0, None, Outcome::NoConnection),
                     }
                 }
                 // one timer, as the decisions keep one: a new one is always the earlier
@@ -534,27 +540,32 @@
         self.forget_done();
     }
 
-    fn dispatch(&self, now: Timestamp, id: u64, srv: u32, limit: Span) {
+    fn dispatch(&self, now: Timestamp, request_id: u64, server: u32, limit: Span) {
         self.counters.dispatches.up();
         let mut open = self.open.borrow_mut();
-        let Some(o) = open.get_mut(&id) else { return };
-        let server = self.server_side.borrow().clone();
-        let to = self.srvs.borrow_mut().by_index.get_mut(&srv).map(|s| {
+        let Some(o) = open.get_mut(&request_id) else { return };
+        let server_side = self.server_side.borrow().clone();
+        let to = self.srvs.borrow_mut().by_index.get_mut(&server).map(|s| {
             s.out += 1;
             (s.name.clone(), s.addr)
         });
-        let nth = o.tries.len() as u16;
-        let until = if limit == Span::ZERO { o.ends } else { o.ends.min(now + limit) };
-        let (carried, asked) = (o.carried.clone(), o.answer.is_some());
-        o.tries.push(Some(Out { srv, sent: now, stop: Box::new(|| {}), begun: false }));
+        let attempt = o.tries.len() as u16;
+        let deadline = if limit == Span::ZERO { o.ends } else { o.ends.min(now + limit) };
+        let (request, asked) = (o.request.clone(), o.answer.is_some());
+        o.tries.push(Some(Out { server, sent: now, stop: Box::new(|| {}), begun: false }));
         drop(open);
-        // each dispatch has its end, also one to a srv that is gone or for a req that is over
-        let (Some((name, addr)), Some(server), true) = (to, server, asked) else {
-            return self.ended(id, nth, Back::bare(Outcome::NotSent));
+        // each dispatch has its end, also one to a server that is gone or for a req that is over
+        let (Some((server_name, addr)), Some(server_side), true) = (to, server_side, asked) else {
+            return self.dispatch_ended(
+                request_id,
+                attempt,
+                DispatchResult::without_response(Outcome::NotSent),
+            );
         };
-        let stop = server.send(Dispatch { req: id, nth, srv, name, addr, until, carried });
+        let stop =
+            server_side.send(Dispatch { request_id, attempt, server, server_name, addr, deadline, request });
         if let Some(Some(out)) =
-            self.open.borrow_mut().get_mut(&id).and_then(|o| o.tries.get_mut(nth as usize))
+            self.open.borrow_mut().get_mut(&request_id).and_then(|o| o.tries.get_mut(attempt as usize))
         {
             out.stop = stop;
         }
@@ -565,19 +576,19 @@
         let Some(out) = out else { return };
         self.note_attempt(id, &out, Outcome::Cancelled);
         (out.stop)();
-        self.srvs.borrow_mut().back(out.srv);
+        self.srvs.borrow_mut().back(out.server);
         self.counters.dispatch.up(Outcome::Cancelled);
         let closed = self.open.borrow().get(&id).is_none_or(|o| o.answer.is_none());
         let took = self.clock.now() - out.sent;
         let end = Ended { id, nth, outcome: Outcome::Cancelled, took, closed, billed: 0.0 };
-        log::debug!("cancelled {id}/{nth} at srv {}", out.srv);
+        log::debug!("cancelled {id}/{nth} at srv {}", out.server);
         self.tell(Event::Ended(end, Vec::new()));
         self.done.borrow_mut().push(id);
     }
 }
 
 /// For the sides, which the exchange owns.
-pub type Meeting<W> = Weak<Exchange<W>>;
+pub type WeakExchange<W> = Weak<Exchange<W>>;
 
 #[cfg(test)]
 mod tests;
--- a/proxy/src/exchange/promises.rs
+++ b/proxy/src/exchange/request_invariants.rs
@@ -4,7 +4,7 @@
 use lupinledge_invariants::{check, Invariant};
 
 /// What has to hold for one request, whatever the decisions say; see [`Invariant`].
-pub(super) struct Promises {
+pub(super) struct RequestInvariants {
     /// It may run once at most.
     pub once: bool,
     /// An ended dispatch may have run.
@@ -17,10 +17,10 @@
     zones: u64,
 }
 
-impl Promises {
-    pub fn of(req: &NewRequest, terms: &Terms) -> Promises {
+impl RequestInvariants {
+    pub fn of(req: &NewRequest, terms: &Terms) -> RequestInvariants {
         let frontend = terms.frontends.get(req.frontend);
-        Promises {
+        RequestInvariants {
             once: frontend.is_some_and(|f| f.effect == Effect::NonReplayable),
             may_have_run: false,
             servers: Vec::new(),
--- a/proxy/src/exchange/servers.rs
+++ b/proxy/src/exchange/server_table.rs
@@ -1,6 +1,6 @@
 //! The servers of the list by the index that the decisions know them by.
 
-use super::Entry;
+use super::ServerListEntry;
 use lupinledge::time::Timestamp;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,15 +22,15 @@
 /// Srvs by index. An index is given to one srv only, and forgotten once that has left the list and no dispatch
 /// is out there: where srvs are replaced all day by new ones, the tables stay as small as the list.
 #[derive(Default)]
-pub(super) struct Servers {
+pub(super) struct ServerTable {
     pub by_index: HashMap<u32, Server>,
     pub by_name: HashMap<Rc<str>, u32>,
     pub given: u32,
 }
 
-impl Servers {
+impl ServerTable {
     /// A new srv at the address of another one has started since, whatever the list says of its start.
-    pub fn enter(&mut self, e: &Entry, now: Timestamp) -> u32 {
+    pub fn enter(&mut self, e: &ServerListEntry, now: Timestamp) -> u32 {
         if let Some(&i) = self.by_name.get(e.name.as_str()) {
             return i;
         }
@@ -39,13 +39,13 @@
         let name: Rc<str> = e.name.as_str().into();
         self.by_name.insert(name.clone(), self.given);
         let (addr, born) = (e.addr, Some(now).filter(|_| follows));
-        let zone = e.row.zone;
+        let zone = e.server_entry.zone;
         let srv = Server { name, addr, zone, takes_new: false, listed: false, born, out: 0 };
         self.by_index.insert(self.given, srv);
         self.given
     }
     pub fn forget_gone(&mut self) {
-        let Servers { by_index, by_name, .. } = self;
+        let ServerTable { by_index, by_name, .. } = self;
         by_index.retain(|_, s| {
             let stays = s.listed || s.out > 0;
             if !stays {
--- a/proxy/src/exchange/tests.rs
+++ b/proxy/src/exchange/tests.rs
@@ -3,16 +3,16 @@
 
 struct Words;
 
-impl Wire for Words {
-    type Carried = ();
-    type Made = &'static str;
+impl Protocol for Words {
+    type ForwardedRequest = ();
+    type ServerResponse = &'static str;
 }
 
 /// A server side that leaves each dispatch open.
-struct Srvs;
+struct ServerConnections;
 
-impl ServerSide<Words> for Srvs {
-    fn send(&self, _: Dispatch<Words>) -> Stop {
+impl ServerSide<Words> for ServerConnections {
+    fn send(&self, _: Dispatch<Words>) -> CancelDispatch {
         Box::new(|| {})
     }
     fn close_idle(&self, _: u32) {}
@@ -28,19 +28,19 @@
         serde_json::from_str(include_str!("../../../example/config.json")).expect("JSON");
     let terms = lupinledge_gateway_settings::terms(1, &v["settings"]).expect("terms");
     let x = Exchange::new(terms, Clock::start(), Rc::default());
-    x.attach(Rc::new(Srvs), None);
+    x.attach(Rc::new(ServerConnections), None);
     x
 }
 
-fn entry(name: &str, port: u16, state: ServerState) -> Entry {
-    let row = ServerEntry { server: 0, zone: 0, cell: 0, state, weight: 1.0, started_at: None };
-    Entry { name: name.to_string(), addr: ([127, 0, 0, 1], port).into(), row }
+fn entry(name: &str, port: u16, state: ServerState) -> ServerListEntry {
+    let server_entry = ServerEntry { server: 0, zone: 0, cell: 0, state, weight: 1.0, started_at: None };
+    ServerListEntry { name: name.to_string(), addr: ([127, 0, 0, 1], port).into(), server_entry }
 }
 
-fn take(x: &Rc<Exchange<Words>>) -> Ticket<Words> {
+fn take(x: &Rc<Exchange<Words>>) -> PendingRequest<Words> {
     let time_left = Span::from_secs(1.0);
     let (repeat, units, customer, plan, spread, zones) = (false, 1.0, 1, 2, 1.0, u64::MAX);
-    x.take(NewRequest { id: 0, frontend: 0, repeat, units, customer, plan, spread, time_left, zones }, ())
+    x.submit(NewRequest { id: 0, frontend: 0, repeat, units, customer, plan, spread, time_left, zones }, ())
 }
 
 /// Srvs replaced all day by new ones at the same address leave nothing behind, except where a dispatch is
@@ -48,13 +48,13 @@
 #[test]
 fn replaced_srvs_are_forgotten() {
     let x = exchange();
-    x.list(ListKind::Full, vec![entry("0", 1, ServerState::Ready)]);
+    x.update_servers(ListKind::Full, vec![entry("0", 1, ServerState::Ready)]);
     play(&x);
     let ticket = take(&x);
     play(&x);
     for n in 1..200u16 {
         let old = entry(&(n - 1).to_string(), 1, ServerState::Gone);
-        x.list(ListKind::Delta, vec![old, entry(&n.to_string(), 1, ServerState::Ready)]);
+        x.update_servers(ListKind::Delta, vec![old, entry(&n.to_string(), 1, ServerState::Ready)]);
         let born = match x.events.borrow().last() {
             Some(Event::List { rows, .. }) => {
                 rows.iter().map(|r| (r.server, r.started_at.is_some())).collect()
@@ -67,7 +67,7 @@
     let kept = |x: &Exchange<Words>| (x.srvs.borrow().by_index.len(), x.srvs.borrow().by_name.len());
     assert_eq!(kept(&x), (2, 2), "the last, and the first, where a dispatch is out");
     assert!(x.srvs.borrow().by_index.contains_key(&1));
-    x.ended(1, 0, Back::bare(Outcome::Error));
+    x.dispatch_ended(1, 0, DispatchResult::without_response(Outcome::Error));
     assert_eq!(kept(&x), (1, 1));
     drop(ticket);
 }
@@ -77,10 +77,13 @@
 #[test]
 fn left_in_the_round_of_a_further_dispatch() {
     let x = exchange();
-    x.list(ListKind::Full, vec![entry("a", 1, ServerState::Ready), entry("b", 2, ServerState::Ready)]);
+    x.update_servers(
+        ListKind::Full,
+        vec![entry("a", 1, ServerState::Ready), entry("b", 2, ServerState::Ready)],
+    );
     let ticket = take(&x);
     play(&x);
-    x.ended(1, 0, Back::bare(Outcome::Error));
+    x.dispatch_ended(1, 0, DispatchResult::without_response(Outcome::Error));
     drop(ticket);
     play(&x);
     play(&x);
@@ -95,14 +98,18 @@
 fn a_failure_told_is_the_answer() {
     for told in [Some("made no sense"), None] {
         let x = exchange();
-        x.list(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
+        x.update_servers(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
         let mut terms = (*x.terms()).clone();
         terms.frontends[0].effect = Effect::NonReplayable;
-        x.change(terms);
+        x.set_terms(terms);
         let mut ticket = take(&x);
         assert_eq!(x.unanswered(), 1);
         play(&x);
-        x.ended(1, 0, Back { made: told, ..Back::bare(Outcome::Error) });
+        x.dispatch_ended(
+            1,
+            0,
+            DispatchResult { response: told, ..DispatchResult::without_response(Outcome::Error) },
+        );
         play(&x);
         match ticket.answer.try_recv() {
             Ok((Answer::Failed(made), _)) => assert_eq!(Some(made), told),
@@ -117,17 +124,21 @@
 #[test]
 fn turned_away_while_another_is_out() {
     let x = exchange();
-    x.list(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
+    x.update_servers(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
     let mut out = take(&x);
     play(&x);
-    x.list(ListKind::Full, vec![entry("a", 1, ServerState::Draining)]);
+    x.update_servers(ListKind::Full, vec![entry("a", 1, ServerState::Draining)]);
     let mut waits = take(&x);
-    x.turn_away(Span::from_secs(0.2));
+    x.deny_waiting(Span::from_secs(0.2));
     assert!(matches!(waits.answer.try_recv(), Ok((Answer::Denied(after), _)) if after.secs() == 0.2));
     assert_eq!(x.unanswered(), 1);
-    x.list(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
+    x.update_servers(ListKind::Full, vec![entry("a", 1, ServerState::Ready)]);
     play(&x);
-    x.ended(1, 0, Back { made: Some("done"), ..Back::bare(Outcome::Passed) });
+    x.dispatch_ended(
+        1,
+        0,
+        DispatchResult { response: Some("done"), ..DispatchResult::without_response(Outcome::Passed) },
+    );
     play(&x);
     assert!(matches!(out.answer.try_recv(), Ok((Answer::Passed("done"), _))));
     assert!(x.counters.to_string().contains(" dispatches=1 "), "{}", x.counters);
--- a/proxy/src/transport/body.rs
+++ b/proxy/src/transport/body.rs
@@ -9,40 +9,40 @@
 
 /// Why a body was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum BodyError {
     /// It has more bytes than it may.
     TooLong,
     /// Its framing is wrong, or who sends it has left.
     Broken,
     /// There is no room for it now.
-    NoRoom,
+    NoMemory,
 }
 
 /// Reads a body of `largest` bytes at most. One that tells ahead that it is longer is not read at all.
-pub async fn whole(body: Incoming, largest: usize) -> Result<Bytes, Unread> {
-    whole_counted(body, largest, |_| true).await
+pub async fn read_body(body: Incoming, largest: usize) -> Result<Bytes, BodyError> {
+    read_body_with_budget(body, largest, |_| true).await
 }
 
 /// The same; `room` is told the bytes of each piece as it comes, and says whether there is room for it.
-pub async fn whole_counted(
+pub async fn read_body_with_budget(
     body: Incoming,
     largest: usize,
     mut room: impl FnMut(usize) -> bool,
-) -> Result<Bytes, Unread> {
+) -> Result<Bytes, BodyError> {
     if body.size_hint().lower() > largest as u64 {
-        return Err(Unread::TooLong);
+        return Err(BodyError::TooLong);
     }
     let told = body.size_hint().exact().unwrap_or(0) as usize;
     let (mut body, mut read) = (Limited::new(body, largest), BytesMut::with_capacity(told));
     while let Some(frame) = body.frame().await {
         let frame = match frame {
             Ok(frame) => frame,
-            Err(e) if e.is::<LengthLimitError>() => return Err(Unread::TooLong),
-            Err(_) => return Err(Unread::Broken),
+            Err(e) if e.is::<LengthLimitError>() => return Err(BodyError::TooLong),
+            Err(_) => return Err(BodyError::Broken),
         };
         let Ok(piece) = frame.into_data() else { continue };
         if !room(piece.len()) {
-            return Err(Unread::NoRoom);
+            return Err(BodyError::NoMemory);
         }
         read.extend_from_slice(&piece);
     }
@@ -50,34 +50,34 @@
 }
 
 /// Memory for bodies, taken and given back.
-pub struct Memory {
+pub struct MemoryBudget {
     all: usize,
     left: AtomicUsize,
     freed: Notify,
 }
 
-impl Memory {
+impl MemoryBudget {
     /// So many bytes.
-    pub fn of(bytes: usize) -> Arc<Memory> {
-        Arc::new(Memory { all: bytes, left: AtomicUsize::new(bytes), freed: Notify::new() })
+    pub fn new(bytes: usize) -> Arc<MemoryBudget> {
+        Arc::new(MemoryBudget { all: bytes, left: AtomicUsize::new(bytes), freed: Notify::new() })
     }
 
-    /// Nothing yet; see [`Taken::grow`].
-    pub fn none(self: &Arc<Memory>) -> Taken {
-        Taken { memory: self.clone(), bytes: 0 }
+    /// Nothing yet; see [`Reservation::try_grow`].
+    pub fn reserve_nothing(self: &Arc<MemoryBudget>) -> Reservation {
+        Reservation { memory: self.clone(), bytes: 0 }
     }
 
     /// Takes so many bytes, if they are left.
-    pub fn take(self: &Arc<Memory>, bytes: usize) -> Option<Taken> {
-        let mut taken = self.none();
-        taken.grow(bytes).then_some(taken)
+    pub fn try_reserve(self: &Arc<MemoryBudget>, bytes: usize) -> Option<Reservation> {
+        let mut taken = self.reserve_nothing();
+        taken.try_grow(bytes).then_some(taken)
     }
 
     /// Takes so many bytes, or all there are if that is less, once they are left.
-    pub async fn wait(self: &Arc<Memory>, bytes: usize) -> Taken {
+    pub async fn reserve(self: &Arc<MemoryBudget>, bytes: usize) -> Reservation {
         loop {
             let freed = self.freed.notified();
-            if let Some(taken) = self.take(bytes.min(self.all)) {
+            if let Some(taken) = self.try_reserve(bytes.min(self.all)) {
                 return taken;
             }
             freed.await;
@@ -86,14 +86,14 @@
 }
 
 /// What was taken; given back when dropped.
-pub struct Taken {
-    memory: Arc<Memory>,
+pub struct Reservation {
+    memory: Arc<MemoryBudget>,
     bytes: usize,
 }
 
-impl Taken {
+impl Reservation {
     /// Takes so many bytes more, if they are left.
-    pub fn grow(&mut self, bytes: usize) -> bool {
+    pub fn try_grow(&mut self, bytes: usize) -> bool {
         let less = |left: usize| left.checked_sub(bytes);
         let enough = self.memory.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok();
         self.bytes += if enough { bytes } else { 0 };
@@ -101,12 +101,12 @@
     }
 
     /// The same body, which gives the memory back once it is dropped.
-    pub fn hold(self, body: Bytes) -> Bytes {
+    pub fn attach_to(self, body: Bytes) -> Bytes {
         Bytes::from_owner(Held { body, _taken: self })
     }
 }
 
-impl Drop for Taken {
+impl Drop for Reservation {
     fn drop(&mut self) {
         // who waits is not to be woken by its own vain try
         if self.bytes > 0 {
@@ -118,7 +118,7 @@
 
 struct Held {
     body: Bytes,
-    _taken: Taken,
+    _taken: Reservation,
 }
 
 impl AsRef<[u8]> for Held {
--- a/proxy/src/transport/descriptors.rs
+++ b/proxy/src/transport/descriptors.rs
@@ -6,37 +6,37 @@
 
 /// The places of one use.
 #[derive(Debug)]
-pub struct Share {
+pub struct DescriptorPool {
     free: Cell<usize>,
     all: usize,
 }
 
 /// One place, given back when dropped.
 #[derive(Debug)]
-pub struct Place(Rc<Share>);
+pub struct DescriptorPermit(Rc<DescriptorPool>);
 
-impl Share {
+impl DescriptorPool {
     /// With `all` places, all free.
-    pub fn of(all: usize) -> Rc<Share> {
-        Rc::new(Share { free: Cell::new(all), all })
+    pub fn new(all: usize) -> Rc<DescriptorPool> {
+        Rc::new(DescriptorPool { free: Cell::new(all), all })
     }
     /// A place, if one is free.
-    pub fn take(self: &Rc<Share>) -> Option<Place> {
+    pub fn try_acquire(self: &Rc<DescriptorPool>) -> Option<DescriptorPermit> {
         let left = self.free.get().checked_sub(1)?;
         self.free.set(left);
-        Some(Place(self.clone()))
+        Some(DescriptorPermit(self.clone()))
     }
     /// Whether one is free.
-    pub fn any(&self) -> bool {
+    pub fn has_free(&self) -> bool {
         self.free.get() > 0
     }
     /// Few places are left: what is idle should go.
-    pub fn tight(&self) -> bool {
+    pub fn is_low(&self) -> bool {
         self.free.get() * 16 < self.all
     }
 }
 
-impl Drop for Place {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.free.set(self.0.free.get() + 1);
     }
--- a/proxy/src/transport/heads.rs
+++ b/proxy/src/transport/framing.rs
@@ -25,7 +25,7 @@
 
 /// Where a connection's bytes stand.
 #[derive(Debug, Default)]
-pub struct Heads {
+pub struct RequestFraming {
     at: Cell<At>,
     line: RefCell<Vec<u8>>,
     /// The last byte read of an open head.
@@ -39,7 +39,7 @@
     wrote: Cell<Option<Instant>>,
 }
 
-impl Heads {
+impl RequestFraming {
     /// When a byte was written last: until an answer is written its connection is in use.
     pub fn wrote(&self) -> Option<Instant> {
         self.wrote.get()
@@ -135,12 +135,12 @@
 /// A stream that is followed.
 pub struct Followed<S> {
     stream: S,
-    heads: Rc<Heads>,
+    heads: Rc<RequestFraming>,
 }
 
 impl<S> Followed<S> {
     /// What `heads` say is to be looked at by another; one of its own for each connection.
-    pub fn new(stream: S, heads: Rc<Heads>) -> Followed<S> {
+    pub fn new(stream: S, heads: Rc<RequestFraming>) -> Followed<S> {
         Followed { stream, heads }
     }
 }
--- a/proxy/src/transport/heads/tests.rs
+++ b/proxy/src/transport/framing/tests.rs
@@ -16,7 +16,7 @@
 #[test_case("P / H\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n", None, true; "coded alone")]
 fn framing(bytes: &str, fault: Option<&str>, last: bool) {
     for cut in [1, 2, 7, 1000] {
-        let heads = Heads::default();
+        let heads = RequestFraming::default();
         bytes.as_bytes().chunks(cut).for_each(|part| heads.read(part));
         assert_eq!((heads.fault(), heads.last(), heads.begun()), (fault, last, heads.begun()));
         assert_eq!(heads.begun().is_some(), fault == PAST, "no head is open");
--- a/proxy/src/transport/listen.rs
+++ b/proxy/src/transport/listener.rs
@@ -1,6 +1,6 @@
 //! The listening socket: each connection accepted takes a place among the descriptors first.
 
-use super::descriptors::{Place, Share};
+use super::descriptors::{DescriptorPermit, DescriptorPool};
 use std::future::poll_fn;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,29 +9,29 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 /// A listening socket with the places of its connections.
-pub struct Gate {
+pub struct Listener {
     listener: TcpListener,
-    places: Rc<Share>,
+    places: Rc<DescriptorPool>,
 }
 
-impl Gate {
+impl Listener {
     /// Binds; a port that a killed predecessor's connections still use is taken over.
-    pub fn open(addr: SocketAddr, places: Rc<Share>) -> std::io::Result<Gate> {
+    pub fn bind(addr: SocketAddr, places: Rc<DescriptorPool>) -> std::io::Result<Listener> {
         let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
         socket.bind(addr)?;
-        Ok(Gate { listener: socket.listen(4096)?, places })
+        Ok(Listener { listener: socket.listen(4096)?, places })
     }
     /// Where it listens, with the port that the machine chose for port 0.
-    pub fn addr(&self) -> std::io::Result<SocketAddr> {
+    pub fn local_addr(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
     /// The next connection. With no place free, `room` is asked to make some until there is one; the
     /// connection waits in the machine's queue meanwhile.
-    pub async fn next(&self, room: impl Fn()) -> (TcpStream, SocketAddr, Place) {
+    pub async fn accept(&self, room: impl Fn()) -> (TcpStream, SocketAddr, DescriptorPermit) {
         loop {
             // looked at often: a connection that waits here has a req whose time runs
-            let Some(place) = self.places.take() else {
+            let Some(place) = self.places.try_acquire() else {
                 room();
                 tokio::time::sleep(Duration::from_millis(2)).await;
                 continue;
@@ -49,9 +49,9 @@
         }
     }
     /// A connection that stands in the machine's queue; `None` once there is none.
-    pub async fn queued(&self) -> Option<(TcpStream, SocketAddr, Place)> {
+    pub async fn accept_queued(&self) -> Option<(TcpStream, SocketAddr, DescriptorPermit)> {
         loop {
-            let Some(place) = self.places.take() else {
+            let Some(place) = self.places.try_acquire() else {
                 tokio::time::sleep(Duration::from_millis(2)).await;
                 continue;
             };
--- a/proxy/src/transport/mod.rs
+++ b/proxy/src/transport/mod.rs
@@ -3,5 +3,5 @@
 pub mod descriptors;
 pub mod dial;
 pub mod ending;
-pub mod heads;
-pub mod listen;
+pub mod framing;
+pub mod listener;
--- a/proxy/tests/connections.rs
+++ b/proxy/tests/connections.rs
@@ -2,9 +2,11 @@
 
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use lupinledge_proxy::clients::{bare, say, Answering, ClientBounds, Clients, Reply};
-use lupinledge_proxy::transport::descriptors::Share;
-use lupinledge_proxy::transport::heads::Heads;
+use lupinledge_proxy::clients::{
+    empty_reply, text_reply, ClientConnections, ClientLimits, Reply, RequestHandler,
+};
+use lupinledge_proxy::transport::descriptors::DescriptorPool;
+use lupinledge_proxy::transport::framing::RequestFraming;
 use socket2::{Domain, Socket, Type};
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -23,15 +25,15 @@
 const SLOWLY: usize = 8 << 20;
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n";
 
-fn bounds(idle: Duration, unfinished: Duration) -> ClientBounds {
-    ClientBounds {
-        idle,
-        head: Duration::from_secs(60),
-        whole: Duration::from_secs(60),
-        unfinished,
-        sweep: Duration::from_millis(50),
-        prompt: Duration::from_secs(60),
-        largest_head: 8 << 10,
+fn bounds(idle_timeout: Duration, unfinished_timeout: Duration) -> ClientLimits {
+    ClientLimits {
+        idle_timeout,
+        head_timeout: Duration::from_secs(60),
+        request_timeout: Duration::from_secs(60),
+        unfinished_timeout,
+        sweep_interval: Duration::from_millis(50),
+        first_byte_wait: Duration::from_secs(60),
+        max_head_bytes: 8 << 10,
     }
 }
 
@@ -42,9 +44,9 @@
 
 struct Large;
 
-impl Answering for Large {
-    async fn answer(&self, _: Request<Incoming>, _: &Heads, _: Instant) -> Reply {
-        say(StatusCode::OK, vec![b'x'; LARGE])
+impl RequestHandler for Large {
+    async fn handle(&self, _: Request<Incoming>, _: &RequestFraming, _: Instant) -> Reply {
+        text_reply(StatusCode::OK, vec![b'x'; LARGE])
     }
 }
 
@@ -76,16 +78,16 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
         let at = listener.local_addr().expect("its address");
         let short = Duration::from_millis(1500);
-        let clients = Clients::start(Rc::new(Large), Rc::default(), bounds(short, short));
+        let clients = ClientConnections::start(Rc::new(Large), Rc::default(), bounds(short, short));
         let (done, came) = tokio::sync::oneshot::channel();
         spawn(move || done.send(slow_reader(at)));
         let (stream, peer) = listener.accept().await.expect("a connection");
-        let place = Share::of(1).take().expect("a place");
+        let place = DescriptorPool::new(1).try_acquire().expect("a place");
         clients.serve(stream, peer, place, false);
         if to_end {
             tokio::time::sleep(Duration::from_millis(300)).await;
-            clients.closing();
-            clients.end_all();
+            clients.start_closing();
+            clients.close_all();
         }
         let came = came.await.expect("the client's word");
         assert!(came > LARGE, "{came} bytes of {LARGE} and a head");
@@ -95,11 +97,11 @@
 /// Answers after a moment, and counts.
 struct Later(Cell<usize>);
 
-impl Answering for Later {
-    async fn answer(&self, _: Request<Incoming>, _: &Heads, _: Instant) -> Reply {
+impl RequestHandler for Later {
+    async fn handle(&self, _: Request<Incoming>, _: &RequestFraming, _: Instant) -> Reply {
         self.0.set(self.0.get() + 1);
         tokio::time::sleep(Duration::from_millis(20)).await;
-        bare(StatusCode::OK)
+        empty_reply(StatusCode::OK)
     }
 }
 
@@ -118,13 +120,14 @@
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port");
         let at = listener.local_addr().expect("its address");
         let (later, long) = (Rc::new(Later(Cell::new(0))), Duration::from_secs(60));
-        let clients = Clients::start(later.clone(), Rc::default(), bounds(long, Duration::from_millis(300)));
-        let places = Share::of(64);
+        let clients =
+            ClientConnections::start(later.clone(), Rc::default(), bounds(long, Duration::from_millis(300)));
+        let places = DescriptorPool::new(64);
         let mut streams: Vec<Blocking> = Vec::new();
         for _ in 0..40 {
             let mut stream = Blocking::connect(at).expect("a connection");
             let (taken, peer) = listener.accept().await.expect("the same");
-            clients.serve(taken, peer, places.take().expect("a place"), false);
+            clients.serve(taken, peer, places.try_acquire().expect("a place"), false);
             stream.write_all(REQUEST).expect("written");
             let (_, answer) = (tokio::time::sleep(Duration::from_millis(30)).await, &mut [0; 512]);
             assert!(stream.read(answer).expect("an answer") > 0);
@@ -139,11 +142,11 @@
         signals.write_all(b"x").expect("written");
         streams.iter_mut().for_each(|s| s.write_all(REQUEST).expect("written"));
         signal.readable().await.expect("the signal");
-        (0..40).for_each(|_| clients.make_room());
+        (0..40).for_each(|_| clients.free_descriptors());
         let ends = streams.into_iter().map(|s| tokio::task::spawn_blocking(move || answered(s)));
         let ends: Vec<_> = ends.collect();
         tokio::time::sleep(Duration::from_millis(100)).await;
-        clients.end_all();
+        clients.close_all();
         let mut answers = 0;
         for end in ends {
             answers += usize::from(end.await.expect("the client's word"));
