--- a/gossip/src/log.rs
+++ b/gossip/src/log.rs
@@ -2,7 +2,7 @@
 //! changes of responsibility and failures are logged. A slow or stuck reader of the log never blocks the
 //! process.
 
-use lupinledge_logging::{panics, Lines};
+use lupinledge_logging::{panics, LineWriter};
 use std::fmt;
 use std::io;
 use std::panic::PanicHookInfo;
@@ -70,14 +70,14 @@
 /// The time that the remaining lines get to be written when the process ends.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-static WRITER: OnceLock<Lines> = OnceLock::new();
+static WRITER: OnceLock<LineWriter> = OnceLock::new();
 
 /// Passes on one whole line per call.
 struct LineWriter;
 
 impl io::Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        WRITER.get().into_iter().for_each(|lines| lines.put(line.to_vec()));
+        WRITER.get().into_iter().for_each(|lines| lines.write_line(line.to_vec()));
         Ok(line.len())
     }
     fn flush(&mut self) -> io::Result<()> {
@@ -98,10 +98,10 @@
 
 /// Starts the log. From then on events are written, and a panic on this thread ends the process.
 pub fn start() {
-    WRITER.get_or_init(|| Lines::start(io::stderr()));
+    WRITER.get_or_init(|| LineWriter::start(io::stderr()));
     let fmt = tracing_subscriber::fmt().with_max_level(tracing::Level::INFO).with_writer(|| LineWriter);
     let _ = fmt.event_format(LineFormat).try_init();
     // The shared crates log each connection; at thousands per second that would cost too much.
     log::set_max_level(log::LevelFilter::Warn);
-    panics::end_the_process(log_panic);
+    panics::abort_on_panic(log_panic);
 }
