--- a/gossip/src/log.rs
+++ b/gossip/src/log.rs
@@ -73,9 +73,9 @@
 static WRITER: OnceLock<LineWriter> = OnceLock::new();
 
 /// Passes on one whole line per call.
-struct LineWriter;
+struct EventWriter;
 
-impl io::Write for LineWriter {
+impl io::Write for EventWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         WRITER.get().into_iter().for_each(|lines| lines.write_line(line.to_vec()));
         Ok(line.len())
@@ -99,7 +99,7 @@
 /// Starts the log. From then on events are written, and a panic on this thread ends the process.
 pub fn start() {
     WRITER.get_or_init(|| LineWriter::start(io::stderr()));
-    let fmt = tracing_subscriber::fmt().with_max_level(tracing::Level::INFO).with_writer(|| LineWriter);
+    let fmt = tracing_subscriber::fmt().with_max_level(tracing::Level::INFO).with_writer(|| EventWriter);
     let _ = fmt.event_format(LineFormat).try_init();
     // The shared crates log each connection; at thousands per second that would cost too much.
     log::set_max_level(log::LevelFilter::Warn);
