--- a/config/src/check.rs
+++ b/config/src/check.rs
@@ -37,9 +37,9 @@
                     let field = field + ".match.path_prefix";
                     return Err(ConfigError::invalid(field, "another route has the same host and prefix"));
                 }
-                r.action
-                    .check_services(&services)
-                    .map_err(|(name, text)| ConfigError::invalid(format!("{field}.action{name}"), text))?;
+                r.action.check_services(&services).map_err(|(suffix, text)| {
+                    ConfigError::invalid(format!("{field}.action{suffix}"), text)
+                })?;
             }
         }
         self.check_tenants()
--- a/config/src/tables.rs
+++ b/config/src/tables.rs
@@ -20,7 +20,7 @@
     tenants: Vec<Tenant>,
     services: Vec<Service>,
     limits: Limits,
-    evacuated: HashSet<String>,
+    evacuated_zones: HashSet<String>,
     /// Region by zone.
     zones: HashMap<String, String>,
     fingerprints: Fingerprints,
@@ -165,7 +165,7 @@
             None => Tables::default(),
         };
         tables.version = document.version;
-        tables.evacuated = document.evacuated_zones.iter().cloned().collect();
+        tables.evacuated_zones = document.evacuated_zones.iter().cloned().collect();
         tables.zones = zones.iter().map(|(z, r)| (z.clone(), r.clone())).collect();
         tables.fingerprints = Fingerprints::of(&tables);
         Ok(tables)
@@ -222,14 +222,15 @@
     /// regions.
     pub fn is_allowed_in(&self, route: &Route, tenant: Option<&Tenant>, zone: &str) -> bool {
         let region = self.region(zone);
-        let allowed =
-            |regions: &[String]| regions.is_empty() || regions.iter().any(|r| Some(r.as_str()) == region);
-        allowed(&route.home_regions) && tenant.is_none_or(|t| allowed(&t.home_regions))
+        let allows_region = |regions: &[String]| {
+            regions.is_empty() || regions.iter().any(|allowed| Some(allowed.as_str()) == region)
+        };
+        allows_region(&route.home_regions) && tenant.is_none_or(|t| allows_region(&t.home_regions))
     }
 
     /// Whether the zone is evacuated.
     pub fn is_evacuated(&self, zone: &str) -> bool {
-        self.evacuated.contains(zone)
+        self.evacuated_zones.contains(zone)
     }
 
     /// The region of the zone.
@@ -282,7 +283,7 @@
     }
 
     pub(crate) fn evacuations(&self) -> impl Iterator<Item = &str> {
-        self.evacuated.iter().map(String::as_str)
+        self.evacuated_zones.iter().map(String::as_str)
     }
 
     /// Corrupts the tables in memory as a fault would, for tests; `how` names the corruption. Does nothing unless
@@ -301,7 +302,7 @@
             ("prefix", _) => self.hosts.values_mut().for_each(|list| list.reverse()),
             ("key", _) => drop(self.keys.insert("revoked".into(), 0)),
             ("half", _) => drop(self.tenants.pop()),
-            ("evacuation", _) => self.evacuated.clear(),
+            ("evacuation", _) => self.evacuated_zones.clear(),
             _ => {}
         }
     }
--- a/config/tests/invalid.rs
+++ b/config/tests/invalid.rs
@@ -128,7 +128,7 @@
     let mut other = example();
     (other["version"], other["base_version"]) = (json!("r3"), json!(0));
     other["clusters"][0]["max_conns"] = json!(9);
-    assert_eq!(refused(&first, &bytes(&other)), ErrorKind::Stale); // another body under the current version, on the same base
+    assert_eq!(refused(&first, &bytes(&other)), ErrorKind::Stale); // same version and base, another body
     let second = accepted(&first, &numbered(8, 3));
     assert_eq!(second.put(&numbered(3, 0)), PutResult::AlreadyAccepted); // sent again after a newer version
     assert_eq!(second.put(&numbered(8, 3)), PutResult::AlreadyAccepted);
