--- a/config/src/config.rs
+++ b/config/src/config.rs
@@ -144,10 +144,10 @@
     #[serde(default, deserialize_with = "or_default")]
     #[garde(length(max = 4096), custom(printable))]
     pub name: String,
-    /// Whether requests may run more than once.
+    /// Whether requests may be executed more than once.
     #[garde(skip)]
     pub route_kind: RouteKind,
-    /// Seconds within which a response has its full value; without it, `action.timeout_s`.
+    /// Seconds within which a response has its full value; `action.timeout_s` if missing or 0.
     #[serde(default)]
     #[garde(inner(custom(not_negative)))]
     pub target_s: Option<f64>,
