--- a/data-plane/src/door.rs
+++ b/data-plane/src/client_handler.rs
@@ -1,10 +1,10 @@
 //! What clients are answered: a request is read, its route and tenant are looked up in the tables in force, and it
 //! goes to its service's pool. Here is no decision: what is not proper is refused, the rest is the pools'.
 
-use crate::failures::{Failure, Failures};
-use crate::operations::{self, Ended, KeptAnswer, Operations};
+use crate::failure_log::{Failure, FailureLog};
+use crate::operations::{self, Ended, StoredAnswer, Operations};
 use crate::pools::Pools;
-use crate::wire::{Carried, Made, Trail, ATTEMPT, DEADLINE, OPERATION_KEY};
+use crate::server_protocol::{ForwardedRequest, ServerAnswer, ServerProtocol, ATTEMPT, DEADLINE, OPERATION_KEY};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, AUTHORIZATION, CONNECTION, CONTENT_LENGTH, HOST, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
@@ -54,12 +54,12 @@
 const REMEMBERED: f64 = 30.0;
 
 /// See the module.
-pub struct Door {
+pub struct ClientHandler {
     pools: Rc<Pools>,
     operations: Rc<Operations>,
     /// Those that may have run.
     ids: RefCell<Ids>,
-    failures: Failures,
+    failures: FailureLog,
     /// Where the last request fell between the parts of a split, from 0 to 1.
     split: Cell<f64>,
     /// For the bodies of requests.
@@ -85,16 +85,16 @@
 /// The connection can't be used after it.
 type Refusal = Box<Reply>;
 
-impl Door {
-    pub fn new(pools: Rc<Pools>, operations: Rc<Operations>, memory_mb: f64, seed: u64) -> Rc<Door> {
+impl ClientHandler {
+    pub fn new(pools: Rc<Pools>, operations: Rc<Operations>, memory_mb: f64, seed: u64) -> Rc<ClientHandler> {
         let memory = Memory::of((memory_mb * 1e6 * BODIES) as usize);
         let split = Cell::new(fastrand::Rng::with_seed(seed).f64());
         let closing = Cell::new(false);
-        Rc::new(Door {
+        Rc::new(ClientHandler {
             pools,
             operations,
             ids: RefCell::default(),
-            failures: Failures::default(),
+            failures: FailureLog::default(),
             split,
             memory,
             closing,
@@ -102,7 +102,7 @@
     }
 
     async fn read(&self, req: Request<Incoming>, heads: &Heads, by: Instant) -> Result<Reply, Refusal> {
-        let (came, shuts) = (self.pools.clock.now(), self.pools.shut().1);
+        let (came, suspension_count) = (self.pools.clock.now(), self.pools.suspension().1);
         let tables = self.pools.tables();
         let (mut head, body) = req.into_parts();
         let host = head.uri.host().or_else(|| text(&head.headers, &HOST)).unwrap_or_default().to_string();
@@ -143,11 +143,11 @@
             Ok(Err(Unread::Broken)) => return Err(refuse(StatusCode::BAD_REQUEST, "body: broken")),
             Err(_) => return Err(refuse(StatusCode::REQUEST_TIMEOUT, "body: not there in time")),
         };
-        if let (Some(hint), _) = self.pools.shut() {
+        if let (Some(hint), _) = self.pools.suspension() {
             return Ok(away(hint));
         }
         // it was read by tables that were in doubt since
-        if self.pools.shut().1 != shuts {
+        if self.pools.suspension().1 != suspension_count {
             return Ok(later(0.0));
         }
         if let Some(fault) = heads.fault() {
@@ -169,7 +169,7 @@
         });
         let once = once(route, tenant, &head.headers);
         let named = tenant.and_then(|t| HeaderValue::from_str(&t.name).ok());
-        let carried = Carried::new(head.method, head.uri, std::mem::take(&mut head.headers), named, body);
+        let carried = ForwardedRequest::new(head.method, head.uri, std::mem::take(&mut head.headers), named, body);
         let (reply, attempts) = match operation {
             None => self.send_plain(&tables, route, tenant, &asked, once, carried).await?,
             Some((key, fingerprint)) => {
@@ -200,7 +200,7 @@
         tenant: Option<&Tenant>,
         asked: &Asked,
         once: Option<Vec<u8>>,
-        carried: Carried,
+        carried: ForwardedRequest,
     ) -> Result<(Reply, Vec<Attempt>), Refusal> {
         let Some((pool, new)) = place(&self.pools, tables, route, tenant, asked) else {
             return Ok((later(0.5), Vec::new()));
@@ -243,7 +243,7 @@
         request: operations::Request,
         asked: Asked,
         tenant: Option<Tenant>,
-        carried: Carried,
+        carried: ForwardedRequest,
         room: Taken,
     ) -> (Reply, Vec<Attempt>) {
         let (operations, pools) = (self.operations.clone(), self.pools.clone());
@@ -256,7 +256,7 @@
         });
         let reply = match ended.await.unwrap_or(Ended::Lost) {
             Ended::Performed(answer, attempts) => return (self.reply(answer), attempts),
-            Ended::Repeated(answer) => KeptAnswer::decoded(&answer, attempt_id.as_ref())
+            Ended::Repeated(answer) => StoredAnswer::decoded(&answer, attempt_id.as_ref())
                 .map_or_else(|| bare(StatusCode::BAD_GATEWAY), passed),
             Ended::AtWork => say(StatusCode::CONFLICT, "Lupinledge-Operation-Key: in work"),
             Ended::OtherRequest => {
@@ -265,7 +265,7 @@
             }
             Ended::Lost => bare(StatusCode::BAD_GATEWAY),
             Ended::Unavailable => later(NO_MAJORITY),
-            Ended::NotSent => match self.pools.shut().0 {
+            Ended::NotSent => match self.pools.suspension().0 {
                 Some(hint) => away(hint),
                 None => later(NO_ROOM),
             },
@@ -273,11 +273,11 @@
         (reply, Vec::new())
     }
 
-    fn reply(&self, answer: Answer<Trail>) -> Reply {
+    fn reply(&self, answer: Answer<ServerProtocol>) -> Reply {
         match answer {
             Answer::Passed(made) | Answer::Failed(made) => passed(made),
             // not sent, see `Pools::shut`
-            Answer::Denied(after) if self.pools.shut().0.is_some() => away(after.secs()),
+            Answer::Denied(after) if self.pools.suspension().0.is_some() => away(after.secs()),
             Answer::Denied(after) => retry(StatusCode::TOO_MANY_REQUESTS, after.secs()),
             Answer::Aborted => bare(StatusCode::BAD_GATEWAY),
         }
@@ -317,7 +317,7 @@
     retry(StatusCode::SERVICE_UNAVAILABLE, secs)
 }
 
-fn passed(made: Made) -> Reply {
+fn passed(made: ServerAnswer) -> Reply {
     let mut reply = Response::new(http_body_util::Full::new(made.body));
     (*reply.status_mut(), *reply.headers_mut()) = (made.status, made.headers);
     reply
@@ -362,7 +362,7 @@
     route: &Route,
     tenant: Option<&Tenant>,
     asked: &Asked,
-) -> Option<(Rc<Exchange<Trail>>, NewRequest)> {
+) -> Option<(Rc<Exchange<ServerProtocol>>, NewRequest)> {
     let service = route.choose(asked.split).and_then(|nth| tables.services().get(nth))?;
     let (pool, frontend, plan) = pools.pool(&service.name, route, tenant)?;
     let new = NewRequest {
@@ -381,13 +381,13 @@
 
 /// Hands a request whose key is claimed to its pool, by the tables in force now. None: its time is over, or there is no
 /// such route any more, or it is not the tenant's.
-fn take(pools: &Pools, asked: &Asked, before: Option<&Tenant>, carried: Carried) -> Option<Ticket<Trail>> {
+fn take(pools: &Pools, asked: &Asked, before: Option<&Tenant>, carried: ForwardedRequest) -> Option<Ticket<ServerProtocol>> {
     let tables = pools.tables();
     let route = tables.route(&asked.host, &asked.path).filter(|r| r.kind == RouteKind::Keyed)?;
     let tenant = tenant(&tables, route, asked.token.as_deref()).ok()?;
     let same_tenant = tenant.map(|t| &t.name) == before.map(|t| &t.name);
     let (pool, new) = place(pools, &tables, route, tenant, asked)?;
-    let may_go = same_tenant && pools.shut().0.is_none() && new.time_left > Span::ZERO;
+    let may_go = same_tenant && pools.suspension().0.is_none() && new.time_left > Span::ZERO;
     may_go.then(|| pool.take(new, carried))
 }
 
@@ -400,19 +400,19 @@
 
 /// The door before the process is ready: it runs nothing, and says at once when it may. `soon` tells in how many
 /// seconds that is.
-pub struct Early<F>(pub F);
+pub struct NotReadyHandler<F>(pub F);
 
-impl<F: Fn() -> f64 + 'static> Answering for Early<F> {
+impl<F: Fn() -> f64 + 'static> Answering for NotReadyHandler<F> {
     async fn answer(&self, req: Request<Incoming>, _: &Heads, whole_by: Instant) -> Reply {
         let _ = tokio::time::timeout_at(whole_by, whole(req.into_body(), EARLY_BODY)).await;
         away((self.0)())
     }
 }
 
-impl Answering for Door {
+impl Answering for ClientHandler {
     async fn answer(&self, req: Request<Incoming>, heads: &Heads, whole_by: Instant) -> Reply {
-        if let (Some(hint), _) = self.pools.shut() {
-            return Early(move || hint).answer(req, heads, whole_by).await;
+        if let (Some(hint), _) = self.pools.suspension() {
+            return NotReadyHandler(move || hint).answer(req, heads, whole_by).await;
         }
         match self.read(req, heads, whole_by).await {
             Ok(reply) => reply,
--- a/data-plane/src/ledger.rs
+++ b/data-plane/src/counter_client.rs
@@ -2,7 +2,7 @@
 //! does not come in time is none. What is told is the sum of all that this process added to a name: the next call
 //! mends one that was lost, and a new holder is told at once what the one before knew from here.
 
-use crate::wire::Trail;
+use crate::server_protocol::ServerProtocol;
 use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
 use lupinledge_counters::handover::{HandoverEntry, HandoverPart};
@@ -22,7 +22,7 @@
 const WAIT: f64 = 0.35;
 const SWEEP: Duration = Duration::from_millis(50);
 
-type Pool = Weak<Exchange<Trail>>;
+type Pool = Weak<Exchange<ServerProtocol>>;
 
 /// One call of a pool: its name, what was added, and the sum with it.
 struct Call {
@@ -40,7 +40,7 @@
 }
 
 /// All calls of this process.
-pub struct Ledger {
+pub struct CounterClient {
     post: Rc<Transport>,
     incarnation: u32,
     began: Instant,
@@ -50,10 +50,10 @@
     waiting: RefCell<PendingCalls<Vec<Call>>>,
 }
 
-impl Ledger {
+impl CounterClient {
     /// With no holder known yet: calls fail at once. Another start of the process has another `incarnation`.
-    pub fn start(post: Rc<Transport>, incarnation: u32) -> Rc<Ledger> {
-        let ledger = Rc::new(Ledger {
+    pub fn start(post: Rc<Transport>, incarnation: u32) -> Rc<CounterClient> {
+        let ledger = Rc::new(CounterClient {
             post,
             incarnation,
             began: Instant::now(),
@@ -99,7 +99,7 @@
     }
 
     /// A side of it for the decisions of one pool.
-    pub fn account(self: &Rc<Ledger>, pool: Pool) -> Rc<dyn CounterSide> {
+    pub fn account(self: &Rc<CounterClient>, pool: Pool) -> Rc<dyn CounterSide> {
         Rc::new(Account { ledger: self.clone(), pool })
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    async fn sweep(self: Rc<Ledger>) {
+    async fn sweep(self: Rc<CounterClient>) {
         loop {
             tokio::time::sleep(SWEEP).await;
             loop {
@@ -176,7 +176,7 @@
 }
 
 struct Account {
-    ledger: Rc<Ledger>,
+    ledger: Rc<CounterClient>,
     pool: Pool,
 }
 
--- a/data-plane/src/guard.rs
+++ b/data-plane/src/drift_responder.rs
@@ -1,8 +1,8 @@
 //! Watches whether this process routes by the rules that were set last: what is seen goes to the decisions of
 //! `lupinledge-drift-detection`, and what these want is done here.
 
-use crate::door::Door;
-use crate::nest::Nest;
+use crate::client_handler::ClientHandler;
+use crate::node_state::NodeState;
 use crate::pools::Pools;
 use lupinledge_config::{Part, Tables, DRIFTS};
 use lupinledge_drift_detection::{
@@ -24,12 +24,12 @@
 const TERMS: u32 = 5;
 
 /// See the module.
-pub struct Guard {
-    nest: Rc<Nest>,
+pub struct DriftResponder {
+    nest: Rc<NodeState>,
     gossip: Rc<Gossip>,
     pools: Rc<Pools>,
     ready: Rc<Cell<bool>>,
-    clients: Rc<Clients<Door>>,
+    clients: Rc<Clients<ClientHandler>>,
     audit: Audit,
     watch: DriftMonitor,
     turns: u32,
@@ -38,19 +38,19 @@
     doubted: Option<(Rc<Tables>, &'static str)>,
 }
 
-impl Guard {
+impl DriftResponder {
     pub fn new(
-        nest: Rc<Nest>,
+        nest: Rc<NodeState>,
         gossip: Rc<Gossip>,
         pools: Rc<Pools>,
         ready: Rc<Cell<bool>>,
-        clients: Rc<Clients<Door>>,
+        clients: Rc<Clients<ClientHandler>>,
         seed: u64,
-    ) -> Guard {
+    ) -> DriftResponder {
         let watch = DriftMonitor::new(gossip.now(), Settings::new(nest.settings().bounds.config_apply_s));
         let audit = Audit::new(seed);
         let looked = pools.tables();
-        Guard { nest, gossip, pools, ready, clients, audit, watch, turns: 0, looked, doubted: None }
+        DriftResponder { nest, gossip, pools, ready, clients, audit, watch, turns: 0, looked, doubted: None }
     }
 
     /// Watches for good. Tests have the tables changed at SIGUSR1, by what that file says.
@@ -80,11 +80,11 @@
             self.audit.reset();
             self.looked = tables.clone();
         }
-        let due = if self.turns.is_multiple_of(BUILD) { self.nest.due() } else { None };
+        let due = if self.turns.is_multiple_of(BUILD) { self.nest.build_tables() } else { None };
         let found = self.audit.step(&tables, config.as_deref(), due.as_ref()).or_else(|| {
             let looks = self.turns.is_multiple_of(TERMS);
-            let stray = looks.then(|| self.pools.stray((self.turns / TERMS) as usize)).flatten();
-            stray.map(|(part, name)| Finding { part, names: vec![name] })
+            let find_deviation = looks.then(|| self.pools.find_deviation((self.turns / TERMS) as usize)).flatten();
+            find_deviation.map(|(part, name)| Finding { part, names: vec![name] })
         });
         let (index, print) =
             (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().folded());
@@ -100,8 +100,8 @@
         for act in self.watch.evaluate(now, &own, &others) {
             self.act(act, index, found.as_ref(), &tables);
         }
-        if self.pools.shut().0.is_some() {
-            self.pools.set_shut(Some(self.watch.retry_after(now)));
+        if self.pools.suspension().0.is_some() {
+            self.pools.set_suspension(Some(self.watch.retry_after(now)));
         }
         self.tell_what_differed();
     }
@@ -115,7 +115,7 @@
                 tracing::warn!(event = "out", judge = judge_name, times, hold);
                 self.doubted = Some((tables.clone(), judge_name));
                 self.ready.set(false);
-                self.pools.set_shut(Some(self.watch.retry_after(self.gossip.now())));
+                self.pools.set_suspension(Some(self.watch.retry_after(self.gossip.now())));
                 self.clients.closing();
                 let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
                 let (part, fingerprints) =
@@ -131,10 +131,10 @@
                 self.gossip.set_card(|c| (c.ready, c.drift) = (false, Some(Box::new(rules))));
             }
             Action::Rebuild => self.nest.rebuild(),
-            Action::Refetch => self.nest.afresh(self.pools.shut().0.is_some()),
+            Action::Refetch => self.nest.afresh(self.pools.suspension().0.is_some()),
             Action::AcceptClients => {
                 tracing::info!(event = "back", version = self.pools.tables().version());
-                self.pools.set_shut(None);
+                self.pools.set_suspension(None);
                 self.clients.reopen();
                 self.ready.set(true);
             }
--- a/data-plane/src/failures.rs
+++ b/data-plane/src/failure_log.rs
@@ -30,13 +30,13 @@
 
 /// Lines of one sort in the current second.
 #[derive(Default)]
-pub struct Lines {
+pub struct LineLimiter {
     second: u64,
     lines: u32,
     untold: u64,
 }
 
-impl Lines {
+impl LineLimiter {
     /// How many of this sort were not told since the last line; none: this one is not told either.
     pub fn turn(&mut self, second: u64) -> Option<u64> {
         if self.second != second {
@@ -53,11 +53,11 @@
 
 /// See the module.
 #[derive(Default)]
-pub struct Failures {
-    by_status: RefCell<BTreeMap<u16, Lines>>,
+pub struct FailureLog {
+    by_status: RefCell<BTreeMap<u16, LineLimiter>>,
 }
 
-impl Failures {
+impl FailureLog {
     /// Writes a line for it, unless enough were written this second.
     pub fn tell(&self, now: Timestamp, failure: &Failure) {
         let Some(untold) = self.turn(now.secs() as u64, failure.status.as_u16()) else { return };
--- a/data-plane/src/failures/tests.rs
+++ b/data-plane/src/failure_log/tests.rs
@@ -4,7 +4,7 @@
 /// A burst of one status is cut, tells of what was cut in the next second, and leaves other statuses alone.
 #[test]
 fn a_burst_is_cut_and_counted() {
-    let failures = Failures::default();
+    let failures = FailureLog::default();
     let told = (0..100).filter(|_| failures.turn(7, 429).is_some()).count();
     assert_eq!(told, LINES_PER_SECOND as usize);
     assert_eq!(failures.turn(7, 502), Some(0));
--- a/data-plane/src/main.rs
+++ b/data-plane/src/main.rs
@@ -1,17 +1,17 @@
 //! The data plane of the system: takes clients' requests on an edge machine and passes them to servers.
 
-mod door;
-mod failures;
-mod guard;
-mod ledger;
+mod client_handler;
+mod failure_log;
+mod drift_responder;
+mod counter_client;
 mod metrics;
-mod nest;
+mod node_state;
 mod operations;
 mod pools;
-mod ready;
+mod readiness;
 mod start;
 mod terms;
-mod wire;
+mod server_protocol;
 
 use lupinledge_gossip::cli::{self, Program};
 
--- a/data-plane/src/metrics.rs
+++ b/data-plane/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The figures of this process as text.
 
-use crate::nest::Nest;
+use crate::node_state::NodeState;
 use crate::pools::Pools;
 use lupinledge_gossip::metrics;
 use std::cell::OnceCell;
@@ -8,13 +8,13 @@
 
 /// What the figures are taken from; the pools are there only once the process knows the time.
 pub struct Metrics {
-    nest: Rc<Nest>,
+    nest: Rc<NodeState>,
     pools: OnceCell<Rc<Pools>>,
 }
 
 impl Metrics {
     /// Those of a process that has no pools yet.
-    pub fn new(nest: Rc<Nest>) -> Rc<Metrics> {
+    pub fn new(nest: Rc<NodeState>) -> Rc<Metrics> {
         Rc::new(Metrics { nest, pools: OnceCell::new() })
     }
 
--- a/data-plane/src/nest.rs
+++ b/data-plane/src/node_state.rs
@@ -1,6 +1,6 @@
 //! The process among the others: what it holds of the news becomes what the pools work by.
 
-use crate::ledger::Ledger;
+use crate::counter_client::CounterClient;
 use crate::operations::Operations;
 use crate::pools::Pools;
 use lupinledge_config::{Config, Document, Settings, Tables};
@@ -29,10 +29,10 @@
 const TAKEOVER: f64 = 1.7;
 
 /// Before the clock is known there are no pools; news wait for them in the gossip.
-pub struct Nest {
+pub struct NodeState {
     settings: RefCell<Rc<Settings>>,
     gossip: Rc<Gossip>,
-    ledger: Rc<Ledger>,
+    ledger: Rc<CounterClient>,
     operations: Rc<Operations>,
     pools: RefCell<Option<Rc<Pools>>>,
     estimate: RefCell<ClockEstimate>,
@@ -46,15 +46,15 @@
     pub woken: Notify,
 }
 
-impl Nest {
+impl NodeState {
     pub fn new(
         settings: Rc<Settings>,
         gossip: Rc<Gossip>,
-        ledger: Rc<Ledger>,
+        ledger: Rc<CounterClient>,
         operations: Rc<Operations>,
-    ) -> Rc<Nest> {
+    ) -> Rc<NodeState> {
         let (pools, estimate) = (RefCell::default(), RefCell::default());
-        let nest = Rc::new(Nest {
+        let nest = Rc::new(NodeState {
             settings: RefCell::new(settings),
             gossip,
             ledger,
@@ -80,13 +80,13 @@
 
     /// Goes by other settings from here on: by their seeds and bounds. Sockets, zones, and what the process may use
     /// stay as at the start.
-    pub fn retell(&self, settings: Settings) {
+    pub fn apply_settings(&self, settings: Settings) {
         self.gossip.apply_settings(&settings);
         let zones = self.settings().zones.clone();
         let settings = Rc::new(Settings { zones, ..settings });
         *self.settings.borrow_mut() = settings.clone();
         let pools = self.pools.borrow().clone();
-        pools.into_iter().for_each(|p| p.retell(settings.clone()));
+        pools.into_iter().for_each(|p| p.apply_settings(settings.clone()));
     }
 
     /// Asks for the hive's clock until it is known; after `most`, the own one has to do. The holder alone answers,
@@ -135,7 +135,7 @@
     }
 
     /// In how many seconds this process may be ready, by what it has heard yet.
-    pub fn soon(&self) -> f64 {
+    pub fn seconds_until_ready(&self) -> f64 {
         match self.gossip.with_store(|h| h.epoch().1) {
             0 => (TAKEOVER - self.gossip.now()).max(2.0 * JOIN),
             _ => JOIN,
@@ -153,8 +153,8 @@
     pub async fn upkeep(self: Rc<Self>) {
         loop {
             if let Some(pools) = &*self.pools.borrow() {
-                pools.among(self.gossip.max_edge_count(LATELY).max(1));
-                pools.lapse();
+                pools.set_gateway_count(self.gossip.max_edge_count(LATELY).max(1));
+                pools.expire_unconfirmed_zones();
             }
             tokio::time::sleep(UPKEEP).await;
         }
@@ -175,9 +175,9 @@
     }
 
     /// The tables that the document in force gives when they are built now.
-    pub fn due(&self) -> Option<Tables> {
+    pub fn build_tables(&self) -> Option<Tables> {
         let kept = self.kept.borrow().clone()?;
-        self.built(&kept).ok().map(|b| b.1)
+        self.decode_and_build(&kept).ok().map(|b| b.1)
     }
 
     /// Builds the tables from nothing, of the document in force.
@@ -194,7 +194,7 @@
         self.gossip.refetch_state();
     }
 
-    fn built(&self, bytes: &[u8]) -> Result<(Document, Tables), String> {
+    fn decode_and_build(&self, bytes: &[u8]) -> Result<(Document, Tables), String> {
         let d = decode::<Document>(bytes).map_err(|e| e.to_string())?;
         let tables = Tables::new(&d, &self.settings().zones).map_err(|e| e.to_string())?;
         Ok((d, tables))
@@ -203,7 +203,7 @@
     fn document(&self, bytes: &Rc<[u8]>) {
         let pools = self.pools.borrow().clone();
         let Some(pools) = pools else { return };
-        match self.built(bytes) {
+        match self.decode_and_build(bytes) {
             Ok((d, _)) if d.serial <= self.serial.get() => {}
             Ok((d, tables)) => {
                 let (old, new) = (pools.tables().version(), tables.version());
@@ -214,14 +214,14 @@
                 tracing::info!(event = "follow", serial = d.serial, version = tables.version());
                 *self.kept.borrow_mut() = Some(bytes.clone());
                 *self.config.borrow_mut() = d.config.and_then(|c| Config::read(&c).ok()).map(Rc::new);
-                pools.follow(Rc::new(tables));
+                pools.set_tables(Rc::new(tables));
             }
             Err(fault) => tracing::error!(event = "document_unread", %fault),
         }
     }
 }
 
-impl Host for Nest {
+impl Host for NodeState {
     fn on_update(&self, news: Update) {
         if let Some((epoch, holder)) = news.epoch {
             self.ledger.holder(epoch, holder);
@@ -244,7 +244,7 @@
         match word {
             WireMessage::Totals { tag, round, totals } => self.ledger.counted(from, tag, round, &totals),
             WireMessage::NewHolder { epoch } => self.ledger.asked(epoch, from),
-            WireMessage::Operation(message) => self.operations.heard(from, message),
+            WireMessage::Operation(message) => self.operations.handle_message(from, message),
             WireMessage::ClockReply { sent, hive } if self.asked.borrow().contains(sent) => {
                 self.estimate.borrow_mut().sample(sent, hive, self.gossip.now());
                 self.woken.notify_one();
--- a/data-plane/src/operations.rs
+++ b/data-plane/src/operations.rs
@@ -1,22 +1,22 @@
 //! Operations that run once per key, as this gateway drives them: its claims at the voters, what it remembers of its own
 //! operations, and what other gateways ask about them. The decisions are in `lupinledge-operations`.
 
-mod allowance;
-mod answer;
-mod asks;
+mod byte_budget;
+mod stored_answer;
+mod progress_queries;
 mod claim;
-mod figures;
+mod counters;
 mod perform;
 mod voters;
 
-pub use answer::KeptAnswer;
+pub use stored_answer::StoredAnswer;
 pub use perform::{Ended, Request};
 
-use crate::failures::Lines;
-use allowance::Allowance;
-use asks::Asks;
+use crate::failure_log::LineLimiter;
+use byte_budget::ByteBudget;
+use progress_queries::ProgressQueries;
 use claim::Claim;
-use figures::Figures;
+use counters::OperationCounters;
 use lupinledge_config::Settings;
 use lupinledge_gossip::metrics::MetricSink;
 use lupinledge_gossip::Gossip;
@@ -31,7 +31,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::sleep;
-use voters::Place;
+use voters::Location;
 
 /// Bytes of answers that are remembered, of the process's memory.
 const ANSWERS: f64 = 0.1;
@@ -49,15 +49,15 @@
     /// Tells this start of the process from others.
     start: u32,
     /// For copies of answers.
-    copies: RefCell<Allowance>,
-    place: Place,
+    copies: RefCell<ByteBudget>,
+    place: Location,
     claims: RefCell<Claims>,
     memory: RefCell<OperationTable>,
     /// Claims whose requests wait for votes.
     pending: RefCell<HashMap<ClaimId, Rc<Claim>>>,
-    asks: Asks,
-    figures: Figures,
-    losses: RefCell<Lines>,
+    asks: ProgressQueries,
+    figures: OperationCounters,
+    losses: RefCell<LineLimiter>,
     /// Requests that are not over.
     active: Cell<usize>,
     /// A request is over.
@@ -71,19 +71,19 @@
     /// With no operation yet. Another start of the process has another `start` number.
     pub fn start(gossip: Rc<Gossip>, settings: &Settings, start: u32) -> Rc<Operations> {
         let (zone, region) = (settings.zone.clone(), settings.region.clone());
-        let place = Place { node: gossip.me(), zone, region };
+        let place = Location { node: gossip.me(), zone, region };
         let link_bytes = settings.limits.link_mbps * 1e6 / 8.0;
         let answer_bytes = (settings.limits.memory_mb * 1e6 * ANSWERS) as usize;
         let operations = Rc::new(Operations {
             claims: RefCell::new(Claims::new(gossip.now(), gossip.me(), start)),
             gossip,
             start,
-            copies: RefCell::new(Allowance::new(link_bytes * COPY_SHARE)),
+            copies: RefCell::new(ByteBudget::new(link_bytes * COPY_SHARE)),
             place,
             memory: RefCell::new(OperationTable::new(OPERATIONS_MOST, answer_bytes)),
             pending: RefCell::default(),
-            asks: Asks::new(start),
-            figures: Figures::default(),
+            asks: ProgressQueries::new(start),
+            figures: OperationCounters::default(),
             losses: RefCell::default(),
             active: Cell::new(0),
             ended: Notify::new(),
@@ -95,7 +95,7 @@
     }
 
     /// A message of a voter or of another gateway.
-    pub fn heard(&self, from: Node, message: Message) {
+    pub fn handle_message(&self, from: Node, message: Message) {
         match message {
             Message::Vote { .. } => {
                 self.with_claims(|claims, now, out| claims.on_message(now, from, message, out))
--- a/data-plane/src/operations/allowance.rs
+++ b/data-plane/src/operations/byte_budget.rs
@@ -5,16 +5,16 @@
 
 /// A rate with a store that fills while little is sent.
 #[derive(Debug)]
-pub struct Allowance {
+pub struct ByteBudget {
     bytes_per_s: f64,
     left: f64,
     at: f64,
 }
 
-impl Allowance {
+impl ByteBudget {
     /// A full one.
-    pub fn new(bytes_per_s: f64) -> Allowance {
-        Allowance { bytes_per_s, left: bytes_per_s * KEPT, at: 0.0 }
+    pub fn new(bytes_per_s: f64) -> ByteBudget {
+        ByteBudget { bytes_per_s, left: bytes_per_s * KEPT, at: 0.0 }
     }
 
     /// Takes so many bytes, if they are there.
--- a/data-plane/src/operations/figures.rs
+++ b/data-plane/src/operations/counters.rs
@@ -5,7 +5,7 @@
 
 /// See the module.
 #[derive(Default)]
-pub struct Figures {
+pub struct OperationCounters {
     /// Claims that a majority granted.
     pub granted: Cell<u64>,
     /// Claims of keys that another claim held.
@@ -18,7 +18,7 @@
     pub lost: Cell<u64>,
 }
 
-impl Figures {
+impl OperationCounters {
     /// All of them.
     pub fn each(&self, line: &mut MetricSink) {
         line("operations.claims_granted", self.granted.get());
--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -1,11 +1,11 @@
 //! The course of one keyed request: its key is claimed, its request is sent to a server, and the answer is kept. Where
 //! another claim holds the key, what that one came to is found out instead.
 
-use super::answer::KeptAnswer;
+use super::stored_answer::StoredAnswer;
 use super::claim::{Claim, Holder};
-use super::figures::up;
+use super::counters::up;
 use super::Operations;
-use crate::wire::Trail;
+use crate::server_protocol::ServerProtocol;
 use lupinledge_messaging::Node;
 use lupinledge_operations::claims;
 use lupinledge_operations::message::{Message, Progress};
@@ -47,7 +47,7 @@
 /// What a keyed request came to.
 pub enum Ended {
     /// It was handed to the servers' pool, which answered this; with the dispatches that it made.
-    Performed(Answer<Trail>, Vec<Attempt>),
+    Performed(Answer<ServerProtocol>, Vec<Attempt>),
     /// The first request of its key got this answer ([`KeptAnswer`]).
     Repeated(Rc<[u8]>),
     /// The first request of its key is still at work.
@@ -121,7 +121,7 @@
 impl Operations {
     /// Sees a request to its end. `send` hands it to the servers' pool once it may run; none: there is nothing to send
     /// it to any more. Not to be dropped before its end, or its key stays taken.
-    pub async fn perform(&self, request: Request, send: impl FnOnce() -> Option<Ticket<Trail>>) -> Ended {
+    pub async fn perform(&self, request: Request, send: impl FnOnce() -> Option<Ticket<ServerProtocol>>) -> Ended {
         let _active = Active::new(self);
         loop {
             let ended = self.ended.notified();
@@ -157,7 +157,7 @@
         }
     }
 
-    async fn claim_and_send(&self, request: &Request, send: impl FnOnce() -> Option<Ticket<Trail>>) -> Ended {
+    async fn claim_and_send(&self, request: &Request, send: impl FnOnce() -> Option<Ticket<ServerProtocol>>) -> Ended {
         loop {
             let Some(claim) = self.begin(request) else { return Ended::NotSent };
             let settled = self.settle(request, &claim).await;
@@ -339,7 +339,7 @@
         &self,
         request: &Request,
         claim: ClaimId,
-        send: impl FnOnce() -> Option<Ticket<Trail>>,
+        send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
     ) -> Ended {
         let Some(ticket) = send() else {
             self.withdraw(request.key, claim);
@@ -347,7 +347,7 @@
         };
         let (answer, attempts) = ticket.answer_with_attempts().await;
         match &answer {
-            Answer::Passed(made) | Answer::Failed(made) => match KeptAnswer::encoded(made) {
+            Answer::Passed(made) | Answer::Failed(made) => match StoredAnswer::encoded(made) {
                 Some(kept) => self.keep(request, claim, kept),
                 None => self.lose(request.key, claim, "its answer can't be kept"),
             },
--- a/data-plane/src/operations/asks.rs
+++ b/data-plane/src/operations/progress_queries.rs
@@ -7,7 +7,7 @@
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 
 /// Questions that wait for answers.
-pub struct Asks {
+pub struct ProgressQueries {
     next_tag: Cell<u64>,
     open: RefCell<HashMap<u64, Open>>,
 }
@@ -19,25 +19,25 @@
 }
 
 /// One question; dropped, it is forgotten.
-pub struct Ask<'a> {
-    asks: &'a Asks,
+pub struct ProgressQuery<'a> {
+    asks: &'a ProgressQueries,
     pub tag: u64,
     answers: Receiver<Progress>,
 }
 
-impl Asks {
+impl ProgressQueries {
     /// Another start of the process has other tags.
-    pub fn new(start: u32) -> Asks {
-        Asks { next_tag: Cell::new(u64::from(start) << 32), open: RefCell::default() }
+    pub fn new(start: u32) -> ProgressQueries {
+        ProgressQueries { next_tag: Cell::new(u64::from(start) << 32), open: RefCell::default() }
     }
 
     /// Opens a question to these nodes.
-    pub fn open(&self, asked: &[Node]) -> Ask<'_> {
+    pub fn open(&self, asked: &[Node]) -> ProgressQuery<'_> {
         let tag = self.next_tag.get();
         self.next_tag.set(tag.wrapping_add(1));
         let (to, answers) = channel(asked.len().max(1));
         self.open.borrow_mut().insert(tag, Open { asked: asked.to_vec(), answers: to });
-        Ask { asks: self, tag, answers }
+        ProgressQuery { asks: self, tag, answers }
     }
 
     /// One of those that were asked has answered.
@@ -54,7 +54,7 @@
     }
 }
 
-impl Ask<'_> {
+impl ProgressQuery<'_> {
     /// The first answer that says anything; [`Progress::Unknown`] once all that were asked say so.
     pub async fn answer(&mut self) -> Progress {
         while let Some(progress) = self.answers.recv().await {
@@ -66,7 +66,7 @@
     }
 }
 
-impl Drop for Ask<'_> {
+impl Drop for ProgressQuery<'_> {
     fn drop(&mut self) {
         self.asks.open.borrow_mut().remove(&self.tag);
     }
--- a/data-plane/src/operations/asks/tests.rs
+++ b/data-plane/src/operations/progress_queries/tests.rs
@@ -3,7 +3,7 @@
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
 
-fn poll(ask: &mut Ask) -> Poll<Progress> {
+fn poll(ask: &mut ProgressQuery) -> Poll<Progress> {
     let answer = pin!(ask.answer());
     answer.poll(&mut Context::from_waker(Waker::noop()))
 }
@@ -11,7 +11,7 @@
 /// An answer counts once for each node that was asked, and under its own tag.
 #[test]
 fn only_those_that_were_asked_answer() {
-    let asks = Asks::new(7);
+    let asks = ProgressQueries::new(7);
     let mut ask = asks.open(&[1, 2]);
     asks.told(3, ask.tag, Progress::Running);
     asks.told(1, ask.tag + 1, Progress::Running);
@@ -25,7 +25,7 @@
 /// Nothing is known once nobody that was asked knows anything; a question that is dropped is forgotten.
 #[test]
 fn nobody_knows() {
-    let asks = Asks::new(7);
+    let asks = ProgressQueries::new(7);
     let mut ask = asks.open(&[1, 2]);
     asks.told(2, ask.tag, Progress::Unknown);
     assert_eq!(poll(&mut ask), Poll::Pending);
--- a/data-plane/src/operations/answer.rs
+++ b/data-plane/src/operations/stored_answer.rs
@@ -1,6 +1,6 @@
 //! A server's answer as it is remembered and told to other gateways.
 
-use crate::wire::{Made, ATTEMPT};
+use crate::server_protocol::{ServerAnswer, ATTEMPT};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::StatusCode;
@@ -11,20 +11,20 @@
 
 /// Status, headers and body, without the id of the request that was run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     status: u16,
     headers: Vec<(String, ByteBuf)>,
     body: ByteBuf,
 }
 
-impl KeptAnswer {
+impl StoredAnswer {
     /// What is kept of an answer, encoded. None if it can't be encoded.
-    pub fn encoded(made: &Made) -> Option<Rc<[u8]>> {
+    pub fn encoded(made: &ServerAnswer) -> Option<Rc<[u8]>> {
         let kept = made.headers.iter().filter(|(name, _)| **name != ATTEMPT);
         let header = |(name, value): (&HeaderName, &HeaderValue)| {
             (name.as_str().to_string(), ByteBuf::from(value.as_bytes()))
         };
-        let answer = KeptAnswer {
+        let answer = StoredAnswer {
             status: made.status.as_u16(),
             headers: kept.map(header).collect(),
             body: ByteBuf::from(made.body.as_ref()),
@@ -34,9 +34,9 @@
     }
 
     /// Reads one that was kept, for a request of this id.
-    pub fn decoded(bytes: &[u8], attempt_id: Option<&HeaderValue>) -> Option<Made> {
-        let KeptAnswer { status, headers, body } = decode(bytes).ok()?;
-        let mut made = Made {
+    pub fn decoded(bytes: &[u8], attempt_id: Option<&HeaderValue>) -> Option<ServerAnswer> {
+        let StoredAnswer { status, headers, body } = decode(bytes).ok()?;
+        let mut made = ServerAnswer {
             status: StatusCode::from_u16(status).ok()?,
             headers: HeaderMap::new(),
             body: Bytes::from(body.into_vec()),
--- a/data-plane/src/operations/voters.rs
+++ b/data-plane/src/operations/voters.rs
@@ -17,13 +17,13 @@
 
 /// Where this gateway is.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Location {
     pub node: Node,
     pub zone: String,
     pub region: String,
 }
 
-impl Place {
+impl Location {
     /// The machines of the core among these, the nearest first, and behind all others those that seem to be gone.
     pub fn voters<'a>(&self, members: impl Iterator<Item = &'a Member>) -> Vec<Node> {
         let order = |member: &Member| {
--- a/data-plane/src/operations/voters/tests.rs
+++ b/data-plane/src/operations/voters/tests.rs
@@ -26,8 +26,8 @@
     }
 }
 
-fn place(node: Node) -> Place {
-    Place { node, zone: "mead-1".into(), region: "mead".into() }
+fn place(node: Node) -> Location {
+    Location { node, zone: "mead-1".into(), region: "mead".into() }
 }
 
 /// Own zone, own region, others; those that are not alive come last, and edge machines do not vote.
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -1,9 +1,9 @@
 //! One pool a service: its own decisions, servers and connections; the counters are common to all. What is wanted
 //! (tables, list of servers, number of gateways) is told here, and the pools are brought to it.
 
-use crate::ledger::Ledger;
-use crate::terms::{lines, stray, terms, Lines, Places, World};
-use crate::wire::Trail;
+use crate::counter_client::CounterClient;
+use crate::terms::{frontends_and_plans, find_deviation, terms, FrontendsAndPlans, StableIndexes, NodeContext};
+use crate::server_protocol::ServerProtocol;
 use lupinledge::interface::{ListKind, ServerEntry, ServerState};
 use lupinledge::state::Basis;
 use lupinledge::time::{Span, Timestamp};
@@ -32,7 +32,7 @@
 const ANSWERS: f64 = 0.3;
 
 struct Pool {
-    exchange: Rc<Exchange<Trail>>,
+    exchange: Rc<Exchange<ServerProtocol>>,
     drive: tokio::task::AbortHandle,
 }
 
@@ -47,45 +47,45 @@
     tables: Rc<Tables>,
     list: ServerList,
     gateways: usize,
-    routes: Places,
-    tenants: Places,
-    lines: Lines,
+    routes: StableIndexes,
+    tenants: StableIndexes,
+    frontends_and_plans: FrontendsAndPlans,
     pools: HashMap<String, Pool>,
     /// Pools of services that are in no configuration any more, until their requests are over.
     retired: Vec<Pool>,
     /// When the warm-up of a server began, of those that were met cold.
-    born: HashMap<String, Timestamp>,
+    warmup_started: HashMap<String, Timestamp>,
     /// Zones taken back, the list that was known then, and until when their servers may be cold without a list
     /// having told so.
-    unsure: HashMap<String, ((u64, u64), Timestamp)>,
+    unconfirmed_zones: HashMap<String, ((u64, u64), Timestamp)>,
 }
 
 /// See the module.
 pub struct Pools {
     settings: RefCell<Rc<Settings>>,
-    world: World,
+    world: NodeContext,
     pub clock: Clock,
     pub counters: Rc<Counters>,
-    ledger: Rc<Ledger>,
+    ledger: Rc<CounterClient>,
     places: Rc<Share>,
     /// For the answers of servers, over all pools.
     answers: Arc<Memory>,
     wanted: RefCell<Wanted>,
     /// Nothing is sent; clients that come are to come back after so many seconds.
-    shut: Cell<Option<f64>>,
+    suspension: Cell<Option<f64>>,
     /// How often it was shut.
-    shuts: Cell<u64>,
+    suspension_count: Cell<u64>,
 }
 
 impl Pools {
     pub fn new(
         settings: Rc<Settings>,
         clock: Clock,
-        ledger: Rc<Ledger>,
+        ledger: Rc<CounterClient>,
         places: Rc<Share>,
         seed: u64,
     ) -> Rc<Pools> {
-        let world = World::new(&settings, seed);
+        let world = NodeContext::new(&settings, seed);
         let answers = Memory::of((settings.limits.memory_mb * 1e6 * ANSWERS) as usize);
         let (counters, wanted) = (Rc::default(), RefCell::new(Wanted { gateways: 1, ..Wanted::default() }));
         let settings = RefCell::new(settings);
@@ -98,8 +98,8 @@
             places,
             answers,
             wanted,
-            shut: Cell::default(),
-            shuts: Cell::default(),
+            suspension: Cell::default(),
+            suspension_count: Cell::default(),
         })
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// What has not come yet of what requests are sent by; none once every service has its servers told.
-    pub fn lacks(&self) -> Option<&'static str> {
+    pub fn missing_input(&self) -> Option<&'static str> {
         let wanted = self.wanted.borrow();
         if wanted.pools.is_empty() {
             return Some("configuration");
@@ -123,7 +123,7 @@
         service: &str,
         route: &Route,
         tenant: Option<&Tenant>,
-    ) -> Option<(Rc<Exchange<Trail>>, usize, usize)> {
+    ) -> Option<(Rc<Exchange<ServerProtocol>>, usize, usize)> {
         let w = self.wanted.borrow();
         let plan = tenant.map_or(Some(0), |t| w.tenants.of(&t.name).map(|i| i + 1))?;
         Some((w.pools.get(service)?.exchange.clone(), w.routes.of(&route.key)?, plan))
@@ -149,16 +149,16 @@
 
     /// Whether the rules are in doubt, and how often they were: nothing is sent then, what was not sent yet is
     /// turned away with the hint, and what was sent goes on.
-    pub fn shut(&self) -> (Option<f64>, u64) {
-        (self.shut.get(), self.shuts.get())
+    pub fn suspension(&self) -> (Option<f64>, u64) {
+        (self.suspension.get(), self.suspension_count.get())
     }
 
     /// See [`Pools::shut`]; to be called again as long as it lasts, for what comes back unsent.
-    pub fn set_shut(&self, hint: Option<f64>) {
-        let before = self.shut.replace(hint);
+    pub fn set_suspension(&self, hint: Option<f64>) {
+        let before = self.suspension.replace(hint);
         if before.is_some() != hint.is_some() {
-            self.shuts.set(self.shuts.get() + hint.is_some() as u64);
-            self.deal();
+            self.suspension_count.set(self.suspension_count.get() + hint.is_some() as u64);
+            self.distribute_servers();
         }
         let w = self.wanted.borrow();
         let open = w.pools.values().chain(&w.retired).filter(|_| hint.is_some());
@@ -166,11 +166,11 @@
     }
 
     /// A route or tenant whose rules in a pool are not those of the tables; one pool a call.
-    pub fn stray(&self, turn: usize) -> Option<(Part, String)> {
+    pub fn find_deviation(&self, turn: usize) -> Option<(Part, String)> {
         let w = self.wanted.borrow();
         let name = &w.tables.services().get(turn % w.tables.services().len().max(1))?.name;
         let (terms, settings) = (w.pools.get(name)?.exchange.terms(), self.settings.borrow());
-        stray(&terms, &settings, &w.tables, [&w.routes, &w.tenants])
+        find_deviation(&terms, &settings, &w.tables, [&w.routes, &w.tenants])
     }
 
     /// A fault of tests, see [`Tables::drift`].
@@ -185,8 +185,8 @@
         line("servers.list_epoch", w.list.number.0);
         line("servers.list_number", w.list.number.1);
         line("servers.listed", w.list.rows.len() as u64);
-        line("rules.in_doubt", u64::from(self.shut.get().is_some()));
-        line("rules.doubted", self.shuts.get());
+        line("rules.in_doubt", u64::from(self.suspension.get().is_some()));
+        line("rules.doubted", self.suspension_count.get());
         drop(w);
         line("requests.unanswered", self.unanswered() as u64);
         for (name, admitted) in Basis::NAMES.iter().zip(self.admissions()) {
@@ -212,29 +212,29 @@
     }
 
     /// Other tables are in force from here on.
-    pub fn follow(&self, tables: Rc<Tables>) {
+    pub fn set_tables(&self, tables: Rc<Tables>) {
         {
             let w = &mut *self.wanted.borrow_mut();
             let back = |z: &&String| w.tables.evacuated(z) && !tables.evacuated(z);
             let back: Vec<String> = self.world.zones.iter().filter(back).cloned().collect();
             let longest = tables.services().iter().map(|s| s.warmup_s).fold(0.0, f64::max);
             let until = self.clock.now().later(longest + UNSURE);
-            w.unsure.extend(back.into_iter().map(|z| (z, (w.list.number, until))));
+            w.unconfirmed_zones.extend(back.into_iter().map(|z| (z, (w.list.number, until))));
             w.tables = tables;
-            w.lines = lines(&w.tables, &mut w.routes, &mut w.tenants);
+            w.frontends_and_plans = frontends_and_plans(&w.tables, &mut w.routes, &mut w.tenants);
             let named: HashSet<&str> = w.tables.services().iter().map(|s| s.name.as_str()).collect();
             let gone: Vec<String> = w.pools.keys().filter(|n| !named.contains(n.as_str())).cloned().collect();
             w.retired.extend(gone.iter().filter_map(|n| w.pools.remove(n)));
             w.retired.retain(|p| p.exchange.unanswered() > 0);
         }
-        self.settle();
-        self.deal();
+        self.apply_terms();
+        self.distribute_servers();
     }
 
     /// Goes by the bounds of other settings from here on.
-    pub fn retell(&self, settings: Rc<Settings>) {
+    pub fn apply_settings(&self, settings: Rc<Settings>) {
         *self.settings.borrow_mut() = settings;
-        self.settle();
+        self.apply_terms();
     }
 
     /// For how long an operation key runs once, seconds.
@@ -243,19 +243,19 @@
     }
 
     /// Another number of gateways, if it differs.
-    pub fn among(&self, gateways: usize) {
+    pub fn set_gateway_count(&self, gateways: usize) {
         if std::mem::replace(&mut self.wanted.borrow_mut().gateways, gateways) != gateways {
-            self.settle();
+            self.apply_terms();
         }
     }
 
     /// Opens zones whose servers are warm by now even if no list changed: one that changes nothing is not told.
-    pub fn lapse(&self) {
+    pub fn expire_unconfirmed_zones(&self) {
         let now = self.clock.now();
-        let before = self.wanted.borrow().unsure.len();
-        self.wanted.borrow_mut().unsure.retain(|_, (_, until)| now < *until);
-        if self.wanted.borrow().unsure.len() < before {
-            self.deal();
+        let before = self.wanted.borrow().unconfirmed_zones.len();
+        self.wanted.borrow_mut().unconfirmed_zones.retain(|_, (_, until)| now < *until);
+        if self.wanted.borrow().unconfirmed_zones.len() < before {
+            self.distribute_servers();
         }
     }
 
@@ -263,15 +263,15 @@
     pub fn list(&self, list: ServerList) {
         {
             let w = &mut *self.wanted.borrow_mut();
-            w.unsure.retain(|_, (known, _)| list.number <= *known);
+            w.unconfirmed_zones.retain(|_, (known, _)| list.number <= *known);
             let there: HashSet<&str> = list.rows.iter().map(|r| r.id.as_str()).collect();
-            w.born.retain(|id, _| there.contains(id.as_str()));
+            w.warmup_started.retain(|id, _| there.contains(id.as_str()));
             for r in &list.rows {
                 self.warm(w, r);
             }
             w.list = list;
         }
-        self.deal();
+        self.distribute_servers();
     }
 
     /// Notes when a server's warm-up began, so that the decisions see it warm as it ends.
@@ -283,17 +283,17 @@
         }
         let now = self.clock.now();
         let ends = now.secs() + f64::from(r.warmup_left_s);
-        let known = w.born.get(&r.id).map(|b| b.secs() + whole);
+        let known = w.warmup_started.get(&r.id).map(|b| b.secs() + whole);
         if known.is_none_or(|k| ends > k + COLD_AGAIN) {
-            w.born.insert(r.id.clone(), Timestamp::from_secs(ends - whole));
+            w.warmup_started.insert(r.id.clone(), Timestamp::from_secs(ends - whole));
         }
     }
 
     /// Brings every pool to the terms wanted; opens those that are new.
-    fn settle(&self) {
+    fn apply_terms(&self) {
         let w = &mut *self.wanted.borrow_mut();
         for (nth, s) in w.tables.services().iter().enumerate() {
-            let terms = terms(&self.settings.borrow(), &self.world, (nth, s), w.gateways, &w.lines);
+            let terms = terms(&self.settings.borrow(), &self.world, (nth, s), w.gateways, &w.frontends_and_plans);
             match w.pools.get(&s.name) {
                 Some(p) => p.exchange.change(terms),
                 None => drop(w.pools.insert(s.name.clone(), self.open(terms))),
@@ -302,7 +302,7 @@
     }
 
     fn open(&self, terms: lupinledge::interface::Terms) -> Pool {
-        let exchange: Rc<Exchange<Trail>> = Exchange::new(terms, self.clock, self.counters.clone());
+        let exchange: Rc<Exchange<ServerProtocol>> = Exchange::new(terms, self.clock, self.counters.clone());
         let bounds = SrvBounds {
             connect_wait: Duration::from_millis(400),
             idle_most: Duration::from_secs(8),
@@ -313,7 +313,7 @@
             largest_heads: 32 << 10,
             unacked: Some(Duration::from_millis(1500)),
         };
-        let srvs = Srvs::new(&exchange, Trail, bounds, self.places.clone());
+        let srvs = Srvs::new(&exchange, ServerProtocol, bounds, self.places.clone());
         srvs.bound_memory(self.answers.clone());
         exchange.attach(srvs, Some(self.ledger.account(Rc::downgrade(&exchange))));
         let drive = tokio::task::spawn_local(exchange.clone().drive()).abort_handle();
@@ -322,18 +322,18 @@
 
     /// Deals the servers of the list out to the pools. Those of evacuated zones take nothing new; so do those of a
     /// zone that was just taken back, until a list tells how cold they are.
-    fn deal(&self) {
+    fn distribute_servers(&self) {
         let w = &*self.wanted.borrow();
         for (service, pool) in &w.pools {
             let entry = |r: &ListedServer| {
                 let zone = self.world.index(&r.zone)?;
-                let shut = self.shut.get().is_some()
+                let suspension = self.suspension.get().is_some()
                     || r.draining
                     || w.tables.evacuated(&r.zone)
-                    || w.unsure.contains_key(&r.zone);
-                let state = if shut { ServerState::Draining } else { ServerState::Ready };
+                    || w.unconfirmed_zones.contains_key(&r.zone);
+                let state = if suspension { ServerState::Draining } else { ServerState::Ready };
                 // one met warm has been so for ever
-                let started_at = Some(w.born.get(&r.id).copied().unwrap_or(Timestamp::from_secs(0.0)));
+                let started_at = Some(w.warmup_started.get(&r.id).copied().unwrap_or(Timestamp::from_secs(0.0)));
                 let row =
                     ServerEntry { server: 0, zone, cell: 0, state, weight: f64::from(r.slots), started_at };
                 Some(Entry { name: r.id.clone(), addr: r.address, row })
--- a/data-plane/src/ready.rs
+++ b/data-plane/src/readiness.rs
@@ -13,12 +13,12 @@
 const METRICS: &str = "/lupinledge/metrics";
 
 /// Answers by a flag that others keep, and by the figures of the process.
-pub struct Ready {
+pub struct ReadinessHandler {
     pub flag: Rc<Cell<bool>>,
     pub metrics: Rc<Metrics>,
 }
 
-impl Answering for Ready {
+impl Answering for ReadinessHandler {
     async fn answer(&self, req: Request<Incoming>, _: &Heads, _: Instant) -> Reply {
         match req.uri().path() {
             READINESS if self.flag.get() => bare(StatusCode::OK),
--- a/data-plane/src/wire.rs
+++ b/data-plane/src/server_protocol.rs
@@ -55,14 +55,14 @@
 }
 
 /// What goes on to a server, as the client sent it but for the headers that are the system's own.
-pub struct Carried {
+pub struct ForwardedRequest {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
 }
 
-impl Carried {
+impl ForwardedRequest {
     /// `tenant`: the name of the key's tenant, if the configuration has tenants.
     pub fn new(
         method: Method,
@@ -70,32 +70,32 @@
         mut headers: HeaderMap,
         tenant: Option<HeaderValue>,
         body: Bytes,
-    ) -> Carried {
+    ) -> ForwardedRequest {
         strip(&mut headers);
         OWN.iter().for_each(|n| drop(headers.remove(n)));
         tenant.into_iter().for_each(|t| drop(headers.insert(TENANT, t)));
-        Carried { method, uri, headers, body }
+        ForwardedRequest { method, uri, headers, body }
     }
 }
 
 /// A server's answer.
 #[derive(Debug)]
-pub struct Made {
+pub struct ServerAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
 /// The wire between the system and its servers.
-pub struct Trail;
+pub struct ServerProtocol;
 
-impl Wire for Trail {
-    type Carried = Carried;
-    type Made = Made;
+impl Wire for ServerProtocol {
+    type Carried = ForwardedRequest;
+    type Made = ServerAnswer;
 }
 
-impl ServerWire for Trail {
-    fn message(&self, d: &Dispatch<Trail>, left: Span) -> Request<Full<Bytes>> {
+impl ServerWire for ServerProtocol {
+    fn message(&self, d: &Dispatch<ServerProtocol>, left: Span) -> Request<Full<Bytes>> {
         let c = &d.carried;
         let mut req = Request::new(Full::new(c.body.clone()));
         *req.method_mut() = c.method.clone();
@@ -113,7 +113,7 @@
     /// An answer that does not bear the request's id, and no other, belongs to another one; a success without the
     /// stamp, with a coding or that says it has not run is none of the server's; a word of another protocol is no
     /// answer: the request may have run, and the connection is not used again.
-    fn read(&self, d: &Dispatch<Trail>, answer: Response<Bytes>) -> (Back<Trail>, bool) {
+    fn read(&self, d: &Dispatch<ServerProtocol>, answer: Response<Bytes>) -> (Back<ServerProtocol>, bool) {
         let (mut head, body) = answer.into_parts();
         let h = &mut head.headers;
         let mut ids = h.get_all(ATTEMPT).iter();
@@ -135,7 +135,7 @@
         };
         let keep = how != Outcome::NoConnection;
         strip(h);
-        let made = made.then_some(Made { status: head.status, headers: head.headers, body });
+        let made = made.then_some(ServerAnswer { status: head.status, headers: head.headers, body });
         (Back { how, made, billed: 0.0, load }, keep)
     }
 }
--- a/data-plane/src/wire/tests.rs
+++ b/data-plane/src/server_protocol/tests.rs
@@ -17,7 +17,7 @@
         h.insert(HeaderName::from_static(n), HeaderValue::from_static(v));
     }
     let tenant = Some(HeaderValue::from_static("own"));
-    let c = Carried::new(Method::GET, Uri::from_static("/a/b"), h, tenant, Bytes::new());
+    let c = ForwardedRequest::new(Method::GET, Uri::from_static("/a/b"), h, tenant, Bytes::new());
     let mut left: Vec<_> = c.headers.iter().map(|(n, v)| format!("{n}={}", v.to_str().unwrap())).collect();
     left.sort();
     assert_eq!(left, ["lupinledge-attempt-id=9c", "lupinledge-tenant=own", "x-app=kept"]);
--- a/data-plane/src/start.rs
+++ b/data-plane/src/start.rs
@@ -1,13 +1,13 @@
 //! The program from its start to its end.
 
-use crate::door::{Door, Early};
-use crate::guard::Guard;
-use crate::ledger::Ledger;
+use crate::client_handler::{ClientHandler, NotReadyHandler};
+use crate::drift_responder::DriftResponder;
+use crate::counter_client::CounterClient;
 use crate::metrics::Metrics;
-use crate::nest::Nest;
+use crate::node_state::NodeState;
 use crate::operations::Operations;
 use crate::pools::Pools;
-use crate::ready::Ready;
+use crate::readiness::ReadinessHandler;
 use eyre::{eyre, WrapErr};
 use lupinledge_config::Settings;
 use lupinledge_gossip::{log, settings, Gossip};
@@ -106,23 +106,23 @@
     };
     let gossip = Gossip::open(&told, card, true).wrap_err("`port_range`")?;
     let start_number = start_number();
-    let ledger = Ledger::start(gossip.post().clone(), start_number);
+    let ledger = CounterClient::start(gossip.post().clone(), start_number);
     let operations = Operations::start(gossip.clone(), &told, start_number);
-    let nest = Nest::new(told.clone(), gossip.clone(), ledger.clone(), operations.clone());
+    let nest = NodeState::new(told.clone(), gossip.clone(), ledger.clone(), operations.clone());
     let metrics = Metrics::new(nest.clone());
-    let ready_answers = Rc::new(Ready { flag: ready.clone(), metrics: metrics.clone() });
+    let ready_answers = Rc::new(ReadinessHandler { flag: ready.clone(), metrics: metrics.clone() });
     let ready_side = Clients::start(ready_answers, counters.clone(), bounds(3.0, 15.0, 8 << 10));
     tokio::task::spawn_local(async move { accept(&ready_gate, &ready_side, &ready_places).await });
     tokio::task::spawn_local(gossip.clone().run());
     let (follows, drifts) = (nest.clone(), path.with_extension("drift"));
     // from the start on: other seeds may be what it takes to get ready
     tokio::task::spawn_local(settings::watch(path, hangup, move |s| {
-        follows.retell(s);
+        follows.apply_settings(s);
         Ok(())
     }));
     let gate = open("front", told.listen.front, &client_places)?;
-    let soon = nest.clone();
-    let early = Early(move || soon.soon());
+    let estimator = nest.clone();
+    let early = NotReadyHandler(move || estimator.seconds_until_ready());
     let early = Clients::start(Rc::new(early), counters, bounds(3.0, 15.0, 16 << 10));
     let began = Instant::now();
     let rising = async {
@@ -133,9 +133,9 @@
         tracing::info!(event = "started", node = %told.ip, zone = %told.zone);
         metrics.show(pools.clone());
         let mut told = None;
-        while let Some(lacks) = pools.lacks() {
-            if began.elapsed() >= WAITING_TOLD && told.replace(lacks) != Some(lacks) {
-                tracing::warn!(event = "waiting", lacks);
+        while let Some(missing) = pools.missing_input() {
+            if began.elapsed() >= WAITING_TOLD && told.replace(missing) != Some(missing) {
+                tracing::warn!(event = "waiting", lacks = missing);
             }
             let _ = timeout(Duration::from_millis(100), nest.woken.notified()).await;
         }
@@ -154,7 +154,7 @@
         tracing::info!(event = "ended", taken = 0);
         return Ok(());
     };
-    let door = Door::new(pools.clone(), operations.clone(), told.limits.memory_mb, seed);
+    let door = ClientHandler::new(pools.clone(), operations.clone(), told.limits.memory_mb, seed);
     let clients = Clients::start(door, pools.counters.clone(), bounds(3.0, 15.0, 16 << 10));
     ready.set(true);
     gossip.set_card(|card| card.ready = true);
@@ -172,7 +172,7 @@
         }
     });
 
-    let guard = Guard::new(nest.clone(), gossip.clone(), pools.clone(), ready.clone(), clients.clone(), seed);
+    let guard = DriftResponder::new(nest.clone(), gossip.clone(), pools.clone(), ready.clone(), clients.clone(), seed);
     let guard = tokio::task::spawn_local(guard.run(drifts));
     tokio::select! {
         _ = accept(&gate, &clients, &client_places) => {}
--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -17,21 +17,21 @@
 
 /// Places by name. One that is no longer named may be given to another after two more changes.
 #[derive(Debug, Default)]
-pub struct Places {
+pub struct StableIndexes {
     by_name: HashMap<String, (usize, u64)>,
     free: Vec<usize>,
     turn: u64,
     all: usize,
 }
 
-impl Places {
+impl StableIndexes {
     /// The place of a name, if it has one.
     pub fn of(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).map(|p| p.0)
     }
 
     /// Gives places to all of these names; returns how many places there are.
-    pub fn renew<'a>(&mut self, names: impl Iterator<Item = &'a str>) -> usize {
+    pub fn assign_indexes<'a>(&mut self, names: impl Iterator<Item = &'a str>) -> usize {
         self.turn += 1;
         for name in names {
             if let Some(p) = self.by_name.get_mut(name) {
@@ -55,7 +55,7 @@
 }
 
 /// What holds for all pools of this process.
-pub struct World {
+pub struct NodeContext {
     /// Zones by index, as in the settings, and the region of each.
     pub zones: Vec<String>,
     pub regions: Vec<u16>,
@@ -63,16 +63,16 @@
     pub seed: u64,
 }
 
-impl World {
+impl NodeContext {
     /// From the settings; zones that they do not name are unknown to the decisions.
-    pub fn new(s: &Settings, seed: u64) -> World {
+    pub fn new(s: &Settings, seed: u64) -> NodeContext {
         let zones: Vec<String> = s.zones.keys().cloned().collect();
         let mut regions: Vec<&String> = s.zones.values().collect();
         regions.sort();
         regions.dedup();
         let region = |z: &String| regions.iter().position(|r| Some(*r) == s.zones.get(z)).unwrap_or(0) as u16;
         let (regions, zone) = (zones.iter().map(region).collect(), zones.iter().position(|z| *z == s.zone));
-        World { regions, zone: zone.unwrap_or(0) as u16, zones, seed }
+        NodeContext { regions, zone: zone.unwrap_or(0) as u16, zones, seed }
     }
 
     /// The index of a zone.
@@ -109,12 +109,12 @@
         price: 1.0 / (1.0 + f64::from(t.priority)),
         // what is past the rule's slack costs the whole day
         overrun_cost: 9.0,
-        ..FREE
+        ..UNLIMITED_PLAN
     }
 }
 
 /// Of a place that no route has.
-const NOWHERE: Frontend = Frontend {
+const UNUSED_FRONTEND: Frontend = Frontend {
     effect: Effect::NonReplayable,
     group: DedupScope::All,
     memory: Span::ZERO,
@@ -126,7 +126,7 @@
 };
 
 /// Of requests that need no key.
-const FREE: Plan = Plan {
+const UNLIMITED_PLAN: Plan = Plan {
     rate: 0.0,
     burst: 0.0,
     price: 1.0,
@@ -139,15 +139,15 @@
 
 /// The frontends and plans of a configuration, at their places; the first plan is that of no tenant. With each
 /// frontend, the services that its requests may go to.
-pub fn lines(tables: &Tables, routes: &mut Places, tenants: &mut Places) -> Lines {
+pub fn frontends_and_plans(tables: &Tables, routes: &mut StableIndexes, tenants: &mut StableIndexes) -> FrontendsAndPlans {
     let mut frontends =
-        vec![(NOWHERE, Vec::new()); routes.renew(tables.routes().iter().map(|r| r.key.as_str()))];
+        vec![(UNUSED_FRONTEND, Vec::new()); routes.assign_indexes(tables.routes().iter().map(|r| r.key.as_str()))];
     for r in tables.routes() {
         let services = r.services.iter().filter(|s| s.1 > 0.0).map(|s| s.0).collect::<Vec<_>>();
         routes.of(&r.key).into_iter().for_each(|i| frontends[i] = (frontend(r), services.clone()));
     }
     let longest = tables.routes().iter().map(|r| r.timeout).fold(0.0, f64::max);
-    let mut plans = vec![FREE; 1 + tenants.renew(tables.tenants().iter().map(|t| t.name.as_str()))];
+    let mut plans = vec![UNLIMITED_PLAN; 1 + tenants.assign_indexes(tables.tenants().iter().map(|t| t.name.as_str()))];
     for t in tables.tenants() {
         tenants.of(&t.name).into_iter().for_each(|i| plans[1 + i] = plan(t, longest));
     }
@@ -155,7 +155,7 @@
 }
 
 /// A route or tenant whose rules in a pool's terms are not those of the tables; the part, and its name.
-pub fn stray(t: &Terms, s: &Settings, tables: &Tables, places: [&Places; 2]) -> Option<(Part, String)> {
+pub fn find_deviation(t: &Terms, s: &Settings, tables: &Tables, places: [&StableIndexes; 2]) -> Option<(Part, String)> {
     let same = |r: &Route| {
         let (due, is) = (frontend(r), places[0].of(&r.key).and_then(|i| t.frontends.get(i))?);
         let replays = |f: &Frontend| matches!(f.effect, Effect::Replayable);
@@ -176,16 +176,16 @@
 }
 
 /// See [`lines`].
-pub type Lines = (Vec<(Frontend, Vec<usize>)>, Vec<Plan>);
+pub type FrontendsAndPlans = (Vec<(Frontend, Vec<usize>)>, Vec<Plan>);
 
 /// The terms of one service's pool. What all gateways may do together is divided by `gateways`; halves, so that
 /// those that were killed and come back may do their part twice within a window.
 pub fn terms(
     s: &Settings,
-    w: &World,
+    w: &NodeContext,
     (nth, service): (usize, &Service),
     gateways: usize,
-    lines: &Lines,
+    frontends_and_plans: &FrontendsAndPlans,
 ) -> Terms {
     let (b, each) = (&s.bounds, 1.0 / gateways.max(1) as f64);
     let bound = service.warmup_per_s * b.warmup_excess + b.warmup_slack;
@@ -196,12 +196,12 @@
         zones: w.zones.len(),
         period: Span::ZERO,
         // what never comes to this pool has no value beside what does
-        frontends: lines
+        frontends: frontends_and_plans
             .0
             .iter()
             .map(|(f, s)| Frontend { value: f.value * s.contains(&nth) as u8 as f64, ..*f })
             .collect(),
-        plans: lines.1.clone(),
+        plans: frontends_and_plans.1.clone(),
         counter: true,
         count_wait: Span::millis(350),
         max_units: 1.0,
--- a/data-plane/src/terms/tests.rs
+++ b/data-plane/src/terms/tests.rs
@@ -14,7 +14,7 @@
     let (name, health_path) = ("s".to_string(), "/health".to_string());
     let service = Service { name, health_path, max_conns: 9, warmup_s: 3.0, warmup_per_s: 4.0 };
     for gateways in [1, 2, 9, 60] {
-        let t = terms(&s, &World::new(&s, 1), (0, &service), gateways, &Lines::default());
+        let t = terms(&s, &NodeContext::new(&s, 1), (0, &service), gateways, &FrontendsAndPlans::default());
         let (all, (ratio, slack)) = (gateways as f64, t.retry_budget.unwrap());
         assert!(ratio < s.bounds.retry_ratio && 2.0 * all * slack < s.bounds.retry_slack);
         assert!(2.0 * all * t.cold_send_rate.unwrap() < 4.0 * s.bounds.warmup_excess + s.bounds.warmup_slack);
@@ -55,13 +55,13 @@
 /// first.
 #[test]
 fn places_stay() {
-    let mut p = Places::default();
-    assert_eq!(p.renew(["a", "b"].into_iter()), 2);
-    assert_eq!(p.renew(["b", "c"].into_iter()), 3, "one that just went keeps its place");
+    let mut p = StableIndexes::default();
+    assert_eq!(p.assign_indexes(["a", "b"].into_iter()), 2);
+    assert_eq!(p.assign_indexes(["b", "c"].into_iter()), 3, "one that just went keeps its place");
     assert_eq!((p.of("a"), p.of("b"), p.of("c")), (Some(0), Some(1), Some(2)));
-    p.renew(["b"].into_iter());
+    p.assign_indexes(["b"].into_iter());
     assert_eq!(p.of("a"), None);
-    assert_eq!((p.renew(["b", "d"].into_iter()), p.of("d")), (3, Some(0)));
+    assert_eq!((p.assign_indexes(["b", "d"].into_iter()), p.of("d")), (3, Some(0)));
 }
 
 const GATEWAYS: usize = 59;
@@ -92,10 +92,10 @@
         let service = Service { name, health_path, max_conns: 410, warmup_s: 3.0, warmup_per_s: 5.2 };
         let target = Span::millis(800);
         let timeout = Span::millis(DEADLINE_MS as i64);
-        let frontend = Frontend { target, timeout, late_value: 0.3, ..NOWHERE };
-        let lines = (vec![(frontend, vec![0])], vec![FREE]);
-        let world = World::new(&settings, 1);
-        let control = Control::new(terms(&settings, &world, (0, &service), GATEWAYS, &lines));
+        let frontend = Frontend { target, timeout, late_value: 0.3, ..UNUSED_FRONTEND };
+        let frontends_and_plans = (vec![(frontend, vec![0])], vec![UNLIMITED_PLAN]);
+        let world = NodeContext::new(&settings, 1);
+        let control = Control::new(terms(&settings, &world, (0, &service), GATEWAYS, &frontends_and_plans));
         Pool { control, due: BTreeMap::new() }
     }
 
