--- a/data-plane/src/client_handler.rs
+++ b/data-plane/src/client_handler.rs
@@ -1,10 +1,13 @@
-//! What clients are answered: a request is read, its route and tenant are looked up in the tables in force, and it
-//! goes to its service's pool. Here is no decision: what is not proper is refused, the rest is the pools'.
+//! Answers clients' requests: reads each request, looks up its route and tenant in the tables in force, and
+//! passes it to the pool of its service. Load-balancing decisions are made by the pools; this module only
+//! refuses requests that are invalid.
 
 use crate::failure_log::{Failure, FailureLog};
-use crate::operations::{self, Ended, StoredAnswer, Operations};
+use crate::operations::{self, Ended, Operations, StoredAnswer};
 use crate::pools::Pools;
-use crate::server_protocol::{ForwardedRequest, ServerAnswer, ServerProtocol, ATTEMPT, DEADLINE, OPERATION_KEY};
+use crate::server_protocol::{
+    ForwardedRequest, ServerAnswer, ServerProtocol, ATTEMPT, DEADLINE, OPERATION_KEY,
+};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, AUTHORIZATION, CONNECTION, CONTENT_LENGTH, HOST, RETRY_AFTER};
 use hyper::{Request, Response, StatusCode};
@@ -24,57 +27,62 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Before the process is ready a body is read up to here, so that the answer is not lost in a reset.
-const EARLY_BODY: usize = 64 << 10;
-/// Seconds that are added to hints at most: those who were sent away together need not come back together.
-const SPREAD: f64 = 0.6;
+/// Bytes of a request's body that are read before the process is ready. Closing a connection with unread data
+/// resets it, and the client could lose the answer.
+const EARLY_BODY_LIMIT: usize = 64 << 10;
+/// Largest random delay in seconds that is added to `Retry-After` when a connection is closed, so that
+/// clients that were sent away together do not all return together.
+const RETRY_JITTER: f64 = 0.6;
 
-/// The longest that any client may say it waits, in seconds.
-const LONGEST: f64 = 3600.0;
+/// Largest request deadline that a client may set, in seconds.
+const MAX_DEADLINE: f64 = 3600.0;
 
-/// Bytes of bodies that may be held at once, of the process's memory.
-const BODIES: f64 = 0.3;
+/// Share of the process's memory that may hold request bodies.
+const BODY_MEMORY_SHARE: f64 = 0.3;
 
-/// The golden section: steps of it, taken round a circle, lie as evenly as can be after any number of them.
+/// The golden ratio's fractional part. Multiples of it, modulo 1, are spread evenly over the interval from 0
+/// to 1 after any number of steps.
 const GOLDEN_SECTION: f64 = 0.618_033_988_749_894_9;
 
-/// Seconds after which one whose body found no room may come back.
-const NO_ROOM: f64 = 0.2;
+/// `Retry-After` in seconds when there is no memory for the request's body.
+const NO_MEMORY_RETRY: f64 = 0.2;
 
-/// Seconds after which one may come back for which too few voters answered.
-const NO_MAJORITY: f64 = 0.3;
+/// `Retry-After` in seconds when too few voters answered.
+const NO_MAJORITY_RETRY: f64 = 0.3;
 
-/// Bytes of the longest operation key.
-const OPERATION_KEY_MOST: usize = 256;
+/// Largest length of an operation key in bytes.
+const OPERATION_KEY_MAX_BYTES: usize = 256;
 
-/// An operation key stays taken for so many seconds more than its window and its request last.
+/// Seconds that an operation key stays claimed beyond its window and its request's timeout.
 const KEY_MARGIN: f64 = 2.0;
 
-/// For so many seconds at least, and up to 16,384 of them, the ids of requests that may run once are remembered.
-const REMEMBERED: f64 = 30.0;
+/// The attempt ids of requests that may run only once are remembered for at least this many seconds, up to
+/// 16,384 of them.
+const ID_MEMORY: f64 = 30.0;
 
-/// See the module.
+/// Answers clients' requests once the process is ready.
 pub struct ClientHandler {
     pools: Rc<Pools>,
     operations: Rc<Operations>,
-    /// Those that may have run.
+    /// Attempt ids of non-idempotent requests that may have run.
     ids: RefCell<Ids>,
-    failures: FailureLog,
-    /// Where the last request fell between the parts of a split, from 0 to 1.
-    split: Cell<f64>,
-    /// For the bodies of requests.
+    failure_log: FailureLog,
+    /// The last value used to choose among a route's weighted services, from 0 to 1.
+    split_position: Cell<f64>,
+    /// Memory budget for request bodies.
     memory: Arc<Memory>,
+    /// Set once the process no longer accepts new connections.
     pub closing: Cell<bool>,
 }
 
-/// What is kept of a request's head until it is handed to a pool.
+/// The parts of a request's head that are needed until it is handed to a pool.
 #[derive(Clone)]
-struct Asked {
-    came: Timestamp,
-    /// Seconds that it had then.
-    left: f64,
-    /// Where it falls between the parts of a split, from 0 to 1.
-    split: f64,
+struct RequestContext {
+    received_at: Timestamp,
+    /// Seconds until its deadline, counted from `received_at`.
+    seconds_left: f64,
+    /// Chooses among the route's weighted services, from 0 to 1.
+    split_position: f64,
     host: String,
     path: String,
     /// Its API key.
@@ -82,32 +90,38 @@
     attempt_id: Option<HeaderValue>,
 }
 
-/// The connection can't be used after it.
+/// A reply after which the connection is closed.
 type Refusal = Box<Reply>;
 
 impl ClientHandler {
     pub fn new(pools: Rc<Pools>, operations: Rc<Operations>, memory_mb: f64, seed: u64) -> Rc<ClientHandler> {
-        let memory = Memory::of((memory_mb * 1e6 * BODIES) as usize);
-        let split = Cell::new(fastrand::Rng::with_seed(seed).f64());
+        let memory = Memory::of((memory_mb * 1e6 * BODY_MEMORY_SHARE) as usize);
+        let split_position = Cell::new(fastrand::Rng::with_seed(seed).f64());
         let closing = Cell::new(false);
         Rc::new(ClientHandler {
             pools,
             operations,
             ids: RefCell::default(),
-            failures: FailureLog::default(),
-            split,
+            failure_log: FailureLog::default(),
+            split_position,
             memory,
             closing,
         })
     }
 
-    async fn read(&self, req: Request<Incoming>, heads: &Heads, by: Instant) -> Result<Reply, Refusal> {
-        let (came, suspension_count) = (self.pools.clock.now(), self.pools.suspension().1);
+    /// Reads and validates a request, has it run, and returns the reply to its client.
+    async fn read(
+        &self,
+        http_request: Request<Incoming>,
+        heads: &Heads,
+        body_deadline: Instant,
+    ) -> Result<Reply, Refusal> {
+        let (received_at, suspensions_before) = (self.pools.clock.now(), self.pools.suspension().1);
         let tables = self.pools.tables();
-        let (mut head, body) = req.into_parts();
+        let (mut head, body) = http_request.into_parts();
         let host = head.uri.host().or_else(|| text(&head.headers, &HOST)).unwrap_or_default().to_string();
         if tables.version() == 0 {
-            return Err(Box::new(later(0.5))); // nothing is in force yet
+            return Err(Box::new(unavailable(0.5))); // no configuration is in force yet
         }
         let route = tables
             .route(&host, head.uri.path())
@@ -118,45 +132,48 @@
         }
         let keyed = route.kind == RouteKind::Keyed;
         let operation_key = keyed.then(|| operation_key(&head.headers)).transpose()?;
-        let left = match head.headers.get(&DEADLINE) {
+        let seconds_left = match head.headers.get(&DEADLINE) {
             None => route.timeout,
             Some(v) => {
                 let ms = v.to_str().ok().and_then(|v| v.trim().parse::<u64>().ok()).map(|ms| ms as f64 / 1e3);
-                let ms = ms.filter(|s| *s <= LONGEST);
+                let ms = ms.filter(|s| *s <= MAX_DEADLINE);
                 ms.ok_or_else(|| refuse(StatusCode::BAD_REQUEST, "Lupinledge-Deadline-Ms: no milliseconds"))?
             }
         };
-        let most = tables.limits().max_body_bytes;
-        let told = text(&head.headers, &CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok());
-        let large = || refuse(StatusCode::PAYLOAD_TOO_LARGE, "body: too long");
-        if told.is_some_and(|l| l > most) {
-            return Err(large());
+        let max_bytes = tables.limits().max_body_bytes;
+        let content_length = text(&head.headers, &CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok());
+        let too_large = || refuse(StatusCode::PAYLOAD_TOO_LARGE, "body: too long");
+        if content_length.is_some_and(|l| l > max_bytes) {
+            return Err(too_large());
         }
-        // one that tells no length takes room as it comes
-        let room = self.memory.take(told.unwrap_or(0) as usize);
-        let mut room = room.ok_or_else(|| Box::new(later(NO_ROOM)))?;
-        let takes = |bytes: usize| told.is_some() || room.grow(bytes);
-        let body = match tokio::time::timeout_at(by, whole_counted(body, most as usize, takes)).await {
-            Ok(Ok(body)) => body,
-            Ok(Err(Unread::NoRoom)) => return Err(Box::new(later(NO_ROOM))),
-            Ok(Err(Unread::TooLong)) => return Err(large()),
-            Ok(Err(Unread::Broken)) => return Err(refuse(StatusCode::BAD_REQUEST, "body: broken")),
-            Err(_) => return Err(refuse(StatusCode::REQUEST_TIMEOUT, "body: not there in time")),
-        };
+        // a body without `Content-Length` reserves memory as it is read
+        let reservation = self.memory.take(content_length.unwrap_or(0) as usize);
+        let mut reservation = reservation.ok_or_else(|| Box::new(unavailable(NO_MEMORY_RETRY)))?;
+        let reserve = |bytes: usize| content_length.is_some() || reservation.grow(bytes);
+        let body =
+            match tokio::time::timeout_at(body_deadline, whole_counted(body, max_bytes as usize, reserve))
+                .await
+            {
+                Ok(Ok(body)) => body,
+                Ok(Err(Unread::NoRoom)) => return Err(Box::new(unavailable(NO_MEMORY_RETRY))),
+                Ok(Err(Unread::TooLong)) => return Err(too_large()),
+                Ok(Err(Unread::Broken)) => return Err(refuse(StatusCode::BAD_REQUEST, "body: broken")),
+                Err(_) => return Err(refuse(StatusCode::REQUEST_TIMEOUT, "body: not there in time")),
+            };
         if let (Some(hint), _) = self.pools.suspension() {
-            return Ok(away(hint));
+            return Ok(close_reply(hint));
         }
-        // it was read by tables that were in doubt since
-        if self.pools.suspension().1 != suspension_count {
-            return Ok(later(0.0));
+        // the tables that this request was checked against have been suspended meanwhile
+        if self.pools.suspension().1 != suspensions_before {
+            return Ok(unavailable(0.0));
         }
         if let Some(fault) = heads.fault() {
             return Err(refuse(StatusCode::BAD_REQUEST, fault));
         }
-        let asked = Asked {
-            came,
-            left: left.min(route.timeout),
-            split: self.next_of_split(),
+        let context = RequestContext {
+            received_at,
+            seconds_left: seconds_left.min(route.timeout),
+            split_position: self.next_split_position(),
             token: token(&head.headers).map(str::to_string),
             attempt_id: head.headers.get(&ATTEMPT).cloned(),
             host,
@@ -167,107 +184,113 @@
             let fingerprint = Fingerprint::of_request(head.method.as_str(), path, &body);
             (Key::derive(tenant.map_or("", |t| &t.name), &key), fingerprint)
         });
-        let once = once(route, tenant, &head.headers);
-        let named = tenant.and_then(|t| HeaderValue::from_str(&t.name).ok());
-        let carried = ForwardedRequest::new(head.method, head.uri, std::mem::take(&mut head.headers), named, body);
+        let dedup_id = dedup_id_of(route, tenant, &head.headers);
+        let tenant_header = tenant.and_then(|t| HeaderValue::from_str(&t.name).ok());
+        let carried = ForwardedRequest::new(
+            head.method,
+            head.uri,
+            std::mem::take(&mut head.headers),
+            tenant_header,
+            body,
+        );
         let (reply, attempts) = match operation {
-            None => self.send_plain(&tables, route, tenant, &asked, once, carried).await?,
+            None => self.send_plain(&tables, route, tenant, &context, dedup_id, carried).await?,
             Some((key, fingerprint)) => {
-                let request = self.keyed_request(&tables, route, tenant, &asked, (key, fingerprint));
-                self.send_keyed(request, asked.clone(), tenant.cloned(), carried, room).await
+                let request = self.keyed_request(&tables, route, tenant, &context, (key, fingerprint));
+                self.send_keyed(request, context.clone(), tenant.cloned(), carried, reservation).await
             }
         };
         if reply.status().is_server_error() || reply.status() == StatusCode::TOO_MANY_REQUESTS {
             let now = self.pools.clock.now();
             let failure = Failure {
                 status: reply.status(),
-                id: asked.attempt_id.as_ref().map_or(&[], |id| id.as_bytes()),
+                id: context.attempt_id.as_ref().map_or(&[], |id| id.as_bytes()),
                 route: &route.name,
                 tenant: tenant.map_or("", |t| &t.name),
-                took: now - came,
+                took: now - received_at,
                 attempts: &attempts,
             };
-            self.failures.tell(now, &failure);
+            self.failure_log.record(now, &failure);
         }
         Ok(reply)
     }
 
-    /// Has a request run that has no operation key.
+    /// Runs a request that has no operation key.
     async fn send_plain(
         &self,
         tables: &Tables,
         route: &Route,
         tenant: Option<&Tenant>,
-        asked: &Asked,
-        once: Option<Vec<u8>>,
+        context: &RequestContext,
+        dedup_id: Option<Vec<u8>>,
         carried: ForwardedRequest,
     ) -> Result<(Reply, Vec<Attempt>), Refusal> {
-        let Some((pool, new)) = place(&self.pools, tables, route, tenant, asked) else {
-            return Ok((later(0.5), Vec::new()));
+        let Some((pool, new_request)) = choose_pool(&self.pools, tables, route, tenant, context) else {
+            return Ok((unavailable(0.5), Vec::new()));
         };
-        let new_id = |id: &[u8]| self.ids.borrow_mut().enter(id, asked.came.secs(), REMEMBERED);
-        if once.as_deref().is_some_and(|id| !new_id(id)) {
+        let new_id = |id: &[u8]| self.ids.borrow_mut().enter(id, context.received_at.secs(), ID_MEMORY);
+        if dedup_id.as_deref().is_some_and(|id| !new_id(id)) {
             return Err(refuse(StatusCode::CONFLICT, "Lupinledge-Attempt-Id: had before"));
         }
-        let (answer, attempts) = pool.take(new, carried).answer_with_attempts().await;
-        if let (Answer::Denied(_), Some(id)) = (&answer, &once) {
+        let (answer, attempts) = pool.take(new_request, carried).answer_with_attempts().await;
+        if let (Answer::Denied(_), Some(id)) = (&answer, &dedup_id) {
             self.ids.borrow_mut().forget(id);
         }
         Ok((self.reply(answer), attempts))
     }
 
-    /// What is claimed for a request with an operation key.
+    /// Builds the claim for a request that has an operation key.
     fn keyed_request(
         &self,
         tables: &Rc<Tables>,
         route: &Route,
         tenant: Option<&Tenant>,
-        asked: &Asked,
+        context: &RequestContext,
         (key, fingerprint): (Key, Fingerprint),
     ) -> operations::Request {
         let (tables, route, tenant) = (tables.clone(), route.clone(), tenant.cloned());
-        let longest = route.timeout.min(LONGEST);
+        let timeout = route.timeout.min(MAX_DEADLINE);
         operations::Request {
             key,
             fingerprint,
-            keep: self.pools.key_window() + longest + KEY_MARGIN,
-            by: self.pools.clock.instant(asked.came + Span::from_secs(asked.left)),
+            keep: self.pools.key_window() + timeout + KEY_MARGIN,
+            by: self.pools.clock.instant(context.received_at + Span::from_secs(context.seconds_left)),
             may_be_kept_in: Box::new(move |zone| tables.at_home(&route, tenant.as_ref(), zone)),
         }
     }
 
-    /// Has a request run whose operation key is claimed first, or answers it by what its operation came to. The operation
-    /// goes on if the client leaves.
+    /// Claims the operation key and runs the request, or answers with the stored result of an earlier request
+    /// with the same key. The operation continues if the client disconnects.
     async fn send_keyed(
         &self,
         request: operations::Request,
-        asked: Asked,
+        context: RequestContext,
         tenant: Option<Tenant>,
         carried: ForwardedRequest,
-        room: Taken,
+        body_reservation: Taken,
     ) -> (Reply, Vec<Attempt>) {
         let (operations, pools) = (self.operations.clone(), self.pools.clone());
-        let attempt_id = asked.attempt_id.clone();
-        let (told, ended) = oneshot::channel();
+        let attempt_id = context.attempt_id.clone();
+        let (result_sender, result_receiver) = oneshot::channel();
         tokio::task::spawn_local(async move {
-            let _room = room;
-            let send = move || take(&pools, &asked, tenant.as_ref(), carried);
-            let _ = told.send(operations.perform(request, send).await);
+            let _body_reservation = body_reservation;
+            let send = move || send_to_pool(&pools, &context, tenant.as_ref(), carried);
+            let _ = result_sender.send(operations.perform(request, send).await);
         });
-        let reply = match ended.await.unwrap_or(Ended::Lost) {
+        let reply = match result_receiver.await.unwrap_or(Ended::Lost) {
             Ended::Performed(answer, attempts) => return (self.reply(answer), attempts),
             Ended::Repeated(answer) => StoredAnswer::decoded(&answer, attempt_id.as_ref())
-                .map_or_else(|| bare(StatusCode::BAD_GATEWAY), passed),
+                .map_or_else(|| bare(StatusCode::BAD_GATEWAY), server_reply),
             Ended::AtWork => say(StatusCode::CONFLICT, "Lupinledge-Operation-Key: in work"),
             Ended::OtherRequest => {
                 let text = "Lupinledge-Operation-Key: used for another request";
                 say(StatusCode::UNPROCESSABLE_ENTITY, text)
             }
             Ended::Lost => bare(StatusCode::BAD_GATEWAY),
-            Ended::Unavailable => later(NO_MAJORITY),
+            Ended::Unavailable => unavailable(NO_MAJORITY_RETRY),
             Ended::NotSent => match self.pools.suspension().0 {
-                Some(hint) => away(hint),
-                None => later(NO_ROOM),
+                Some(hint) => close_reply(hint),
+                None => unavailable(NO_MEMORY_RETRY),
             },
         };
         (reply, Vec::new())
@@ -275,55 +298,57 @@
 
     fn reply(&self, answer: Answer<ServerProtocol>) -> Reply {
         match answer {
-            Answer::Passed(made) | Answer::Failed(made) => passed(made),
-            // not sent, see `Pools::shut`
-            Answer::Denied(after) if self.pools.suspension().0.is_some() => away(after.secs()),
-            Answer::Denied(after) => retry(StatusCode::TOO_MANY_REQUESTS, after.secs()),
+            Answer::Passed(server_answer) | Answer::Failed(server_answer) => server_reply(server_answer),
+            // not sent to a server, see `Pools::suspension`
+            Answer::Denied(after) if self.pools.suspension().0.is_some() => close_reply(after.secs()),
+            Answer::Denied(after) => retry_reply(StatusCode::TOO_MANY_REQUESTS, after.secs()),
             Answer::Aborted => bare(StatusCode::BAD_GATEWAY),
         }
     }
 
-    /// Evenly spread numbers from 0 to 1: each part of a split gets its share of any few hundred requests, which
-    /// numbers drawn by chance give it only of many thousands.
-    fn next_of_split(&self) -> f64 {
-        let next = (self.split.get() + GOLDEN_SECTION).fract();
-        self.split.set(next);
+    /// Returns the next of a sequence of evenly spread numbers from 0 to 1. With it, each weighted service
+    /// gets its share of any few hundred requests; random numbers would need many thousands.
+    fn next_split_position(&self) -> f64 {
+        let next = (self.split_position.get() + GOLDEN_SECTION).fract();
+        self.split_position.set(next);
         next
     }
 }
 
-fn refuse(status: StatusCode, what: &'static str) -> Refusal {
-    Box::new(say(status, what))
+/// Refuses an invalid request; the connection is closed afterwards.
+fn refuse(status: StatusCode, message: &'static str) -> Refusal {
+    Box::new(say(status, message))
 }
 
-fn retry(status: StatusCode, secs: f64) -> Reply {
+/// A reply with a `Retry-After` header, if `secs` is positive.
+fn retry_reply(status: StatusCode, retry_after: f64) -> Reply {
     let mut reply = bare(status);
-    if secs > 0.0 {
-        let secs = HeaderValue::from_str(&format!("{secs:.3}"));
-        secs.into_iter().for_each(|s| drop(reply.headers_mut().insert(RETRY_AFTER, s)));
+    if retry_after > 0.0 {
+        let retry_after = HeaderValue::from_str(&format!("{retry_after:.3}"));
+        retry_after.into_iter().for_each(|s| drop(reply.headers_mut().insert(RETRY_AFTER, s)));
     }
     reply
 }
 
-/// Not run, and nothing else will be on this connection.
-fn away(secs: f64) -> Reply {
-    let mut reply = later(secs + SPREAD * fastrand::f64());
+/// The request has not run, and the connection is closed.
+fn close_reply(retry_after: f64) -> Reply {
+    let mut reply = unavailable(retry_after + RETRY_JITTER * fastrand::f64());
     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
 
-/// Not run, and never will be.
-fn later(secs: f64) -> Reply {
-    retry(StatusCode::SERVICE_UNAVAILABLE, secs)
+/// The request has not run and will not run.
+fn unavailable(retry_after: f64) -> Reply {
+    retry_reply(StatusCode::SERVICE_UNAVAILABLE, retry_after)
 }
 
-fn passed(made: ServerAnswer) -> Reply {
-    let mut reply = Response::new(http_body_util::Full::new(made.body));
-    (*reply.status_mut(), *reply.headers_mut()) = (made.status, made.headers);
+fn server_reply(answer: ServerAnswer) -> Reply {
+    let mut reply = Response::new(http_body_util::Full::new(answer.body));
+    (*reply.status_mut(), *reply.headers_mut()) = (answer.status, answer.headers);
     reply
 }
 
-/// Its one API key.
+/// The request's API key, if its `Authorization` header holds exactly one.
 fn token(headers: &HeaderMap) -> Option<&str> {
     let mut all = headers.get_all(AUTHORIZATION).iter();
     let (first, second) = (all.next()?, all.next());
@@ -331,7 +356,7 @@
     second.is_none().then_some(token.trim())
 }
 
-/// Whose API key the request bears; none where none is needed.
+/// The tenant that the request's API key belongs to; `None` where the route needs no key.
 fn tenant<'a>(tables: &'a Tables, route: &Route, token: Option<&str>) -> Result<Option<&'a Tenant>, Refusal> {
     match token.and_then(|token| tables.tenant(token)) {
         None if tables.keyed() && !route.public => {
@@ -341,31 +366,31 @@
     }
 }
 
-/// The key of the request's operation.
+/// The request's operation key.
 fn operation_key(headers: &HeaderMap) -> Result<Vec<u8>, Refusal> {
     let mut all = headers.get_all(&OPERATION_KEY).iter();
     let (Some(key), None) = (all.next(), all.next()) else {
         return Err(refuse(StatusCode::BAD_REQUEST, "Lupinledge-Operation-Key: one is needed"));
     };
     let key = key.as_bytes();
-    if key.is_empty() || key.len() > OPERATION_KEY_MOST || !key.iter().all(u8::is_ascii_graphic) {
+    if key.is_empty() || key.len() > OPERATION_KEY_MAX_BYTES || !key.iter().all(u8::is_ascii_graphic) {
         let text = "Lupinledge-Operation-Key: has to be 1 to 256 visible ASCII characters";
         return Err(refuse(StatusCode::BAD_REQUEST, text));
     }
     Ok(key.to_vec())
 }
 
-/// The pool that a request goes to, and what the decisions are told of it.
-fn place(
+/// Chooses the pool for a request and describes the request to the decision module.
+fn choose_pool(
     pools: &Pools,
     tables: &Tables,
     route: &Route,
     tenant: Option<&Tenant>,
-    asked: &Asked,
+    context: &RequestContext,
 ) -> Option<(Rc<Exchange<ServerProtocol>>, NewRequest)> {
-    let service = route.choose(asked.split).and_then(|nth| tables.services().get(nth))?;
+    let service = route.choose(context.split_position).and_then(|nth| tables.services().get(nth))?;
     let (pool, frontend, plan) = pools.pool(&service.name, route, tenant)?;
-    let new = NewRequest {
+    let new_request = NewRequest {
         id: 0,
         frontend,
         repeat: false,
@@ -373,51 +398,56 @@
         customer: tenant.map_or(0, |t| t.customer),
         plan,
         spread: pools.spread(),
-        time_left: Span::from_secs(asked.left) - (pools.clock.now() - asked.came),
+        time_left: Span::from_secs(context.seconds_left) - (pools.clock.now() - context.received_at),
         zones: pools.zones(tables, route, tenant),
     };
-    Some((pool, new))
+    Some((pool, new_request))
 }
 
-/// Hands a request whose key is claimed to its pool, by the tables in force now. None: its time is over, or there is no
-/// such route any more, or it is not the tenant's.
-fn take(pools: &Pools, asked: &Asked, before: Option<&Tenant>, carried: ForwardedRequest) -> Option<Ticket<ServerProtocol>> {
+/// Hands a request whose key is claimed to its pool, by the tables in force now. Returns `None` if its
+/// deadline has passed, or if the route no longer exists or belongs to another tenant.
+fn send_to_pool(
+    pools: &Pools,
+    context: &RequestContext,
+    tenant_before: Option<&Tenant>,
+    carried: ForwardedRequest,
+) -> Option<Ticket<ServerProtocol>> {
     let tables = pools.tables();
-    let route = tables.route(&asked.host, &asked.path).filter(|r| r.kind == RouteKind::Keyed)?;
-    let tenant = tenant(&tables, route, asked.token.as_deref()).ok()?;
-    let same_tenant = tenant.map(|t| &t.name) == before.map(|t| &t.name);
-    let (pool, new) = place(pools, &tables, route, tenant, asked)?;
-    let may_go = same_tenant && pools.suspension().0.is_none() && new.time_left > Span::ZERO;
-    may_go.then(|| pool.take(new, carried))
+    let route = tables.route(&context.host, &context.path).filter(|r| r.kind == RouteKind::Keyed)?;
+    let tenant = tenant(&tables, route, context.token.as_deref()).ok()?;
+    let same_tenant = tenant.map(|t| &t.name) == tenant_before.map(|t| &t.name);
+    let (pool, new_request) = choose_pool(pools, &tables, route, tenant, context)?;
+    let may_send = same_tenant && pools.suspension().0.is_none() && new_request.time_left > Span::ZERO;
+    may_send.then(|| pool.take(new_request, carried))
 }
 
-/// The id of a request that may run once, among its tenant's.
-fn once(route: &Route, tenant: Option<&Tenant>, headers: &HeaderMap) -> Option<Vec<u8>> {
+/// The deduplication id of a non-idempotent request: its tenant's number and its attempt id.
+fn dedup_id_of(route: &Route, tenant: Option<&Tenant>, headers: &HeaderMap) -> Option<Vec<u8>> {
     let id = headers.get(&ATTEMPT).filter(|_| route.kind == RouteKind::NonIdempotent)?;
-    let whose = tenant.map_or(0, |t| t.customer).to_le_bytes();
-    Some([&whose[..], id.as_bytes()].concat())
+    let customer_bytes = tenant.map_or(0, |t| t.customer).to_le_bytes();
+    Some([&customer_bytes[..], id.as_bytes()].concat())
 }
 
-/// The door before the process is ready: it runs nothing, and says at once when it may. `soon` tells in how many
-/// seconds that is.
+/// Answers clients before the process is ready: runs nothing and replies at once with a `Retry-After`. The
+/// function returns the expected number of seconds until the process is ready.
 pub struct NotReadyHandler<F>(pub F);
 
 impl<F: Fn() -> f64 + 'static> Answering for NotReadyHandler<F> {
-    async fn answer(&self, req: Request<Incoming>, _: &Heads, whole_by: Instant) -> Reply {
-        let _ = tokio::time::timeout_at(whole_by, whole(req.into_body(), EARLY_BODY)).await;
-        away((self.0)())
+    async fn answer(&self, request: Request<Incoming>, _: &Heads, whole_by: Instant) -> Reply {
+        let _ = tokio::time::timeout_at(whole_by, whole(request.into_body(), EARLY_BODY_LIMIT)).await;
+        close_reply((self.0)())
     }
 }
 
 impl Answering for ClientHandler {
-    async fn answer(&self, req: Request<Incoming>, heads: &Heads, whole_by: Instant) -> Reply {
+    async fn answer(&self, request: Request<Incoming>, heads: &Heads, whole_by: Instant) -> Reply {
         if let (Some(hint), _) = self.pools.suspension() {
-            return NotReadyHandler(move || hint).answer(req, heads, whole_by).await;
+            return NotReadyHandler(move || hint).answer(request, heads, whole_by).await;
         }
-        match self.read(req, heads, whole_by).await {
+        match self.read(request, heads, whole_by).await {
             Ok(reply) => reply,
             Err(mut refusal) => {
-                // what is left of a body that nobody reads must not be taken for the next request
+                // the rest of an unread body must not be parsed as the next request
                 refusal.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 *refusal
             }
--- a/data-plane/src/drift_responder.rs
+++ b/data-plane/src/drift_responder.rs
@@ -25,7 +25,7 @@
 
 /// See the module.
 pub struct DriftResponder {
-    nest: Rc<NodeState>,
+    node_state: Rc<NodeState>,
     gossip: Rc<Gossip>,
     pools: Rc<Pools>,
     ready: Rc<Cell<bool>>,
@@ -40,17 +40,29 @@
 
 impl DriftResponder {
     pub fn new(
-        nest: Rc<NodeState>,
+        node_state: Rc<NodeState>,
         gossip: Rc<Gossip>,
         pools: Rc<Pools>,
         ready: Rc<Cell<bool>>,
         clients: Rc<Clients<ClientHandler>>,
         seed: u64,
     ) -> DriftResponder {
-        let watch = DriftMonitor::new(gossip.now(), Settings::new(nest.settings().bounds.config_apply_s));
+        let watch =
+            DriftMonitor::new(gossip.now(), Settings::new(node_state.settings().bounds.config_apply_s));
         let audit = Audit::new(seed);
         let looked = pools.tables();
-        DriftResponder { nest, gossip, pools, ready, clients, audit, watch, turns: 0, looked, doubted: None }
+        DriftResponder {
+            node_state,
+            gossip,
+            pools,
+            ready,
+            clients,
+            audit,
+            watch,
+            turns: 0,
+            looked,
+            doubted: None,
+        }
     }
 
     /// Watches for good. Tests have the tables changed at SIGUSR1, by what that file says.
@@ -75,15 +87,16 @@
 
     fn turn(&mut self) {
         self.turns = self.turns.wrapping_add(1);
-        let (tables, config) = (self.pools.tables(), self.nest.config());
+        let (tables, config) = (self.pools.tables(), self.node_state.config());
         if !Rc::ptr_eq(&tables, &self.looked) {
             self.audit.reset();
             self.looked = tables.clone();
         }
-        let due = if self.turns.is_multiple_of(BUILD) { self.nest.build_tables() } else { None };
+        let due = if self.turns.is_multiple_of(BUILD) { self.node_state.build_tables() } else { None };
         let found = self.audit.step(&tables, config.as_deref(), due.as_ref()).or_else(|| {
             let looks = self.turns.is_multiple_of(TERMS);
-            let find_deviation = looks.then(|| self.pools.find_deviation((self.turns / TERMS) as usize)).flatten();
+            let find_deviation =
+                looks.then(|| self.pools.find_deviation((self.turns / TERMS) as usize)).flatten();
             find_deviation.map(|(part, name)| Finding { part, names: vec![name] })
         });
         let (index, print) =
@@ -130,8 +143,8 @@
                 };
                 self.gossip.set_card(|c| (c.ready, c.drift) = (false, Some(Box::new(rules))));
             }
-            Action::Rebuild => self.nest.rebuild(),
-            Action::Refetch => self.nest.afresh(self.pools.suspension().0.is_some()),
+            Action::Rebuild => self.node_state.rebuild(),
+            Action::Refetch => self.node_state.afresh(self.pools.suspension().0.is_some()),
             Action::AcceptClients => {
                 tracing::info!(event = "back", version = self.pools.tables().version());
                 self.pools.set_suspension(None);
--- a/data-plane/src/failure_log/tests.rs
+++ b/data-plane/src/failure_log/tests.rs
@@ -1,21 +1,22 @@
 use super::*;
 use lupinledge::interface::Outcome;
 
-/// A burst of one status is cut, tells of what was cut in the next second, and leaves other statuses alone.
+/// Lines past the limit for one status are left out, the next second's first line gives their number, and
+/// other statuses are not affected.
 #[test]
-fn a_burst_is_cut_and_counted() {
+fn lines_past_the_limit_are_counted() {
     let failures = FailureLog::default();
-    let told = (0..100).filter(|_| failures.turn(7, 429).is_some()).count();
-    assert_eq!(told, LINES_PER_SECOND as usize);
-    assert_eq!(failures.turn(7, 502), Some(0));
-    assert_eq!(failures.turn(8, 429), Some(96));
-    assert_eq!(failures.turn(8, 429), Some(0));
+    let written = (0..100).filter(|_| failures.admit(7, 429).is_some()).count();
+    assert_eq!(written, LINES_PER_SECOND as usize);
+    assert_eq!(failures.admit(7, 502), Some(0));
+    assert_eq!(failures.admit(8, 429), Some(96));
+    assert_eq!(failures.admit(8, 429), Some(0));
 }
 
 #[test]
-fn attempts_are_described_in_order() {
+fn attempts_are_formatted_in_order() {
     let attempt = |srv: &str, how, ms| Attempt { srv: srv.into(), how, took: Span::millis(ms) };
     let attempts = [attempt("i-1", Outcome::Full, 3), attempt("i-2", Outcome::Reset, 40)];
-    assert_eq!(described(&attempts), "i-1:Full:3,i-2:Reset:40");
-    assert_eq!(described(&[]), "");
+    assert_eq!(format_attempts(&attempts), "i-1:Full:3,i-2:Reset:40");
+    assert_eq!(format_attempts(&[]), "");
 }
--- a/data-plane/src/main.rs
+++ b/data-plane/src/main.rs
@@ -1,17 +1,17 @@
 //! The data plane of the system: takes clients' requests on an edge machine and passes them to servers.
 
 mod client_handler;
-mod failure_log;
-mod drift_responder;
 mod counter_client;
+mod drift_responder;
+mod failure_log;
 mod metrics;
 mod node_state;
 mod operations;
 mod pools;
 mod readiness;
+mod server_protocol;
 mod start;
 mod terms;
-mod server_protocol;
 
 use lupinledge_gossip::cli::{self, Program};
 
--- a/data-plane/src/metrics.rs
+++ b/data-plane/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of this process as text.
+//! The metrics of this process as text.
 
 use crate::node_state::NodeState;
 use crate::pools::Pools;
@@ -6,29 +6,29 @@
 use std::cell::OnceCell;
 use std::rc::Rc;
 
-/// What the figures are taken from; the pools are there only once the process knows the time.
+/// Sources of the process's metrics. The pools are created only once the process knows the cluster's clock.
 pub struct Metrics {
-    nest: Rc<NodeState>,
+    node_state: Rc<NodeState>,
     pools: OnceCell<Rc<Pools>>,
 }
 
 impl Metrics {
-    /// Those of a process that has no pools yet.
-    pub fn new(nest: Rc<NodeState>) -> Rc<Metrics> {
-        Rc::new(Metrics { nest, pools: OnceCell::new() })
+    /// Creates the metrics of a process that has no pools yet.
+    pub fn new(node_state: Rc<NodeState>) -> Rc<Metrics> {
+        Rc::new(Metrics { node_state, pools: OnceCell::new() })
     }
 
-    /// From here on with the figures of its requests.
-    pub fn show(&self, pools: Rc<Pools>) {
+    /// Adds the metrics of the pools.
+    pub fn set_pools(&self, pools: Rc<Pools>) {
         let _ = self.pools.set(pools);
     }
 
-    /// All figures as of now.
+    /// Renders the current values of all metrics.
     pub fn text(&self) -> String {
         metrics::render(|line| {
-            self.nest.figures(line);
+            self.node_state.write_metrics(line);
             if let Some(pools) = self.pools.get() {
-                pools.figures(line);
+                pools.write_metrics(line);
             }
         })
     }
--- a/data-plane/src/node_state.rs
+++ b/data-plane/src/node_state.rs
@@ -32,7 +32,7 @@
 pub struct NodeState {
     settings: RefCell<Rc<Settings>>,
     gossip: Rc<Gossip>,
-    ledger: Rc<CounterClient>,
+    counter_client: Rc<CounterClient>,
     operations: Rc<Operations>,
     pools: RefCell<Option<Rc<Pools>>>,
     estimate: RefCell<ClockEstimate>,
@@ -50,14 +50,14 @@
     pub fn new(
         settings: Rc<Settings>,
         gossip: Rc<Gossip>,
-        ledger: Rc<CounterClient>,
+        counter_client: Rc<CounterClient>,
         operations: Rc<Operations>,
     ) -> Rc<NodeState> {
         let (pools, estimate) = (RefCell::default(), RefCell::default());
         let nest = Rc::new(NodeState {
             settings: RefCell::new(settings),
             gossip,
-            ledger,
+            counter_client,
             operations,
             pools,
             estimate,
@@ -161,11 +161,11 @@
     }
 
     /// Figures of what is held and of the messages between own processes.
-    pub fn figures(&self, line: &mut MetricSink) {
+    pub fn write_metrics(&self, line: &mut MetricSink) {
         line("document.serial", self.serial.get());
         line("counters.epoch", self.gossip.with_store(|h| h.epoch().0));
         line("gateways", self.gossip.max_edge_count(LATELY) as u64);
-        self.operations.figures(line);
+        self.operations.write_metrics(line);
         self.gossip.write_metrics(line);
     }
 
@@ -224,7 +224,7 @@
 impl Host for NodeState {
     fn on_update(&self, news: Update) {
         if let Some((epoch, holder)) = news.epoch {
-            self.ledger.holder(epoch, holder);
+            self.counter_client.set_holder(epoch, holder);
         }
         // before the first configuration there is an empty document
         if let Some((_, bytes)) = news.state.as_ref().filter(|s| !s.1.is_empty()) {
@@ -233,7 +233,7 @@
         let pools = self.pools.borrow().clone();
         if let (Some((_, bytes)), Some(pools)) = (&news.list, pools) {
             match ServerList::decode(bytes) {
-                Some(list) => pools.list(list),
+                Some(list) => pools.set_server_list(list),
                 None => tracing::error!(event = "list_unread"),
             }
         }
@@ -242,8 +242,10 @@
 
     fn on_message(&self, from: Node, word: WireMessage) {
         match word {
-            WireMessage::Totals { tag, round, totals } => self.ledger.counted(from, tag, round, &totals),
-            WireMessage::NewHolder { epoch } => self.ledger.asked(epoch, from),
+            WireMessage::Totals { tag, round, totals } => {
+                self.counter_client.on_totals(from, tag, round, &totals)
+            }
+            WireMessage::NewHolder { epoch } => self.counter_client.on_report_request(epoch, from),
             WireMessage::Operation(message) => self.operations.handle_message(from, message),
             WireMessage::ClockReply { sent, hive } if self.asked.borrow().contains(sent) => {
                 self.estimate.borrow_mut().sample(sent, hive, self.gossip.now());
--- a/data-plane/src/operations.rs
+++ b/data-plane/src/operations.rs
@@ -2,19 +2,18 @@
 //! operations, and what other gateways ask about them. The decisions are in `lupinledge-operations`.
 
 mod byte_budget;
-mod stored_answer;
-mod progress_queries;
 mod claim;
 mod counters;
 mod perform;
+mod progress_queries;
+mod stored_answer;
 mod voters;
 
-pub use stored_answer::StoredAnswer;
 pub use perform::{Ended, Request};
+pub use stored_answer::StoredAnswer;
 
 use crate::failure_log::LineLimiter;
 use byte_budget::ByteBudget;
-use progress_queries::ProgressQueries;
 use claim::Claim;
 use counters::OperationCounters;
 use lupinledge_config::Settings;
@@ -25,6 +24,7 @@
 use lupinledge_operations::message::{Message, Progress};
 use lupinledge_operations::operation_table::OperationTable;
 use lupinledge_operations::record::ClaimId;
+use progress_queries::ProgressQueries;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -56,7 +56,7 @@
     /// Claims whose requests wait for votes.
     pending: RefCell<HashMap<ClaimId, Rc<Claim>>>,
     asks: ProgressQueries,
-    figures: OperationCounters,
+    write_metrics: OperationCounters,
     losses: RefCell<LineLimiter>,
     /// Requests that are not over.
     active: Cell<usize>,
@@ -83,7 +83,7 @@
             memory: RefCell::new(OperationTable::new(OPERATIONS_MOST, answer_bytes)),
             pending: RefCell::default(),
             asks: ProgressQueries::new(start),
-            figures: OperationCounters::default(),
+            write_metrics: OperationCounters::default(),
             losses: RefCell::default(),
             active: Cell::new(0),
             ended: Notify::new(),
@@ -129,12 +129,12 @@
     }
 
     /// Figures of operations and claims.
-    pub fn figures(&self, line: &mut MetricSink) {
+    pub fn write_metrics(&self, line: &mut MetricSink) {
         line("operations.known", self.memory.borrow().len() as u64);
         line("operations.answer_bytes", self.memory.borrow().bytes() as u64);
         line("operations.active", self.active.get() as u64);
         line("operations.claims_waiting", self.claims.borrow().waiting() as u64);
-        self.figures.each(line);
+        self.write_metrics.each(line);
     }
 
     /// Does what time alone asks of the claims, for good.
--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -1,9 +1,9 @@
 //! The course of one keyed request: its key is claimed, its request is sent to a server, and the answer is kept. Where
 //! another claim holds the key, what that one came to is found out instead.
 
-use super::stored_answer::StoredAnswer;
 use super::claim::{Claim, Holder};
 use super::counters::up;
+use super::stored_answer::StoredAnswer;
 use super::Operations;
 use crate::server_protocol::ServerProtocol;
 use lupinledge_messaging::Node;
@@ -121,7 +121,11 @@
 impl Operations {
     /// Sees a request to its end. `send` hands it to the servers' pool once it may run; none: there is nothing to send
     /// it to any more. Not to be dropped before its end, or its key stays taken.
-    pub async fn perform(&self, request: Request, send: impl FnOnce() -> Option<Ticket<ServerProtocol>>) -> Ended {
+    pub async fn perform(
+        &self,
+        request: Request,
+        send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
+    ) -> Ended {
         let _active = Active::new(self);
         loop {
             let ended = self.ended.notified();
@@ -151,19 +155,23 @@
             State::Lost => Known::Ended(Ended::Lost),
             State::AnswerDropped => Known::Nothing,
             State::Answered(answer) => {
-                up(&self.figures.repeated);
+                up(&self.write_metrics.repeated);
                 Known::Ended(Ended::Repeated(answer.clone()))
             }
         }
     }
 
-    async fn claim_and_send(&self, request: &Request, send: impl FnOnce() -> Option<Ticket<ServerProtocol>>) -> Ended {
+    async fn claim_and_send(
+        &self,
+        request: &Request,
+        send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
+    ) -> Ended {
         loop {
             let Some(claim) = self.begin(request) else { return Ended::NotSent };
             let settled = self.settle(request, &claim).await;
             self.pending.borrow_mut().remove(&claim.id);
             if matches!(settled, Settled::Granted) {
-                up(&self.figures.granted);
+                up(&self.write_metrics.granted);
                 return self.run(request, claim.id, send).await;
             }
             self.release(claim.id);
@@ -178,7 +186,7 @@
             match settled {
                 Settled::Granted | Settled::ClaimAgain => {}
                 Settled::Answered(answer) => {
-                    up(&self.figures.repeated);
+                    up(&self.write_metrics.repeated);
                     return Ended::Repeated(answer);
                 }
                 Settled::AtWork => return Ended::AtWork,
@@ -188,7 +196,7 @@
                     return Ended::Lost;
                 }
                 Settled::Unavailable => {
-                    up(&self.figures.unavailable);
+                    up(&self.write_metrics.unavailable);
                     return Ended::Unavailable;
                 }
             }
@@ -234,7 +242,7 @@
         if claim.is_granted() {
             return Settled::Granted;
         }
-        up(&self.figures.held);
+        up(&self.write_metrics.held);
         let at_work = Cell::new(false);
         tokio::select! {
             biased;
@@ -385,11 +393,11 @@
     }
 
     fn note_loss(&self, key: Key, why: &'static str) {
-        up(&self.figures.lost);
+        up(&self.write_metrics.lost);
         let second = self.gossip.now() as u64;
-        if let Some(untold) = self.losses.borrow_mut().turn(second) {
+        if let Some(suppressed) = self.losses.borrow_mut().admit(second) {
             let key = format!("{:016x}{:016x}", key.0, key.1);
-            tracing::warn!(event = "operation_lost", %key, why, untold);
+            tracing::warn!(event = "operation_lost", %key, why, untold = suppressed);
         }
     }
 }
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -1,9 +1,11 @@
-//! One pool a service: its own decisions, servers and connections; the counters are common to all. What is wanted
-//! (tables, list of servers, number of gateways) is told here, and the pools are brought to it.
+//! One pool per service, with its own decisions, servers and connections; the counters are shared. New
+//! tables, server lists and gateway counts are set here, and every pool is updated to match.
 
 use crate::counter_client::CounterClient;
-use crate::terms::{frontends_and_plans, find_deviation, terms, FrontendsAndPlans, StableIndexes, NodeContext};
 use crate::server_protocol::ServerProtocol;
+use crate::terms::{
+    find_deviation, frontends_and_plans, terms, FrontendsAndPlans, NodeContext, StableIndexes,
+};
 use lupinledge::interface::{ListKind, ServerEntry, ServerState};
 use lupinledge::state::Basis;
 use lupinledge::time::{Span, Timestamp};
@@ -22,17 +24,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A warm-up that ends so much later than was known has begun anew; less is the list's own unsharpness.
-const COLD_AGAIN: f64 = 0.5;
+/// A server whose warm-up ends this many seconds later than known has restarted its warm-up; smaller
+/// differences are inaccuracies of the list.
+const WARMUP_TOLERANCE: f64 = 0.5;
 
-/// A server that turned cold shortly before its zone was taken back is warm so long after its warm-up at the latest.
-const UNSURE: f64 = 0.5;
+/// A server that turned cold shortly before its zone was restored is warm at the latest this many seconds
+/// after a whole warm-up.
+const WARMUP_MARGIN: f64 = 0.5;
 
-/// Bytes of answers that may be held at once, of the process's memory.
-const ANSWERS: f64 = 0.3;
+/// Share of the process's memory that may hold servers' answers.
+const ANSWER_MEMORY_SHARE: f64 = 0.3;
 
+/// The pool of one service; dropping it stops its task.
 struct Pool {
     exchange: Rc<Exchange<ServerProtocol>>,
+    /// The task that runs the exchange.
     drive: tokio::task::AbortHandle,
 }
 
@@ -42,8 +48,9 @@
     }
 }
 
+/// The inputs in force and the pools that follow them.
 #[derive(Default)]
-struct Wanted {
+struct PoolSet {
     tables: Rc<Tables>,
     list: ServerList,
     gateways: usize,
@@ -51,29 +58,29 @@
     tenants: StableIndexes,
     frontends_and_plans: FrontendsAndPlans,
     pools: HashMap<String, Pool>,
-    /// Pools of services that are in no configuration any more, until their requests are over.
+    /// Pools of services that are no longer configured, kept until their requests are over.
     retired: Vec<Pool>,
-    /// When the warm-up of a server began, of those that were met cold.
+    /// Start of each server's warm-up, for servers that a list has reported as cold.
     warmup_started: HashMap<String, Timestamp>,
-    /// Zones taken back, the list that was known then, and until when their servers may be cold without a list
-    /// having told so.
+    /// Zones that are no longer evacuated, with the number of the list that was known then, and the time
+    /// until which their servers may be cold without a list having reported it.
     unconfirmed_zones: HashMap<String, ((u64, u64), Timestamp)>,
 }
 
-/// See the module.
+/// All pools of this process.
 pub struct Pools {
     settings: RefCell<Rc<Settings>>,
-    world: NodeContext,
+    node: NodeContext,
     pub clock: Clock,
     pub counters: Rc<Counters>,
-    ledger: Rc<CounterClient>,
-    places: Rc<Share>,
-    /// For the answers of servers, over all pools.
-    answers: Arc<Memory>,
-    wanted: RefCell<Wanted>,
-    /// Nothing is sent; clients that come are to come back after so many seconds.
+    counter_client: Rc<CounterClient>,
+    descriptors: Rc<Share>,
+    /// Memory budget for servers' answers, shared by all pools.
+    answer_memory: Arc<Memory>,
+    pool_set: RefCell<PoolSet>,
+    /// If set, nothing is sent, and clients are told to retry after this many seconds.
     suspension: Cell<Option<f64>>,
-    /// How often it was shut.
+    /// How often sending was suspended.
     suspension_count: Cell<u64>,
 }
 
@@ -81,23 +88,24 @@
     pub fn new(
         settings: Rc<Settings>,
         clock: Clock,
-        ledger: Rc<CounterClient>,
-        places: Rc<Share>,
+        counter_client: Rc<CounterClient>,
+        descriptors: Rc<Share>,
         seed: u64,
     ) -> Rc<Pools> {
-        let world = NodeContext::new(&settings, seed);
-        let answers = Memory::of((settings.limits.memory_mb * 1e6 * ANSWERS) as usize);
-        let (counters, wanted) = (Rc::default(), RefCell::new(Wanted { gateways: 1, ..Wanted::default() }));
+        let node = NodeContext::new(&settings, seed);
+        let answer_memory = Memory::of((settings.limits.memory_mb * 1e6 * ANSWER_MEMORY_SHARE) as usize);
+        let (counters, pool_set) =
+            (Rc::default(), RefCell::new(PoolSet { gateways: 1, ..PoolSet::default() }));
         let settings = RefCell::new(settings);
         Rc::new(Pools {
             settings,
-            world,
+            node,
             clock,
             counters,
-            ledger,
-            places,
-            answers,
-            wanted,
+            counter_client,
+            descriptors,
+            answer_memory,
+            pool_set,
             suspension: Cell::default(),
             suspension_count: Cell::default(),
         })
@@ -105,89 +113,93 @@
 
     /// The tables in force.
     pub fn tables(&self) -> Rc<Tables> {
-        self.wanted.borrow().tables.clone()
+        self.pool_set.borrow().tables.clone()
     }
 
-    /// What has not come yet of what requests are sent by; none once every service has its servers told.
+    /// The input that is still missing before requests can be sent; `None` once there are a configuration and
+    /// a server list.
     pub fn missing_input(&self) -> Option<&'static str> {
-        let wanted = self.wanted.borrow();
-        if wanted.pools.is_empty() {
+        let pool_set = self.pool_set.borrow();
+        if pool_set.pools.is_empty() {
             return Some("configuration");
         }
-        (wanted.list.number == (0, 0)).then_some("servers")
+        (pool_set.list.number == (0, 0)).then_some("servers")
     }
 
-    /// The pool of a service, and the places of a route and a tenant in its terms.
+    /// The pool of a service, and the indexes of a route and a tenant in its terms.
     pub fn pool(
         &self,
         service: &str,
         route: &Route,
         tenant: Option<&Tenant>,
     ) -> Option<(Rc<Exchange<ServerProtocol>>, usize, usize)> {
-        let w = self.wanted.borrow();
-        let plan = tenant.map_or(Some(0), |t| w.tenants.of(&t.name).map(|i| i + 1))?;
-        Some((w.pools.get(service)?.exchange.clone(), w.routes.of(&route.key)?, plan))
+        let pool_set = self.pool_set.borrow();
+        let plan = tenant.map_or(Some(0), |t| pool_set.tenants.index_of(&t.name).map(|i| i + 1))?;
+        Some((pool_set.pools.get(service)?.exchange.clone(), pool_set.routes.index_of(&route.key)?, plan))
     }
 
-    /// The zones whose servers may have the request, a bit each; all where it has no homes. Evacuations are the
-    /// list's.
+    /// The zones whose servers may get the request, one bit each; all if neither route nor tenant has home
+    /// regions. Evacuated zones are handled with the server list.
     pub fn zones(&self, tables: &Tables, route: &Route, tenant: Option<&Tenant>) -> u64 {
         if route.homes.is_empty() && tenant.is_none_or(|t| t.homes.is_empty()) {
             return u64::MAX;
         }
         let may = |z: &String| tables.at_home(route, tenant, z);
-        let zones = self.world.zones.iter().take(63).enumerate();
+        let zones = self.node.zones.iter().take(63).enumerate();
         zones.filter(|(_, z)| may(z)).fold(0, |bits, (i, _)| bits | 1 << i)
     }
 
-    /// Through how many pools a tenant's requests may come, over all gateways: each decides by itself while the
-    /// counters are out of reach, and their parts have to add up to one.
+    /// The number of pools, over all gateways, that a tenant's requests may arrive through. While the
+    /// counters are unreachable each pool decides by itself, and the shares of all pools must add up to one.
     pub fn spread(&self) -> f64 {
-        let w = self.wanted.borrow();
-        (w.gateways * w.pools.len()).max(1) as f64
+        let pool_set = self.pool_set.borrow();
+        (pool_set.gateways * pool_set.pools.len()).max(1) as f64
     }
 
-    /// Whether the rules are in doubt, and how often they were: nothing is sent then, what was not sent yet is
-    /// turned away with the hint, and what was sent goes on.
+    /// Whether sending is suspended because the rules are in doubt, and how often it was. While suspended,
+    /// nothing is sent: requests that have not been sent are refused with the hint, and those that were sent
+    /// continue.
     pub fn suspension(&self) -> (Option<f64>, u64) {
         (self.suspension.get(), self.suspension_count.get())
     }
 
-    /// See [`Pools::shut`]; to be called again as long as it lasts, for what comes back unsent.
+    /// Suspends or resumes sending, see [`Pools::suspension`]. To be called repeatedly during a suspension,
+    /// as requests may come back unsent.
     pub fn set_suspension(&self, hint: Option<f64>) {
         let before = self.suspension.replace(hint);
         if before.is_some() != hint.is_some() {
             self.suspension_count.set(self.suspension_count.get() + hint.is_some() as u64);
             self.distribute_servers();
         }
-        let w = self.wanted.borrow();
-        let open = w.pools.values().chain(&w.retired).filter(|_| hint.is_some());
-        open.for_each(|p| p.exchange.turn_away(Span::from_secs(hint.unwrap_or_default())));
+        let pool_set = self.pool_set.borrow();
+        let affected = pool_set.pools.values().chain(&pool_set.retired).filter(|_| hint.is_some());
+        affected.for_each(|p| p.exchange.turn_away(Span::from_secs(hint.unwrap_or_default())));
     }
 
-    /// A route or tenant whose rules in a pool are not those of the tables; one pool a call.
-    pub fn find_deviation(&self, turn: usize) -> Option<(Part, String)> {
-        let w = self.wanted.borrow();
-        let name = &w.tables.services().get(turn % w.tables.services().len().max(1))?.name;
-        let (terms, settings) = (w.pools.get(name)?.exchange.terms(), self.settings.borrow());
-        find_deviation(&terms, &settings, &w.tables, [&w.routes, &w.tenants])
+    /// Finds a route or tenant whose rules in a pool differ from the tables. Each call checks one pool.
+    pub fn find_deviation(&self, pool_number: usize) -> Option<(Part, String)> {
+        let pool_set = self.pool_set.borrow();
+        let name =
+            &pool_set.tables.services().get(pool_number % pool_set.tables.services().len().max(1))?.name;
+        let (terms, settings) = (pool_set.pools.get(name)?.exchange.terms(), self.settings.borrow());
+        find_deviation(&terms, &settings, &pool_set.tables, [&pool_set.routes, &pool_set.tenants])
     }
 
-    /// A fault of tests, see [`Tables::drift`].
+    /// Injects a fault in tests, see [`Tables::drift`].
     pub fn drift(&self, how: &str) {
-        Rc::make_mut(&mut self.wanted.borrow_mut().tables).drift(how);
+        Rc::make_mut(&mut self.pool_set.borrow_mut().tables).drift(how);
     }
 
-    /// Figures of requests, servers and rules.
-    pub fn figures(&self, line: &mut MetricSink) {
-        let w = self.wanted.borrow();
-        line("configuration.version", w.tables.version());
-        line("servers.list_epoch", w.list.number.0);
-        line("servers.list_number", w.list.number.1);
-        line("servers.listed", w.list.rows.len() as u64);
+    /// Writes the metrics of requests, servers and rules.
+    pub fn write_metrics(&self, line: &mut MetricSink) {
+        let pool_set = self.pool_set.borrow();
+        line("configuration.version", pool_set.tables.version());
+        line("servers.list_epoch", pool_set.list.number.0);
+        line("servers.list_number", pool_set.list.number.1);
+        line("servers.listed", pool_set.list.rows.len() as u64);
         line("rules.in_doubt", u64::from(self.suspension.get().is_some()));
         line("rules.doubted", self.suspension_count.get());
-        drop(w);
+        drop(pool_set);
         line("requests.unanswered", self.unanswered() as u64);
         for (name, admitted) in Basis::NAMES.iter().zip(self.admissions()) {
             line(&format!("admitted.{name}"), admitted);
@@ -195,112 +207,126 @@
         self.counters.each(line);
     }
 
-    /// Requests that were sent, by what their admission rested on. Pools whose service is gone for good are left out.
+    /// The number of requests that were sent, by the basis of their admission. Pools of services that were
+    /// removed for good are left out.
     fn admissions(&self) -> [u64; Basis::ALL] {
-        let w = self.wanted.borrow();
+        let pool_set = self.pool_set.borrow();
         let mut all = [0; Basis::ALL];
-        for pool in w.pools.values().chain(&w.retired) {
+        for pool in pool_set.pools.values().chain(&pool_set.retired) {
             all.iter_mut().zip(pool.exchange.admissions()).for_each(|(sum, of_pool)| *sum += of_pool);
         }
         all
     }
 
-    /// Requests without an answer.
+    /// The number of requests without an answer.
     pub fn unanswered(&self) -> usize {
-        let w = self.wanted.borrow();
-        w.pools.values().chain(&w.retired).map(|p| p.exchange.unanswered()).sum()
+        let pool_set = self.pool_set.borrow();
+        pool_set.pools.values().chain(&pool_set.retired).map(|p| p.exchange.unanswered()).sum()
     }
 
-    /// Other tables are in force from here on.
+    /// Puts other tables into force.
     pub fn set_tables(&self, tables: Rc<Tables>) {
         {
-            let w = &mut *self.wanted.borrow_mut();
-            let back = |z: &&String| w.tables.evacuated(z) && !tables.evacuated(z);
-            let back: Vec<String> = self.world.zones.iter().filter(back).cloned().collect();
-            let longest = tables.services().iter().map(|s| s.warmup_s).fold(0.0, f64::max);
-            let until = self.clock.now().later(longest + UNSURE);
-            w.unconfirmed_zones.extend(back.into_iter().map(|z| (z, (w.list.number, until))));
-            w.tables = tables;
-            w.frontends_and_plans = frontends_and_plans(&w.tables, &mut w.routes, &mut w.tenants);
-            let named: HashSet<&str> = w.tables.services().iter().map(|s| s.name.as_str()).collect();
-            let gone: Vec<String> = w.pools.keys().filter(|n| !named.contains(n.as_str())).cloned().collect();
-            w.retired.extend(gone.iter().filter_map(|n| w.pools.remove(n)));
-            w.retired.retain(|p| p.exchange.unanswered() > 0);
+            let pool_set = &mut *self.pool_set.borrow_mut();
+            let restored = |z: &&String| pool_set.tables.evacuated(z) && !tables.evacuated(z);
+            let restored: Vec<String> = self.node.zones.iter().filter(restored).cloned().collect();
+            let longest_warmup = tables.services().iter().map(|s| s.warmup_s).fold(0.0, f64::max);
+            let until = self.clock.now().later(longest_warmup + WARMUP_MARGIN);
+            pool_set
+                .unconfirmed_zones
+                .extend(restored.into_iter().map(|z| (z, (pool_set.list.number, until))));
+            pool_set.tables = tables;
+            pool_set.frontends_and_plans =
+                frontends_and_plans(&pool_set.tables, &mut pool_set.routes, &mut pool_set.tenants);
+            let configured: HashSet<&str> =
+                pool_set.tables.services().iter().map(|s| s.name.as_str()).collect();
+            let removed: Vec<String> =
+                pool_set.pools.keys().filter(|n| !configured.contains(n.as_str())).cloned().collect();
+            pool_set.retired.extend(removed.iter().filter_map(|n| pool_set.pools.remove(n)));
+            pool_set.retired.retain(|p| p.exchange.unanswered() > 0);
         }
         self.apply_terms();
         self.distribute_servers();
     }
 
-    /// Goes by the bounds of other settings from here on.
+    /// Applies the bounds of other settings.
     pub fn apply_settings(&self, settings: Rc<Settings>) {
         *self.settings.borrow_mut() = settings;
         self.apply_terms();
     }
 
-    /// For how long an operation key runs once, seconds.
+    /// Seconds for which an operation key runs at most once.
     pub fn key_window(&self) -> f64 {
         self.settings.borrow().bounds.key_window_s
     }
 
-    /// Another number of gateways, if it differs.
+    /// Sets the number of gateways.
     pub fn set_gateway_count(&self, gateways: usize) {
-        if std::mem::replace(&mut self.wanted.borrow_mut().gateways, gateways) != gateways {
+        if std::mem::replace(&mut self.pool_set.borrow_mut().gateways, gateways) != gateways {
             self.apply_terms();
         }
     }
 
-    /// Opens zones whose servers are warm by now even if no list changed: one that changes nothing is not told.
+    /// Opens zones whose servers must be warm by now. A list without changes is not sent, so this can't wait
+    /// for one.
     pub fn expire_unconfirmed_zones(&self) {
         let now = self.clock.now();
-        let before = self.wanted.borrow().unconfirmed_zones.len();
-        self.wanted.borrow_mut().unconfirmed_zones.retain(|_, (_, until)| now < *until);
-        if self.wanted.borrow().unconfirmed_zones.len() < before {
+        let before = self.pool_set.borrow().unconfirmed_zones.len();
+        self.pool_set.borrow_mut().unconfirmed_zones.retain(|_, (_, until)| now < *until);
+        if self.pool_set.borrow().unconfirmed_zones.len() < before {
             self.distribute_servers();
         }
     }
 
-    /// A newer list of servers.
-    pub fn list(&self, list: ServerList) {
+    /// Sets a newer list of servers.
+    pub fn set_server_list(&self, list: ServerList) {
         {
-            let w = &mut *self.wanted.borrow_mut();
-            w.unconfirmed_zones.retain(|_, (known, _)| list.number <= *known);
-            let there: HashSet<&str> = list.rows.iter().map(|r| r.id.as_str()).collect();
-            w.warmup_started.retain(|id, _| there.contains(id.as_str()));
+            let pool_set = &mut *self.pool_set.borrow_mut();
+            pool_set.unconfirmed_zones.retain(|_, (known, _)| list.number <= *known);
+            let listed_ids: HashSet<&str> = list.rows.iter().map(|r| r.id.as_str()).collect();
+            pool_set.warmup_started.retain(|id, _| listed_ids.contains(id.as_str()));
             for r in &list.rows {
-                self.warm(w, r);
+                self.record_warmup(pool_set, r);
             }
-            w.list = list;
+            pool_set.list = list;
         }
         self.distribute_servers();
     }
 
-    /// Notes when a server's warm-up began, so that the decisions see it warm as it ends.
-    fn warm(&self, w: &mut Wanted, r: &ListedServer) {
-        let service = w.tables.services().iter().find(|s| s.name == r.service);
-        let whole = service.map_or(f64::from(r.warmup_left_s), |s| s.warmup_s);
-        if r.warmup_left_s <= 0.0 {
+    /// Records when a server's warm-up began, so that the decisions consider it warm once it has ended.
+    fn record_warmup(&self, pool_set: &mut PoolSet, server: &ListedServer) {
+        let service = pool_set.tables.services().iter().find(|s| s.name == server.service);
+        let warmup = service.map_or(f64::from(server.warmup_left_s), |s| s.warmup_s);
+        if server.warmup_left_s <= 0.0 {
             return;
         }
         let now = self.clock.now();
-        let ends = now.secs() + f64::from(r.warmup_left_s);
-        let known = w.warmup_started.get(&r.id).map(|b| b.secs() + whole);
-        if known.is_none_or(|k| ends > k + COLD_AGAIN) {
-            w.warmup_started.insert(r.id.clone(), Timestamp::from_secs(ends - whole));
+        let warmup_end = now.secs() + f64::from(server.warmup_left_s);
+        let known_end = pool_set.warmup_started.get(&server.id).map(|b| b.secs() + warmup);
+        if known_end.is_none_or(|k| warmup_end > k + WARMUP_TOLERANCE) {
+            pool_set.warmup_started.insert(server.id.clone(), Timestamp::from_secs(warmup_end - warmup));
         }
     }
 
-    /// Brings every pool to the terms wanted; opens those that are new.
+    /// Updates the terms of every pool and opens pools for new services.
     fn apply_terms(&self) {
-        let w = &mut *self.wanted.borrow_mut();
-        for (nth, s) in w.tables.services().iter().enumerate() {
-            let terms = terms(&self.settings.borrow(), &self.world, (nth, s), w.gateways, &w.frontends_and_plans);
-            match w.pools.get(&s.name) {
+        let pool_set = &mut *self.pool_set.borrow_mut();
+        for (nth, s) in pool_set.tables.services().iter().enumerate() {
+            let terms = terms(
+                &self.settings.borrow(),
+                &self.node,
+                (nth, s),
+                pool_set.gateways,
+                &pool_set.frontends_and_plans,
+            );
+            match pool_set.pools.get(&s.name) {
                 Some(p) => p.exchange.change(terms),
-                None => drop(w.pools.insert(s.name.clone(), self.open(terms))),
+                None => drop(pool_set.pools.insert(s.name.clone(), self.open(terms))),
             }
         }
     }
 
+    /// Opens a pool and starts its task.
     fn open(&self, terms: lupinledge::interface::Terms) -> Pool {
         let exchange: Rc<Exchange<ServerProtocol>> = Exchange::new(terms, self.clock, self.counters.clone());
         let bounds = SrvBounds {
@@ -313,32 +339,40 @@
             largest_heads: 32 << 10,
             unacked: Some(Duration::from_millis(1500)),
         };
-        let srvs = Srvs::new(&exchange, ServerProtocol, bounds, self.places.clone());
-        srvs.bound_memory(self.answers.clone());
-        exchange.attach(srvs, Some(self.ledger.account(Rc::downgrade(&exchange))));
+        let srvs = Srvs::new(&exchange, ServerProtocol, bounds, self.descriptors.clone());
+        srvs.bound_memory(self.answer_memory.clone());
+        exchange.attach(srvs, Some(self.counter_client.counter_for_pool(Rc::downgrade(&exchange))));
         let drive = tokio::task::spawn_local(exchange.clone().drive()).abort_handle();
         Pool { exchange, drive }
     }
 
-    /// Deals the servers of the list out to the pools. Those of evacuated zones take nothing new; so do those of a
-    /// zone that was just taken back, until a list tells how cold they are.
+    /// Gives each pool its servers of the list. Servers in evacuated zones get no new requests, nor do those
+    /// in a zone that was just restored until a list reports how warm they are.
     fn distribute_servers(&self) {
-        let w = &*self.wanted.borrow();
-        for (service, pool) in &w.pools {
-            let entry = |r: &ListedServer| {
-                let zone = self.world.index(&r.zone)?;
-                let suspension = self.suspension.get().is_some()
-                    || r.draining
-                    || w.tables.evacuated(&r.zone)
-                    || w.unconfirmed_zones.contains_key(&r.zone);
-                let state = if suspension { ServerState::Draining } else { ServerState::Ready };
-                // one met warm has been so for ever
-                let started_at = Some(w.warmup_started.get(&r.id).copied().unwrap_or(Timestamp::from_secs(0.0)));
-                let row =
-                    ServerEntry { server: 0, zone, cell: 0, state, weight: f64::from(r.slots), started_at };
-                Some(Entry { name: r.id.clone(), addr: r.address, row })
+        let pool_set = &*self.pool_set.borrow();
+        for (service, pool) in &pool_set.pools {
+            let entry = |server: &ListedServer| {
+                let zone = self.node.index(&server.zone)?;
+                let takes_no_requests = self.suspension.get().is_some()
+                    || server.draining
+                    || pool_set.tables.evacuated(&server.zone)
+                    || pool_set.unconfirmed_zones.contains_key(&server.zone);
+                let state = if takes_no_requests { ServerState::Draining } else { ServerState::Ready };
+                // a server that was never reported cold counts as warm since time 0
+                let started_at = Some(
+                    pool_set.warmup_started.get(&server.id).copied().unwrap_or(Timestamp::from_secs(0.0)),
+                );
+                let row = ServerEntry {
+                    server: 0,
+                    zone,
+                    cell: 0,
+                    state,
+                    weight: f64::from(server.slots),
+                    started_at,
+                };
+                Some(Entry { name: server.id.clone(), addr: server.address, row })
             };
-            let rows = w.list.rows.iter().filter(|r| r.service == *service);
+            let rows = pool_set.list.rows.iter().filter(|server| server.service == *service);
             pool.exchange.list(ListKind::Full, rows.filter_map(entry).collect());
         }
     }
--- a/data-plane/src/readiness.rs
+++ b/data-plane/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's question whether this gateway is ready, and its figures for those who look into an incident.
+//! Answers the platform's readiness checks and serves the metrics page.
 
 use crate::metrics::Metrics;
 use hyper::body::Incoming;
@@ -12,16 +12,17 @@
 const READINESS: &str = "/lupinledge/readiness";
 const METRICS: &str = "/lupinledge/metrics";
 
-/// Answers by a flag that others keep, and by the figures of the process.
+/// Serves readiness and metrics.
 pub struct ReadinessHandler {
-    pub flag: Rc<Cell<bool>>,
+    /// Whether the process is ready; set by the rest of the program.
+    pub is_ready: Rc<Cell<bool>>,
     pub metrics: Rc<Metrics>,
 }
 
 impl Answering for ReadinessHandler {
-    async fn answer(&self, req: Request<Incoming>, _: &Heads, _: Instant) -> Reply {
-        match req.uri().path() {
-            READINESS if self.flag.get() => bare(StatusCode::OK),
+    async fn answer(&self, request: Request<Incoming>, _: &Heads, _: Instant) -> Reply {
+        match request.uri().path() {
+            READINESS if self.is_ready.get() => bare(StatusCode::OK),
             READINESS => bare(StatusCode::SERVICE_UNAVAILABLE),
             METRICS => say(StatusCode::OK, self.metrics.text()),
             _ => bare(StatusCode::NOT_FOUND),
--- a/data-plane/src/server_protocol.rs
+++ b/data-plane/src/server_protocol.rs
@@ -1,4 +1,5 @@
-//! What the system speaks to servers: what goes on from a client's request, and how an answer is read.
+//! The protocol between gateways and servers: which parts of a client's request are forwarded, and how a
+//! server's answer is interpreted.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -14,14 +15,14 @@
 pub const ATTEMPT: HeaderName = HeaderName::from_static("lupinledge-attempt-id");
 pub const OPERATION_KEY: HeaderName = HeaderName::from_static("lupinledge-operation-key");
 pub const DEADLINE: HeaderName = HeaderName::from_static("lupinledge-deadline-ms");
-const EXPECTED: HeaderName = HeaderName::from_static("lupinledge-expect-instance");
+const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("lupinledge-expect-instance");
 const TENANT: HeaderName = HeaderName::from_static("lupinledge-tenant");
-const STAMP: HeaderName = HeaderName::from_static("lupinledge-server-stamp");
-const NOT_RUN: HeaderName = HeaderName::from_static("lupinledge-not-executed");
-const LOAD: HeaderName = HeaderName::from_static("lupinledge-server-load");
+const SERVER_STAMP: HeaderName = HeaderName::from_static("lupinledge-server-stamp");
+const NOT_EXECUTED: HeaderName = HeaderName::from_static("lupinledge-not-executed");
+const SERVER_LOAD: HeaderName = HeaderName::from_static("lupinledge-server-load");
 
-/// Headers that concern one connection only.
-const OF_CONNECTION: [HeaderName; 10] = [
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP: [HeaderName; 10] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -34,15 +35,15 @@
     HeaderName::from_static("proxy-authorization"),
 ];
 
-/// What a client takes for a promise that its request has not run.
-const PROMISES: [StatusCode; 3] =
+/// Statuses that a client takes as a promise that its request has not run.
+const NOT_EXECUTED_STATUSES: [StatusCode; 3] =
     [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE];
 
-/// Headers that only the system itself sets towards a server.
-const OWN: [HeaderName; 4] = [AUTHORIZATION, DEADLINE, EXPECTED, TENANT];
+/// Headers that only the gateway sets on requests to servers; a client's values are removed.
+const GATEWAY_ONLY: [HeaderName; 4] = [AUTHORIZATION, DEADLINE, EXPECTED_INSTANCE, TENANT];
 
-/// Takes out what concerns one connection, and what `Connection` names as such.
-fn strip(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers and those that `Connection` names.
+fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -51,10 +52,10 @@
         .filter_map(|n| HeaderName::from_bytes(n.trim().as_bytes()).ok())
         .filter(|n| *n != ATTEMPT)
         .collect();
-    OF_CONNECTION.iter().chain(&named).for_each(|n| drop(headers.remove(n)));
+    HOP_BY_HOP.iter().chain(&named).for_each(|n| drop(headers.remove(n)));
 }
 
-/// What goes on to a server, as the client sent it but for the headers that are the system's own.
+/// A client's request as it is forwarded to a server, without the headers that only the gateway sets.
 pub struct ForwardedRequest {
     method: Method,
     uri: Uri,
@@ -63,7 +64,7 @@
 }
 
 impl ForwardedRequest {
-    /// `tenant`: the name of the key's tenant, if the configuration has tenants.
+    /// `tenant` is the name of the tenant that the API key belongs to, if the configuration has tenants.
     pub fn new(
         method: Method,
         uri: Uri,
@@ -71,8 +72,8 @@
         tenant: Option<HeaderValue>,
         body: Bytes,
     ) -> ForwardedRequest {
-        strip(&mut headers);
-        OWN.iter().for_each(|n| drop(headers.remove(n)));
+        remove_hop_by_hop(&mut headers);
+        GATEWAY_ONLY.iter().for_each(|n| drop(headers.remove(n)));
         tenant.into_iter().for_each(|t| drop(headers.insert(TENANT, t)));
         ForwardedRequest { method, uri, headers, body }
     }
@@ -86,7 +87,7 @@
     pub body: Bytes,
 }
 
-/// The wire between the system and its servers.
+/// The protocol between gateways and servers.
 pub struct ServerProtocol;
 
 impl Wire for ServerProtocol {
@@ -95,59 +96,71 @@
 }
 
 impl ServerWire for ServerProtocol {
-    fn message(&self, d: &Dispatch<ServerProtocol>, left: Span) -> Request<Full<Bytes>> {
-        let c = &d.carried;
-        let mut req = Request::new(Full::new(c.body.clone()));
-        *req.method_mut() = c.method.clone();
-        *req.uri_mut() = c.uri.clone();
-        let h = req.headers_mut();
-        *h = c.headers.clone();
-        h.insert(DEADLINE, HeaderValue::from((left.secs() * 1e3).max(1.0) as u64));
-        HeaderValue::from_str(&d.name).into_iter().for_each(|id| drop(h.insert(EXPECTED, id)));
-        if !c.body.is_empty() || !matches!(c.method, Method::GET | Method::HEAD | Method::DELETE) {
-            h.insert(CONTENT_LENGTH, HeaderValue::from(c.body.len()));
+    fn message(&self, dispatch: &Dispatch<ServerProtocol>, time_left: Span) -> Request<Full<Bytes>> {
+        let forwarded = &dispatch.carried;
+        let mut server_request = Request::new(Full::new(forwarded.body.clone()));
+        *server_request.method_mut() = forwarded.method.clone();
+        *server_request.uri_mut() = forwarded.uri.clone();
+        let headers = server_request.headers_mut();
+        *headers = forwarded.headers.clone();
+        headers.insert(DEADLINE, HeaderValue::from((time_left.secs() * 1e3).max(1.0) as u64));
+        HeaderValue::from_str(&dispatch.name)
+            .into_iter()
+            .for_each(|id| drop(headers.insert(EXPECTED_INSTANCE, id)));
+        if !forwarded.body.is_empty()
+            || !matches!(forwarded.method, Method::GET | Method::HEAD | Method::DELETE)
+        {
+            headers.insert(CONTENT_LENGTH, HeaderValue::from(forwarded.body.len()));
         }
-        req
+        server_request
     }
 
-    /// An answer that does not bear the request's id, and no other, belongs to another one; a success without the
-    /// stamp, with a coding or that says it has not run is none of the server's; a word of another protocol is no
-    /// answer: the request may have run, and the connection is not used again.
-    fn read(&self, d: &Dispatch<ServerProtocol>, answer: Response<Bytes>) -> (Back<ServerProtocol>, bool) {
+    /// Classifies a server's answer; the flag tells whether the connection may be used again. An answer
+    /// without exactly the request's attempt id belongs to another request. A success without the server's
+    /// stamp, with a content coding or with the not-executed header does not come from the server itself. An
+    /// informational status belongs to a protocol that is not spoken here. In all these cases the request may
+    /// have run, and the connection is closed.
+    fn read(
+        &self,
+        dispatch: &Dispatch<ServerProtocol>,
+        answer: Response<Bytes>,
+    ) -> (Back<ServerProtocol>, bool) {
         let (mut head, body) = answer.into_parts();
-        let h = &mut head.headers;
-        let mut ids = h.get_all(ATTEMPT).iter();
-        let own = ids.next().is_some_and(|id| d.carried.headers.get(ATTEMPT) == Some(id));
-        if !own || ids.next().is_some() || head.status.is_informational() {
+        let headers = &mut head.headers;
+        let mut ids = headers.get_all(ATTEMPT).iter();
+        let id_matches = ids.next().is_some_and(|id| dispatch.carried.headers.get(ATTEMPT) == Some(id));
+        if !id_matches || ids.next().is_some() || head.status.is_informational() {
             return (Back::bare(Outcome::Reset), false);
         }
-        let load = h.remove(LOAD).as_ref().and_then(load).unwrap_or_default();
+        let load = headers.remove(SERVER_LOAD).as_ref().and_then(parse_load).unwrap_or_default();
         let (how, made) = match head.status {
             StatusCode::MISDIRECTED_REQUEST => (Outcome::NoConnection, false),
-            s if s.is_success() && !(h.contains_key(STAMP) && plain(h)) => {
+            s if s.is_success()
+                && !(headers.contains_key(SERVER_STAMP) && has_no_foreign_headers(headers)) =>
+            {
                 return (Back::bare(Outcome::Reset), false);
             }
-            _ if h.contains_key(NOT_RUN) => (Outcome::Full, false),
-            // it may have run, and the client would take them for the system's promise that it has not
-            s if PROMISES.contains(&s) => (Outcome::Error, false),
+            _ if headers.contains_key(NOT_EXECUTED) => (Outcome::Full, false),
+            // the request may have run, but the client would take this status as a promise that it has not
+            s if NOT_EXECUTED_STATUSES.contains(&s) => (Outcome::Error, false),
             s if s.is_server_error() => (Outcome::Error, true),
             _ => (Outcome::Passed, true),
         };
-        let keep = how != Outcome::NoConnection;
-        strip(h);
+        let reusable = how != Outcome::NoConnection;
+        remove_hop_by_hop(headers);
         let made = made.then_some(ServerAnswer { status: head.status, headers: head.headers, body });
-        (Back { how, made, billed: 0.0, load }, keep)
+        (Back { how, made, billed: 0.0, load }, reusable)
     }
 }
 
-/// Whether a success says nothing that a server's own can't.
-fn plain(h: &HeaderMap) -> bool {
-    !h.contains_key(CONTENT_ENCODING) && !h.contains_key(NOT_RUN)
+/// Whether a success lacks the headers that no server sets on it.
+fn has_no_foreign_headers(headers: &HeaderMap) -> bool {
+    !headers.contains_key(CONTENT_ENCODING) && !headers.contains_key(NOT_EXECUTED)
 }
 
-/// Running, waiting, slots.
-fn load(v: &HeaderValue) -> Option<Vec<f32>> {
-    let parts = v.to_str().ok()?.split(',').map(|p| p.trim().parse::<u16>().map(f32::from));
+/// Parses the server's load: requests running, requests waiting, and slots.
+fn parse_load(value: &HeaderValue) -> Option<Vec<f32>> {
+    let parts = value.to_str().ok()?.split(',').map(|p| p.trim().parse::<u16>().map(f32::from));
     parts.collect::<Result<Vec<_>, _>>().ok().filter(|l| l.len() == 3)
 }
 
--- a/data-plane/src/server_protocol/tests.rs
+++ b/data-plane/src/server_protocol/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// What is of one connection, what the client has no business to set, and the key never go on.
+/// Hop-by-hop headers, headers that only the gateway may set, and the API key are never forwarded.
 #[test]
-fn what_goes_on() {
+fn only_end_to_end_headers_are_forwarded() {
     let mut h = HeaderMap::new();
     for (n, v) in [
         ("authorization", "Token k"),
@@ -18,7 +18,8 @@
     }
     let tenant = Some(HeaderValue::from_static("own"));
     let c = ForwardedRequest::new(Method::GET, Uri::from_static("/a/b"), h, tenant, Bytes::new());
-    let mut left: Vec<_> = c.headers.iter().map(|(n, v)| format!("{n}={}", v.to_str().unwrap())).collect();
-    left.sort();
-    assert_eq!(left, ["lupinledge-attempt-id=9c", "lupinledge-tenant=own", "x-app=kept"]);
+    let mut forwarded: Vec<_> =
+        c.headers.iter().map(|(n, v)| format!("{n}={}", v.to_str().unwrap())).collect();
+    forwarded.sort();
+    assert_eq!(forwarded, ["lupinledge-attempt-id=9c", "lupinledge-tenant=own", "x-app=kept"]);
 }
--- a/data-plane/src/start.rs
+++ b/data-plane/src/start.rs
@@ -1,8 +1,8 @@
 //! The program from its start to its end.
 
 use crate::client_handler::{ClientHandler, NotReadyHandler};
-use crate::drift_responder::DriftResponder;
 use crate::counter_client::CounterClient;
+use crate::drift_responder::DriftResponder;
 use crate::metrics::Metrics;
 use crate::node_state::NodeState;
 use crate::operations::Operations;
@@ -106,38 +106,38 @@
     };
     let gossip = Gossip::open(&told, card, true).wrap_err("`port_range`")?;
     let start_number = start_number();
-    let ledger = CounterClient::start(gossip.post().clone(), start_number);
+    let counter_client = CounterClient::start(gossip.post().clone(), start_number);
     let operations = Operations::start(gossip.clone(), &told, start_number);
-    let nest = NodeState::new(told.clone(), gossip.clone(), ledger.clone(), operations.clone());
-    let metrics = Metrics::new(nest.clone());
-    let ready_answers = Rc::new(ReadinessHandler { flag: ready.clone(), metrics: metrics.clone() });
+    let node_state = NodeState::new(told.clone(), gossip.clone(), counter_client.clone(), operations.clone());
+    let metrics = Metrics::new(node_state.clone());
+    let ready_answers = Rc::new(ReadinessHandler { is_ready: ready.clone(), metrics: metrics.clone() });
     let ready_side = Clients::start(ready_answers, counters.clone(), bounds(3.0, 15.0, 8 << 10));
     tokio::task::spawn_local(async move { accept(&ready_gate, &ready_side, &ready_places).await });
     tokio::task::spawn_local(gossip.clone().run());
-    let (follows, drifts) = (nest.clone(), path.with_extension("drift"));
+    let (follows, drifts) = (node_state.clone(), path.with_extension("drift"));
     // from the start on: other seeds may be what it takes to get ready
     tokio::task::spawn_local(settings::watch(path, hangup, move |s| {
         follows.apply_settings(s);
         Ok(())
     }));
     let gate = open("front", told.listen.front, &client_places)?;
-    let estimator = nest.clone();
+    let estimator = node_state.clone();
     let early = NotReadyHandler(move || estimator.seconds_until_ready());
     let early = Clients::start(Rc::new(early), counters, bounds(3.0, 15.0, 16 << 10));
     let began = Instant::now();
     let rising = async {
-        let clock = nest.clock(CLOCK_WAIT).await;
-        let pools = Pools::new(nest.settings(), clock, ledger, server_places, seed);
-        nest.open(pools.clone());
-        tokio::task::spawn_local(nest.clone().upkeep());
+        let clock = node_state.clock(CLOCK_WAIT).await;
+        let pools = Pools::new(node_state.settings(), clock, counter_client, server_places, seed);
+        node_state.open(pools.clone());
+        tokio::task::spawn_local(node_state.clone().upkeep());
         tracing::info!(event = "started", node = %told.ip, zone = %told.zone);
-        metrics.show(pools.clone());
+        metrics.set_pools(pools.clone());
         let mut told = None;
         while let Some(missing) = pools.missing_input() {
             if began.elapsed() >= WAITING_TOLD && told.replace(missing) != Some(missing) {
                 tracing::warn!(event = "waiting", lacks = missing);
             }
-            let _ = timeout(Duration::from_millis(100), nest.woken.notified()).await;
+            let _ = timeout(Duration::from_millis(100), node_state.woken.notified()).await;
         }
         pools
     };
@@ -160,7 +160,7 @@
     gossip.set_card(|card| card.ready = true);
     tracing::info!(event = "ready", version = pools.tables().version());
 
-    let (c, p, woken) = (clients.clone(), pools.clone(), nest.clone());
+    let (c, p, woken) = (clients.clone(), pools.clone(), node_state.clone());
     tokio::task::spawn_local(async move {
         let mut limits = None;
         loop {
@@ -172,7 +172,14 @@
         }
     });
 
-    let guard = DriftResponder::new(nest.clone(), gossip.clone(), pools.clone(), ready.clone(), clients.clone(), seed);
+    let guard = DriftResponder::new(
+        node_state.clone(),
+        gossip.clone(),
+        pools.clone(),
+        ready.clone(),
+        clients.clone(),
+        seed,
+    );
     let guard = tokio::task::spawn_local(guard.run(drifts));
     tokio::select! {
         _ = accept(&gate, &clients, &client_places) => {}
@@ -181,7 +188,7 @@
     }
     guard.abort();
     let began = Instant::now();
-    let grace = nest.settings().bounds.grace_s;
+    let grace = node_state.settings().bounds.grace_s;
     tracing::info!(event = "ending", unanswered = pools.unanswered());
     ready.set(false);
     gossip.set_card(|card| (card.ready, card.leaving) = (false, true));
--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -1,5 +1,5 @@
-//! From the operator's tables and the settings to the terms of the decisions. Frontends are routes and plans are
-//! tenants; each keeps its place for as long as it is in the configuration.
+//! Derives the terms of the decision module from the operator's tables and the settings. Routes become
+//! frontends and tenants become plans; each keeps its index for as long as it is configured.
 
 use lupinledge::interface::{DedupScope, Effect, Frontend, Plan, Terms};
 use lupinledge::time::Span;
@@ -7,71 +7,78 @@
 use lupinledge_config::{Part, Route, Service, Settings, Tables, Tenant};
 use std::collections::HashMap;
 
-/// The system's own counters keep a name for as long as is wanted: at each roll the use since the last total is
-/// forgotten, so they are rare. Its life, twice that, is told in 16 bits at the most.
-const WINDOW: f64 = 16.0 * 3600.0;
+/// Length of a counter window in seconds. The counters keep a name for as long as they are asked to, and each
+/// change of window forgets the use since the last total, so windows are long. A name lives for two windows;
+/// its life is sent in at most 16 bits.
+const COUNTER_WINDOW: f64 = 16.0 * 3600.0;
 
-/// Where the pool limit starts, for each ready server and over all gateways. A request holds its place on the links
-/// to the server and back too, which is longer than the work itself where a link is full.
-const PLACES_PER_SERVER: f64 = 8.0;
+/// Initial pool limit per ready server, over all gateways. A request also occupies its place while it travels
+/// to the server and back, which takes longer than the work itself when a link is full.
+const INITIAL_LIMIT_PER_SERVER: f64 = 8.0;
 
-/// Places by name. One that is no longer named may be given to another after two more changes.
+/// Assigns an index to each name. The index of a name that is no longer used may be assigned to another name
+/// after two further changes.
 #[derive(Debug, Default)]
 pub struct StableIndexes {
+    /// Each name's index and the generation that used it last.
     by_name: HashMap<String, (usize, u64)>,
     free: Vec<usize>,
-    turn: u64,
-    all: usize,
+    generation: u64,
+    next_index: usize,
 }
 
 impl StableIndexes {
-    /// The place of a name, if it has one.
-    pub fn of(&self, name: &str) -> Option<usize> {
+    /// The index of a name, if it has one.
+    pub fn index_of(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).map(|p| p.0)
     }
 
-    /// Gives places to all of these names; returns how many places there are.
+    /// Assigns indexes to all of these names and returns the number of indexes in existence.
     pub fn assign_indexes<'a>(&mut self, names: impl Iterator<Item = &'a str>) -> usize {
-        self.turn += 1;
+        self.generation += 1;
         for name in names {
             if let Some(p) = self.by_name.get_mut(name) {
-                p.1 = self.turn;
+                p.1 = self.generation;
                 continue;
             }
-            let place = self.free.pop().unwrap_or_else(|| {
-                self.all += 1;
-                self.all - 1
+            let index = self.free.pop().unwrap_or_else(|| {
+                self.next_index += 1;
+                self.next_index - 1
             });
-            self.by_name.insert(name.to_string(), (place, self.turn));
+            self.by_name.insert(name.to_string(), (index, self.generation));
         }
-        let (turn, free) = (self.turn, &mut self.free);
+        let (generation, free) = (self.generation, &mut self.free);
         self.by_name.retain(|_, p| {
-            let stays = p.1 + 2 > turn;
+            let stays = p.1 + 2 > generation;
             free.extend(Some(p.0).filter(|_| !stays));
             stays
         });
-        self.all
+        self.next_index
     }
 }
 
-/// What holds for all pools of this process.
+/// Facts about this node that apply to all of its pools.
 pub struct NodeContext {
-    /// Zones by index, as in the settings, and the region of each.
+    /// The zones of the settings; a zone's index is its position.
     pub zones: Vec<String>,
+    /// The region of each zone.
     pub regions: Vec<u16>,
+    /// The index of the node's own zone.
     pub zone: u16,
     pub seed: u64,
 }
 
 impl NodeContext {
-    /// From the settings; zones that they do not name are unknown to the decisions.
-    pub fn new(s: &Settings, seed: u64) -> NodeContext {
-        let zones: Vec<String> = s.zones.keys().cloned().collect();
-        let mut regions: Vec<&String> = s.zones.values().collect();
+    /// Reads the facts from the settings. Zones that the settings do not name are unknown to the decisions.
+    pub fn new(settings: &Settings, seed: u64) -> NodeContext {
+        let zones: Vec<String> = settings.zones.keys().cloned().collect();
+        let mut regions: Vec<&String> = settings.zones.values().collect();
         regions.sort();
         regions.dedup();
-        let region = |z: &String| regions.iter().position(|r| Some(*r) == s.zones.get(z)).unwrap_or(0) as u16;
-        let (regions, zone) = (zones.iter().map(region).collect(), zones.iter().position(|z| *z == s.zone));
+        let region =
+            |z: &String| regions.iter().position(|r| Some(*r) == settings.zones.get(z)).unwrap_or(0) as u16;
+        let (regions, zone) =
+            (zones.iter().map(region).collect(), zones.iter().position(|z| *z == settings.zone));
         NodeContext { regions, zone: zone.unwrap_or(0) as u16, zones, seed }
     }
 
@@ -81,39 +88,41 @@
     }
 }
 
-fn frontend(r: &Route) -> Frontend {
-    let value = 3.0 / (1.0 + f64::from(r.priority));
+/// The frontend of a route.
+fn frontend(route: &Route) -> Frontend {
+    let value = 3.0 / (1.0 + f64::from(route.priority));
     Frontend {
-        effect: match r.kind {
+        effect: match route.kind {
             RouteKind::Idempotent => Effect::Replayable,
-            // a repeat under the same key is claimed before it comes here; each request is sent once
+            // a repeated operation key is detected by its claim before this point, so each request is sent at
+            // most once
             RouteKind::NonIdempotent | RouteKind::Keyed => Effect::NonReplayable,
         },
         group: DedupScope::All,
         memory: Span::ZERO,
-        target: Span::from_secs(r.target.min(r.timeout)),
+        target: Span::from_secs(route.target.min(route.timeout)),
         late_value: 0.3 * value,
         value,
-        timeout: Span::from_secs(r.timeout),
-        max_dispatches: r.max_attempts,
+        timeout: Span::from_secs(route.timeout),
+        max_dispatches: route.max_attempts,
     }
 }
 
-/// `longest`: the longest that any request is held. What a tenant has in flight within its quota is no more than
-/// comes in that time: the cap on its leases.
-fn plan(t: &Tenant, longest: f64) -> Plan {
+/// The plan of a tenant. `longest` is the longest time that any request is held; within its quota a tenant
+/// has no more requests in flight than arrive in that time, which caps its leases.
+fn plan(tenant: &Tenant, longest: f64) -> Plan {
     Plan {
-        rate: t.rate,
-        at_once: (t.rate * longest + t.burst).ceil() as u32 * (t.rate > 0.0) as u32,
-        burst: t.store_size(),
-        price: 1.0 / (1.0 + f64::from(t.priority)),
-        // what is past the rule's slack costs the whole day
+        rate: tenant.rate,
+        at_once: (tenant.rate * longest + tenant.burst).ceil() as u32 * (tenant.rate > 0.0) as u32,
+        burst: tenant.store_size(),
+        price: 1.0 / (1.0 + f64::from(tenant.priority)),
+        // requests beyond the tolerance of the quota rule fail the whole day
         overrun_cost: 9.0,
         ..UNLIMITED_PLAN
     }
 }
 
-/// Of a place that no route has.
+/// The frontend at an index that no route has.
 const UNUSED_FRONTEND: Frontend = Frontend {
     effect: Effect::NonReplayable,
     group: DedupScope::All,
@@ -125,7 +134,7 @@
     max_dispatches: 1,
 };
 
-/// Of requests that need no key.
+/// The plan of requests that need no API key.
 const UNLIMITED_PLAN: Plan = Plan {
     rate: 0.0,
     burst: 0.0,
@@ -137,69 +146,104 @@
     ceiling_burst: 0.0,
 };
 
-/// The frontends and plans of a configuration, at their places; the first plan is that of no tenant. With each
-/// frontend, the services that its requests may go to.
-pub fn frontends_and_plans(tables: &Tables, routes: &mut StableIndexes, tenants: &mut StableIndexes) -> FrontendsAndPlans {
-    let mut frontends =
-        vec![(UNUSED_FRONTEND, Vec::new()); routes.assign_indexes(tables.routes().iter().map(|r| r.key.as_str()))];
-    for r in tables.routes() {
-        let services = r.services.iter().filter(|s| s.1 > 0.0).map(|s| s.0).collect::<Vec<_>>();
-        routes.of(&r.key).into_iter().for_each(|i| frontends[i] = (frontend(r), services.clone()));
+/// Builds the frontends and plans of a configuration. The first plan is for requests without a tenant.
+pub fn frontends_and_plans(
+    tables: &Tables,
+    route_indexes: &mut StableIndexes,
+    tenant_indexes: &mut StableIndexes,
+) -> FrontendsAndPlans {
+    let mut frontends = vec![
+        (UNUSED_FRONTEND, Vec::new());
+        route_indexes
+            .assign_indexes(tables.routes().iter().map(|route| route.key.as_str()))
+    ];
+    for route in tables.routes() {
+        let services = route.services.iter().filter(|s| s.1 > 0.0).map(|s| s.0).collect::<Vec<_>>();
+        route_indexes
+            .index_of(&route.key)
+            .into_iter()
+            .for_each(|i| frontends[i] = (frontend(route), services.clone()));
     }
-    let longest = tables.routes().iter().map(|r| r.timeout).fold(0.0, f64::max);
-    let mut plans = vec![UNLIMITED_PLAN; 1 + tenants.assign_indexes(tables.tenants().iter().map(|t| t.name.as_str()))];
-    for t in tables.tenants() {
-        tenants.of(&t.name).into_iter().for_each(|i| plans[1 + i] = plan(t, longest));
+    let longest_timeout = tables.routes().iter().map(|route| route.timeout).fold(0.0, f64::max);
+    let mut plans = vec![
+        UNLIMITED_PLAN;
+        1 + tenant_indexes
+            .assign_indexes(tables.tenants().iter().map(|tenant| tenant.name.as_str()))
+    ];
+    for tenant in tables.tenants() {
+        tenant_indexes
+            .index_of(&tenant.name)
+            .into_iter()
+            .for_each(|i| plans[1 + i] = plan(tenant, longest_timeout));
     }
     (frontends, plans)
 }
 
-/// A route or tenant whose rules in a pool's terms are not those of the tables; the part, and its name.
-pub fn find_deviation(t: &Terms, s: &Settings, tables: &Tables, places: [&StableIndexes; 2]) -> Option<(Part, String)> {
-    let same = |r: &Route| {
-        let (due, is) = (frontend(r), places[0].of(&r.key).and_then(|i| t.frontends.get(i))?);
+/// Finds a route or tenant whose rules in a pool's terms differ from the tables; returns the part of the
+/// configuration and the name.
+pub fn find_deviation(
+    terms: &Terms,
+    settings: &Settings,
+    tables: &Tables,
+    indexes: [&StableIndexes; 2],
+) -> Option<(Part, String)> {
+    let matching_route = |r: &Route| {
+        let (expected, actual) =
+            (frontend(r), indexes[0].index_of(&r.key).and_then(|i| terms.frontends.get(i))?);
         let replays = |f: &Frontend| matches!(f.effect, Effect::Replayable);
-        let says = |f: &Frontend| (f.timeout.secs(), f.target.secs(), f.max_dispatches, replays(f));
-        (says(&due) == says(is)).then_some(())
+        let rules = |f: &Frontend| (f.timeout.secs(), f.target.secs(), f.max_dispatches, replays(f));
+        (rules(&expected) == rules(actual)).then_some(())
     };
-    let longest = tables.routes().iter().map(|r| r.timeout).fold(0.0, f64::max);
-    let kept = |c: &Tenant| {
-        let (due, is) = (plan(c, longest), places[1].of(&c.name).and_then(|i| t.plans.get(1 + i))?);
-        let says = |p: &Plan| (p.rate, p.burst, p.at_once, p.price);
-        (says(&due) == says(is)).then_some(())
+    let longest_timeout = tables.routes().iter().map(|r| r.timeout).fold(0.0, f64::max);
+    let matching_tenant = |tenant_row: &Tenant| {
+        let (expected, actual) = (
+            plan(tenant_row, longest_timeout),
+            indexes[1].index_of(&tenant_row.name).and_then(|i| terms.plans.get(1 + i))?,
+        );
+        let rules = |p: &Plan| (p.rate, p.burst, p.at_once, p.price);
+        (rules(&expected) == rules(actual)).then_some(())
     };
-    let route = tables.routes().iter().find(|r| same(r).is_none()).map(|r| (Part::Routes, r.name.clone()));
-    let tenant =
-        || tables.tenants().iter().find(|c| kept(c).is_none()).map(|c| (Part::Tenants, c.name.clone()));
-    let budget = t.retry_budget.map(|f| f.0) != Some(0.9 * s.bounds.retry_ratio);
-    route.or_else(tenant).or_else(|| budget.then(|| (Part::Limits, "retry_ratio".into())))
+    let route =
+        tables.routes().iter().find(|r| matching_route(r).is_none()).map(|r| (Part::Routes, r.name.clone()));
+    let tenant = || {
+        tables
+            .tenants()
+            .iter()
+            .find(|tenant_row| matching_tenant(tenant_row).is_none())
+            .map(|tenant_row| (Part::Tenants, tenant_row.name.clone()))
+    };
+    let budget_differs = terms.retry_budget.map(|f| f.0) != Some(0.9 * settings.bounds.retry_ratio);
+    route.or_else(tenant).or_else(|| budget_differs.then(|| (Part::Limits, "retry_ratio".into())))
 }
 
-/// See [`lines`].
+/// All frontends by index, each with the services that its requests may go to, and all plans.
 pub type FrontendsAndPlans = (Vec<(Frontend, Vec<usize>)>, Vec<Plan>);
 
-/// The terms of one service's pool. What all gateways may do together is divided by `gateways`; halves, so that
-/// those that were killed and come back may do their part twice within a window.
+/// Builds the terms of one service's pool. Limits for all gateways together are divided by `gateways` and
+/// then halved, so that gateways that are killed and restarted within a window may use their share twice.
 pub fn terms(
-    s: &Settings,
-    w: &NodeContext,
-    (nth, service): (usize, &Service),
+    settings: &Settings,
+    node: &NodeContext,
+    (service_index, service): (usize, &Service),
     gateways: usize,
     frontends_and_plans: &FrontendsAndPlans,
 ) -> Terms {
-    let (b, each) = (&s.bounds, 1.0 / gateways.max(1) as f64);
-    let bound = service.warmup_per_s * b.warmup_excess + b.warmup_slack;
+    let (bounds, gateway_share) = (&settings.bounds, 1.0 / gateways.max(1) as f64);
+    let cold_bound = service.warmup_per_s * bounds.warmup_excess + bounds.warmup_slack;
     Terms {
-        seed: w.seed,
+        seed: node.seed,
         gateways,
-        zone: w.zone,
-        zones: w.zones.len(),
+        zone: node.zone,
+        zones: node.zones.len(),
         period: Span::ZERO,
-        // what never comes to this pool has no value beside what does
+        // routes that never use this pool get no value compared with those that do
         frontends: frontends_and_plans
             .0
             .iter()
-            .map(|(f, s)| Frontend { value: f.value * s.contains(&nth) as u8 as f64, ..*f })
+            .map(|(f, services)| Frontend {
+                value: f.value * services.contains(&service_index) as u8 as f64,
+                ..*f
+            })
             .collect(),
         plans: frontends_and_plans.1.clone(),
         counter: true,
@@ -211,12 +255,12 @@
         longest_hint: Span::from_secs(1.0),
         warm_after: Span::from_secs(service.warmup_s.max(0.001)),
         fall_window: Span::from_secs(4.0),
-        regions: w.regions.clone(),
-        start_limit: PLACES_PER_SERVER,
-        retry_budget: Some((0.9 * b.retry_ratio, 0.45 * b.retry_slack * each)),
-        cold_send_rate: Some(0.45 * bound * each),
+        regions: node.regions.clone(),
+        start_limit: INITIAL_LIMIT_PER_SERVER,
+        retry_budget: Some((0.9 * bounds.retry_ratio, 0.45 * bounds.retry_slack * gateway_share)),
+        cold_send_rate: Some(0.45 * cold_bound * gateway_share),
         awaits_late_answers: true,
-        window: Some(WINDOW),
+        window: Some(COUNTER_WINDOW),
         ..Terms::default()
     }
 }
--- a/data-plane/src/terms/tests.rs
+++ b/data-plane/src/terms/tests.rs
@@ -4,25 +4,35 @@
 use lupinledge::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// What gateways may do by themselves adds up to less than the rules allow all of them, however many there are,
-/// also where each has its part twice; a plan's store lets no more through than its tenant's quota.
+/// What gateways may do on their own adds up to less than the rules allow all of them, for any number of
+/// gateways and even if each uses its share twice. The burst of a plan allows no more than its tenant's
+/// quota.
 #[test]
-fn parts_add_up() {
-    let told =
+fn gateway_shares_stay_within_the_rules() {
+    let settings_json =
         br#"{"ip": "10.0.0.1", "zone": "a", "region": "r", "zones": {"a": "r"}, "port_range": [1, 2]}"#;
-    let s = Settings::parse(told).unwrap();
+    let settings = Settings::parse(settings_json).unwrap();
     let (name, health_path) = ("s".to_string(), "/health".to_string());
     let service = Service { name, health_path, max_conns: 9, warmup_s: 3.0, warmup_per_s: 4.0 };
     for gateways in [1, 2, 9, 60] {
-        let t = terms(&s, &NodeContext::new(&s, 1), (0, &service), gateways, &FrontendsAndPlans::default());
+        let t = terms(
+            &settings,
+            &NodeContext::new(&settings, 1),
+            (0, &service),
+            gateways,
+            &FrontendsAndPlans::default(),
+        );
         let (all, (ratio, slack)) = (gateways as f64, t.retry_budget.unwrap());
-        assert!(ratio < s.bounds.retry_ratio && 2.0 * all * slack < s.bounds.retry_slack);
-        assert!(2.0 * all * t.cold_send_rate.unwrap() < 4.0 * s.bounds.warmup_excess + s.bounds.warmup_slack);
+        assert!(ratio < settings.bounds.retry_ratio && 2.0 * all * slack < settings.bounds.retry_slack);
+        assert!(
+            2.0 * all * t.cold_send_rate.unwrap()
+                < 4.0 * settings.bounds.warmup_excess + settings.bounds.warmup_slack
+        );
     }
     for (rate, burst) in [(1.0, 0.0), (2.0, 2.0), (61.0, 61.0), (900.0, 400.0)] {
         let (name, homes) = ("t".to_string(), Vec::new());
         let p = plan(&Tenant { name, customer: 1, rate, burst, priority: 0, homes }, 4.0);
-        let (b, most) = (&s.bounds, rate * s.bounds.quota_window_s + burst);
+        let (b, most) = (&settings.bounds, rate * settings.bounds.quota_window_s + burst);
         assert!(
             p.rate == rate
                 && p.rate * b.quota_window_s + p.burst < (1.0 + b.quota_excess) * most + b.quota_slack
@@ -30,7 +40,7 @@
     }
 }
 
-/// TWICE: of a keyed route nothing is sent again that may have run.
+/// TWICE: a request of a keyed route that may have run is not sent again.
 #[test]
 fn keyed_requests_are_not_replayed() {
     let route = |kind| Route {
@@ -51,43 +61,43 @@
     assert_eq!(kinds.map(replayable), [true, false, false]);
 }
 
-/// A name keeps its place through changes; a place is given to another only when nothing open can mean the
-/// first.
+/// A name keeps its index through changes. An index is assigned to another name only when no open request can
+/// still refer to the first one.
 #[test]
-fn places_stay() {
+fn indexes_are_stable() {
     let mut p = StableIndexes::default();
     assert_eq!(p.assign_indexes(["a", "b"].into_iter()), 2);
     assert_eq!(p.assign_indexes(["b", "c"].into_iter()), 3, "one that just went keeps its place");
-    assert_eq!((p.of("a"), p.of("b"), p.of("c")), (Some(0), Some(1), Some(2)));
+    assert_eq!((p.index_of("a"), p.index_of("b"), p.index_of("c")), (Some(0), Some(1), Some(2)));
     p.assign_indexes(["b"].into_iter());
-    assert_eq!(p.of("a"), None);
-    assert_eq!((p.assign_indexes(["b", "d"].into_iter()), p.of("d")), (3, Some(0)));
+    assert_eq!(p.index_of("a"), None);
+    assert_eq!((p.assign_indexes(["b", "d"].into_iter()), p.index_of("d")), (3, Some(0)));
 }
 
 const GATEWAYS: usize = 59;
 const DEADLINE_MS: u64 = 5_000;
 
-/// The decisions of one gateway of many, by the terms that it is given here, on virtual time.
+/// The decision module of one of many gateways, run on virtual time with the terms that `terms` builds.
 struct Pool {
     control: Control,
-    /// By milliseconds.
+    /// Pending events by time in milliseconds.
     due: BTreeMap<u64, Vec<Event>>,
 }
 
-/// What became of the requests.
+/// Counts of requests by outcome.
 #[derive(Default)]
 struct Outcomes {
     sent: usize,
     denied: usize,
-    /// By server.
+    /// Requests sent, by server.
     sent_to: BTreeMap<u32, usize>,
 }
 
 impl Pool {
     fn new() -> Pool {
-        let told =
+        let settings_json =
             br#"{"ip": "10.0.0.1", "zone": "a", "region": "r", "zones": {"a": "r"}, "port_range": [1, 2]}"#;
-        let settings = Settings::parse(told).unwrap();
+        let settings = Settings::parse(settings_json).unwrap();
         let (name, health_path) = ("s".to_string(), "/health".to_string());
         let service = Service { name, health_path, max_conns: 410, warmup_s: 3.0, warmup_per_s: 5.2 };
         let target = Span::millis(800);
@@ -115,9 +125,9 @@
         self.event(at, Event::List { kind: ListKind::Full, rows: servers.map(row).collect() });
     }
 
-    /// A request each so many milliseconds.
-    fn requests(&mut self, between: u64, until: u64) {
-        for (id, at) in (1..).zip((between..until).step_by(between as usize)) {
+    /// Adds a request every `interval_ms` milliseconds until the given time.
+    fn requests(&mut self, interval_ms: u64, until: u64) {
+        for (id, at) in (1..).zip((interval_ms..until).step_by(interval_ms as usize)) {
             let time_left = Span::millis(DEADLINE_MS as i64);
             let (frontend, plan, customer, zones) = (0, 0, 0, u64::MAX);
             let (repeat, units, spread) = (false, 1.0, 1.0);
@@ -127,8 +137,9 @@
         }
     }
 
-    /// Plays until then; each request sent is answered after so long, by the server.
-    fn play(&mut self, until: u64, answered_after: impl Fn(u32) -> u64) -> Outcomes {
+    /// Runs until the given time. Each request that is sent is answered after the milliseconds that
+    /// `answered_after` returns for its server.
+    fn run(&mut self, until: u64, answered_after: impl Fn(u32) -> u64) -> Outcomes {
         let mut outcomes = Outcomes::default();
         while self.due.first_key_value().is_some_and(|(now, _)| *now < until) {
             let Some((now, events)) = self.due.pop_first() else { break };
@@ -157,32 +168,36 @@
     }
 }
 
-/// A gateway whose own link is full has answers late, though its servers are idle. A place in the pool is held all
-/// that time. Clients whose requests are refused for want of a place ask again, which fills the link further.
+/// A gateway whose own link is full gets answers late although its servers are idle. Each request occupies a
+/// place in the pool for all that time. If requests were refused for lack of a place, their clients would
+/// retry and fill the link further.
 #[test]
-fn answers_that_are_late_on_the_own_link_do_not_close_an_idle_pool() {
+fn late_answers_on_the_gateways_own_link_do_not_close_an_idle_pool() {
     let mut pool = Pool::new();
     pool.servers(0, 1..=137);
     pool.requests(100, 40_000);
-    let Outcomes { sent, denied, .. } = pool.play(40_000, |_| 900);
+    let Outcomes { sent, denied, .. } = pool.run(40_000, |_| 900);
     assert!(denied * 50 < sent, "{denied} denied, {sent} sent");
 }
 
-/// Servers that join get requests beside others that are known to be quick: a gateway sends few requests at a time, and
-/// a quick one is nearly always idle.
+/// Servers that join get requests although others are known to be quick. A gateway sends few requests at a
+/// time, so a quick server is nearly always idle and a choice by speed alone would never try a new one.
 #[test]
 fn servers_that_join_get_requests_beside_quick_ones() {
-    const OLD: u32 = 44;
-    const ALL: u32 = 55;
+    const OLD_SERVERS: u32 = 44;
+    const ALL_SERVERS: u32 = 55;
     let mut pool = Pool::new();
-    pool.servers(0, 1..=OLD);
-    pool.servers(15_000, 1..=ALL);
+    pool.servers(0, 1..=OLD_SERVERS);
+    pool.servers(15_000, 1..=ALL_SERVERS);
     pool.requests(66, 30_000);
     let speeds = [0.5, 1.0, 1.0, 1.5];
-    let answered_after = |srv: u32| 20 + (230.0 * speeds[srv as usize % speeds.len()]) as u64;
-    pool.play(15_000, answered_after);
-    let Outcomes { sent, sent_to, .. } = pool.play(30_000, answered_after);
-    let to_joiners: usize = sent_to.range(OLD + 1..=ALL).map(|(_, sent)| sent).sum();
-    // a quarter of their even part
-    assert!(to_joiners * 20 > sent, "{to_joiners} of {sent} requests went to a fifth of the servers");
+    let answered_after = |server: u32| 20 + (230.0 * speeds[server as usize % speeds.len()]) as u64;
+    pool.run(15_000, answered_after);
+    let Outcomes { sent, sent_to, .. } = pool.run(30_000, answered_after);
+    let sent_to_joiners: usize = sent_to.range(OLD_SERVERS + 1..=ALL_SERVERS).map(|(_, sent)| sent).sum();
+    // a quarter of their proportional share
+    assert!(
+        sent_to_joiners * 20 > sent,
+        "{sent_to_joiners} of {sent} requests went to a fifth of the servers"
+    );
 }
