--- a/data-plane/src/client_handler.rs
+++ b/data-plane/src/client_handler.rs
@@ -3,7 +3,7 @@
 //! refuses requests that are invalid.
 
 use crate::failure_log::{Failure, FailureLog};
-use crate::operations::{self, Ended, Operations, StoredAnswer};
+use crate::operations::{self, KeyedOutcome, Operations, StoredAnswer};
 use crate::pools::Pools;
 use crate::server_protocol::{
     ForwardedRequest, ServerAnswer, ServerProtocol, ATTEMPT, DEADLINE, OPERATION_KEY,
@@ -247,15 +247,15 @@
         tenant: Option<&Tenant>,
         context: &RequestContext,
         (key, fingerprint): (Key, Fingerprint),
-    ) -> operations::Request {
+    ) -> operations::KeyedRequest {
         let (tables, route, tenant) = (tables.clone(), route.clone(), tenant.cloned());
         let timeout = route.timeout.min(MAX_DEADLINE);
-        operations::Request {
+        operations::KeyedRequest {
             key,
             fingerprint,
-            keep: self.pools.key_window() + timeout + KEY_MARGIN,
-            by: self.pools.clock.instant(context.received_at + Span::from_secs(context.seconds_left)),
-            may_be_kept_in: Box::new(move |zone| tables.at_home(&route, tenant.as_ref(), zone)),
+            keep_seconds: self.pools.key_window() + timeout + KEY_MARGIN,
+            deadline: self.pools.clock.instant(context.received_at + Span::from_secs(context.seconds_left)),
+            may_be_stored_in: Box::new(move |zone| tables.at_home(&route, tenant.as_ref(), zone)),
         }
     }
 
@@ -263,7 +263,7 @@
     /// with the same key. The operation continues if the client disconnects.
     async fn send_keyed(
         &self,
-        request: operations::Request,
+        request: operations::KeyedRequest,
         context: RequestContext,
         tenant: Option<Tenant>,
         carried: ForwardedRequest,
@@ -277,18 +277,18 @@
             let send = move || send_to_pool(&pools, &context, tenant.as_ref(), carried);
             let _ = result_sender.send(operations.perform(request, send).await);
         });
-        let reply = match result_receiver.await.unwrap_or(Ended::Lost) {
-            Ended::Performed(answer, attempts) => return (self.reply(answer), attempts),
-            Ended::Repeated(answer) => StoredAnswer::decoded(&answer, attempt_id.as_ref())
+        let reply = match result_receiver.await.unwrap_or(KeyedOutcome::Lost) {
+            KeyedOutcome::Performed(answer, attempts) => return (self.reply(answer), attempts),
+            KeyedOutcome::Repeated(answer) => StoredAnswer::decoded(&answer, attempt_id.as_ref())
                 .map_or_else(|| bare(StatusCode::BAD_GATEWAY), server_reply),
-            Ended::AtWork => say(StatusCode::CONFLICT, "Lupinledge-Operation-Key: in work"),
-            Ended::OtherRequest => {
+            KeyedOutcome::StillRunning => say(StatusCode::CONFLICT, "Lupinledge-Operation-Key: in work"),
+            KeyedOutcome::OtherRequest => {
                 let text = "Lupinledge-Operation-Key: used for another request";
                 say(StatusCode::UNPROCESSABLE_ENTITY, text)
             }
-            Ended::Lost => bare(StatusCode::BAD_GATEWAY),
-            Ended::Unavailable => unavailable(NO_MAJORITY_RETRY),
-            Ended::NotSent => match self.pools.suspension().0 {
+            KeyedOutcome::Lost => bare(StatusCode::BAD_GATEWAY),
+            KeyedOutcome::Unavailable => unavailable(NO_MAJORITY_RETRY),
+            KeyedOutcome::NotSent => match self.pools.suspension().0 {
                 Some(hint) => close_reply(hint),
                 None => unavailable(NO_MEMORY_RETRY),
             },
--- a/data-plane/src/drift_responder.rs
+++ b/data-plane/src/drift_responder.rs
@@ -1,5 +1,5 @@
-//! Watches whether this process routes by the rules that were set last: what is seen goes to the decisions of
-//! `lupinledge-drift-detection`, and what these want is done here.
+//! Checks that this process routes by the rules that were set last. Observations are passed to the decisions
+//! of `lupinledge-drift-detection`, and the actions it returns are carried out here.
 
 use crate::client_handler::ClientHandler;
 use crate::node_state::NodeState;
@@ -17,13 +17,14 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::signal::unix::{signal, SignalKind};
 
-/// The own tables are looked at so often, a part each time.
-const TURN: Duration = Duration::from_millis(100);
-/// The tables are built anew and compared each so many turns, and a pool's terms are looked at.
-const BUILD: u32 = 50;
-const TERMS: u32 = 5;
+/// How often the process's tables are audited, one part each time.
+const AUDIT_INTERVAL: Duration = Duration::from_millis(100);
+/// The tables are rebuilt and compared once per `REBUILD_CHECKS` checks, and the terms of a pool are checked
+/// once per `TERMS_CHECKS`.
+const REBUILD_CHECKS: u32 = 50;
+const TERMS_CHECKS: u32 = 5;
 
-/// See the module.
+/// Audits the tables and withdraws the node while its rules are in doubt.
 pub struct DriftResponder {
     node_state: Rc<NodeState>,
     gossip: Rc<Gossip>,
@@ -31,11 +32,13 @@
     ready: Rc<Cell<bool>>,
     clients: Rc<Clients<ClientHandler>>,
     audit: Audit,
-    watch: DriftMonitor,
-    turns: u32,
-    looked: Rc<Tables>,
-    /// What was in force when it went out, until it is known what differed.
-    doubted: Option<(Rc<Tables>, &'static str)>,
+    monitor: DriftMonitor,
+    checks: u32,
+    /// The tables that were audited last.
+    audited: Rc<Tables>,
+    /// The tables that were in force when the node withdrew and the detector's name, until it is known what
+    /// differed.
+    doubted_tables: Option<(Rc<Tables>, &'static str)>,
 }
 
 impl DriftResponder {
@@ -47,10 +50,10 @@
         clients: Rc<Clients<ClientHandler>>,
         seed: u64,
     ) -> DriftResponder {
-        let watch =
+        let monitor =
             DriftMonitor::new(gossip.now(), Settings::new(node_state.settings().bounds.config_apply_s));
         let audit = Audit::new(seed);
-        let looked = pools.tables();
+        let audited = pools.tables();
         DriftResponder {
             node_state,
             gossip,
@@ -58,82 +61,86 @@
             ready,
             clients,
             audit,
-            watch,
-            turns: 0,
-            looked,
-            doubted: None,
+            monitor,
+            checks: 0,
+            audited,
+            doubted_tables: None,
         }
     }
 
-    /// Watches for good. Tests have the tables changed at SIGUSR1, by what that file says.
-    pub async fn run(mut self, drifts: PathBuf) {
-        let mut told = signal(SignalKind::user_defined1()).ok().filter(|_| DRIFTS);
+    /// Checks the rules forever. In tests SIGUSR1 changes the tables in memory as the file `drift_file` says.
+    pub async fn run(mut self, drift_file: PathBuf) {
+        let mut drift_signal = signal(SignalKind::user_defined1()).ok().filter(|_| DRIFTS);
         loop {
             let drift = async {
-                match &mut told {
-                    Some(told) => drop(told.recv().await),
+                match &mut drift_signal {
+                    Some(drift_signal) => drop(drift_signal.recv().await),
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                _ = tokio::time::sleep(TURN) => self.turn(),
+                _ = tokio::time::sleep(AUDIT_INTERVAL) => self.check(),
                 _ = drift => {
-                    let how = std::fs::read_to_string(&drifts).unwrap_or_default();
-                    self.pools.drift(how.trim());
+                    let drift_kind = std::fs::read_to_string(&drift_file).unwrap_or_default();
+                    self.pools.drift(drift_kind.trim());
                 }
             }
         }
     }
 
-    fn turn(&mut self) {
-        self.turns = self.turns.wrapping_add(1);
+    /// One check: audits the tables and carries out the resulting actions.
+    fn check(&mut self) {
+        self.checks = self.checks.wrapping_add(1);
         let (tables, config) = (self.pools.tables(), self.node_state.config());
-        if !Rc::ptr_eq(&tables, &self.looked) {
+        if !Rc::ptr_eq(&tables, &self.audited) {
             self.audit.reset();
-            self.looked = tables.clone();
+            self.audited = tables.clone();
         }
-        let due = if self.turns.is_multiple_of(BUILD) { self.node_state.build_tables() } else { None };
-        let found = self.audit.step(&tables, config.as_deref(), due.as_ref()).or_else(|| {
-            let looks = self.turns.is_multiple_of(TERMS);
-            let find_deviation =
-                looks.then(|| self.pools.find_deviation((self.turns / TERMS) as usize)).flatten();
-            find_deviation.map(|(part, name)| Finding { part, names: vec![name] })
+        let rebuilt =
+            if self.checks.is_multiple_of(REBUILD_CHECKS) { self.node_state.build_tables() } else { None };
+        let finding = self.audit.step(&tables, config.as_deref(), rebuilt.as_ref()).or_else(|| {
+            let terms_due = self.checks.is_multiple_of(TERMS_CHECKS);
+            let deviation =
+                terms_due.then(|| self.pools.find_deviation((self.checks / TERMS_CHECKS) as usize)).flatten();
+            deviation.map(|(part, name)| Finding { part, names: vec![name] })
         });
-        let (index, print) =
+        let (index, fingerprint) =
             (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().folded());
-        self.gossip.set_fingerprint(index, print);
-        let own = LocalState {
+        self.gossip.set_fingerprint(index, fingerprint);
+        let local_state = LocalState {
             index,
-            print,
-            faulty_part: found.as_ref().map(|f| f.part),
+            print: fingerprint,
+            faulty_part: finding.as_ref().map(|f| f.part),
             verified: self.audit.is_clean(),
         };
         let (now, holder) = (self.gossip.now(), self.gossip.with_store(|h| h.epoch().1));
-        let others = self.gossip.with_membership(|s| compare(now, &own, holder, s.members()));
-        for act in self.watch.evaluate(now, &own, &others) {
-            self.act(act, index, found.as_ref(), &tables);
+        let peers = self.gossip.with_membership(|s| compare(now, &local_state, holder, s.members()));
+        for action in self.monitor.evaluate(now, &local_state, &peers) {
+            self.execute(action, index, finding.as_ref(), &tables);
         }
         if self.pools.suspension().0.is_some() {
-            self.pools.set_suspension(Some(self.watch.retry_after(now)));
+            self.pools.set_suspension(Some(self.monitor.retry_after(now)));
         }
-        self.tell_what_differed();
+        self.log_difference();
     }
 
-    fn act(&mut self, act: Action, index: u64, found: Option<&Finding>, tables: &Rc<Tables>) {
-        match act {
+    /// Carries out one action.
+    fn execute(&mut self, action: Action, index: u64, finding: Option<&Finding>, tables: &Rc<Tables>) {
+        match action {
             Action::Withdraw { detector, part, times, hold } => {
-                let (name, names) = (part.map_or("whole", Part::name), found.map(|f| f.names.join(",")));
-                let (judge_name, route) = (detector.name(), names.unwrap_or_default());
-                tracing::warn!(event = "drift", part = name, %route, judge = judge_name, index);
-                tracing::warn!(event = "out", judge = judge_name, times, hold);
-                self.doubted = Some((tables.clone(), judge_name));
+                let (part_name, differing_names) =
+                    (part.map_or("whole", Part::name), finding.map(|f| f.names.join(",")));
+                let (detector_name, route) = (detector.name(), differing_names.unwrap_or_default());
+                tracing::warn!(event = "drift", part = part_name, %route, judge = detector_name, index);
+                tracing::warn!(event = "out", judge = detector_name, times, hold);
+                self.doubted_tables = Some((tables.clone(), detector_name));
                 self.ready.set(false);
-                self.pools.set_suspension(Some(self.watch.retry_after(self.gossip.now())));
+                self.pools.set_suspension(Some(self.monitor.retry_after(self.gossip.now())));
                 self.clients.closing();
                 let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
                 let (part, fingerprints) =
                     (part.map_or(u8::MAX, |p| p as u8), self.audit.live_print().parts());
-                let rules = DriftReport {
+                let report = DriftReport {
                     index,
                     fingerprints,
                     part,
@@ -141,26 +148,30 @@
                     recent_count: times as u16,
                     since,
                 };
-                self.gossip.set_card(|c| (c.ready, c.drift) = (false, Some(Box::new(rules))));
+                self.gossip.set_card(|card| (card.ready, card.drift) = (false, Some(Box::new(report))));
             }
-            Action::Rebuild => self.node_state.rebuild(),
-            Action::Refetch => self.node_state.afresh(self.pools.suspension().0.is_some()),
+            Action::Rebuild => self.node_state.rebuild_tables(),
+            Action::Refetch => self.node_state.refetch_document(self.pools.suspension().0.is_some()),
             Action::AcceptClients => {
                 tracing::info!(event = "back", version = self.pools.tables().version());
                 self.pools.set_suspension(None);
                 self.clients.reopen();
                 self.ready.set(true);
             }
-            Action::Announce => self.gossip.set_card(|c| (c.ready, c.drift) = (true, None)),
+            Action::Announce => self.gossip.set_card(|card| (card.ready, card.drift) = (true, None)),
         }
     }
 
-    /// Once other rules are in force than those that were in doubt, the log says what differed.
-    fn tell_what_differed(&mut self) {
-        let now = self.pools.tables();
-        let Some((was, judge)) = self.doubted.take_if(|(was, _)| !Rc::ptr_eq(was, &now)) else { return };
-        for part in Part::ALL.into_iter().filter(|p| was.reprint(*p) != now.reprint(*p)) {
-            let route = was.differing(&now, part).join(",");
+    /// Logs what differed once other tables are in force than those that were in doubt.
+    fn log_difference(&mut self) {
+        let current = self.pools.tables();
+        let Some((doubted, judge)) =
+            self.doubted_tables.take_if(|(doubted, _)| !Rc::ptr_eq(doubted, &current))
+        else {
+            return;
+        };
+        for part in Part::ALL.into_iter().filter(|p| doubted.reprint(*p) != current.reprint(*p)) {
+            let route = doubted.differing(&current, part).join(",");
             tracing::warn!(event = "drift", part = part.name(), %route, judge);
         }
     }
--- a/data-plane/src/operations/byte_budget.rs
+++ b/data-plane/src/operations/byte_budget.rs
@@ -1,32 +1,32 @@
-//! How many bytes may be sent for some purpose.
+//! A budget of bytes that may be sent for some purpose.
 
-/// Seconds of unused allowance that are kept for later.
-const KEPT: f64 = 2.0;
+/// Seconds of unused budget that are kept for later.
+const BURST_SECONDS: f64 = 2.0;
 
-/// A rate with a store that fills while little is sent.
+/// A token bucket in bytes.
 #[derive(Debug)]
 pub struct ByteBudget {
     bytes_per_s: f64,
-    left: f64,
-    at: f64,
+    available_bytes: f64,
+    updated_at: f64,
 }
 
 impl ByteBudget {
-    /// A full one.
+    /// Creates a full budget.
     pub fn new(bytes_per_s: f64) -> ByteBudget {
-        ByteBudget { bytes_per_s, left: bytes_per_s * KEPT, at: 0.0 }
+        ByteBudget { bytes_per_s, available_bytes: bytes_per_s * BURST_SECONDS, updated_at: 0.0 }
     }
 
-    /// Takes so many bytes, if they are there.
+    /// Takes this many bytes if they are available.
     pub fn take(&mut self, now: f64, bytes: usize) -> bool {
-        let filled = self.left + (now - self.at).max(0.0) * self.bytes_per_s;
-        self.left = filled.min(self.bytes_per_s * KEPT);
-        self.at = self.at.max(now);
-        let there = self.left >= bytes as f64;
-        if there {
-            self.left -= bytes as f64;
+        let filled = self.available_bytes + (now - self.updated_at).max(0.0) * self.bytes_per_s;
+        self.available_bytes = filled.min(self.bytes_per_s * BURST_SECONDS);
+        self.updated_at = self.updated_at.max(now);
+        let available = self.available_bytes >= bytes as f64;
+        if available {
+            self.available_bytes -= bytes as f64;
         }
-        there
+        available
     }
 }
 
--- a/data-plane/src/operations/claim/tests.rs
+++ b/data-plane/src/operations/claim/tests.rs
@@ -4,21 +4,22 @@
     ClaimId { gateway, start: 1, sequence: 1 }
 }
 
-/// All requests of a key look at the same holder first, whatever order votes come in; one whose answer is kept goes first.
+/// All requests of a key ask about the same holder first, in whatever order votes arrive; a holder with a
+/// stored answer comes first.
 #[test]
-fn holders_are_in_one_order() {
+fn holders_have_a_fixed_order() {
     let claim = Claim::new(id(9));
     for (gateway, answered_at) in [(3, None), (1, None), (2, Some(7)), (1, None), (2, None)] {
-        claim.held(id(gateway), Fingerprint(0), answered_at);
+        claim.add_holder(id(gateway), Fingerprint(0), answered_at);
     }
-    let holders: Vec<_> = claim.holders().iter().map(|h| (h.by.gateway, h.answered_at)).collect();
+    let holders: Vec<_> = claim.holders().iter().map(|h| (h.claim_id.gateway, h.answered_at)).collect();
     assert_eq!(holders, [(2, Some(7)), (1, None), (3, None)]);
 }
 
-/// However many voters name however many claims, a bounded number is kept.
+/// The number of holders is bounded, however many claims the voters name.
 #[test]
 fn holders_are_bounded() {
     let claim = Claim::new(id(9));
-    (0..1000).for_each(|gateway| claim.held(id(gateway), Fingerprint(0), None));
-    assert_eq!(claim.holders().len(), HOLDERS_MOST);
+    (0..1000).for_each(|gateway| claim.add_holder(id(gateway), Fingerprint(0), None));
+    assert_eq!(claim.holders().len(), MAX_HOLDERS);
 }
--- a/data-plane/src/operations/counters.rs
+++ b/data-plane/src/operations/counters.rs
@@ -1,26 +1,26 @@
-//! Counts of what became of keyed requests.
+//! Counters of the outcomes of keyed requests.
 
 use lupinledge_gossip::metrics::MetricSink;
 use std::cell::Cell;
 
-/// See the module.
+/// Counts keyed requests by outcome.
 #[derive(Default)]
 pub struct OperationCounters {
     /// Claims that a majority granted.
     pub granted: Cell<u64>,
-    /// Claims of keys that another claim held.
+    /// Claims whose key was held by another claim.
     pub held: Cell<u64>,
-    /// Repeats that got the first one's answer.
+    /// Repeated requests that got the first request's answer.
     pub repeated: Cell<u64>,
-    /// Claims without a majority in time.
+    /// Claims that no majority granted in time.
     pub unavailable: Cell<u64>,
-    /// Operations and repeats of which it is not known whether they ran.
+    /// Requests of which it is not known whether their operation ran.
     pub lost: Cell<u64>,
 }
 
 impl OperationCounters {
-    /// All of them.
-    pub fn each(&self, line: &mut MetricSink) {
+    /// Writes all counters as metrics.
+    pub fn write(&self, line: &mut MetricSink) {
         line("operations.claims_granted", self.granted.get());
         line("operations.claims_held_by_others", self.held.get());
         line("operations.repeats_answered", self.repeated.get());
@@ -29,7 +29,7 @@
     }
 }
 
-/// Counts one more.
-pub fn up(count: &Cell<u64>) {
+/// Adds one to a counter.
+pub fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -1,8 +1,8 @@
-//! The course of one keyed request: its key is claimed, its request is sent to a server, and the answer is kept. Where
-//! another claim holds the key, what that one came to is found out instead.
+//! Runs one keyed request: its key is claimed, the request is sent to a server, and the answer is stored.
+//! Where another claim holds the key, the outcome of that claim's operation is looked up instead.
 
 use super::claim::{Claim, Holder};
-use super::counters::up;
+use super::counters::increment;
 use super::stored_answer::StoredAnswer;
 use super::Operations;
 use crate::server_protocol::ServerProtocol;
@@ -18,100 +18,101 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// A claim may take this part of a request's time, and so many seconds at most.
-const CLAIM_PART: f64 = 0.6;
-const CLAIM_MOST: f64 = 1.0;
-/// Others are given so long to say how far an operation is.
-const ASK_WAIT: Duration = Duration::from_millis(300);
-/// An operation that runs is asked for again after so long.
-const RUNNING_PAUSE: Duration = Duration::from_millis(100);
-/// An operation that nobody knows is asked for again after so long.
-const UNKNOWN_PAUSE: Duration = Duration::from_millis(300);
-/// An answer needs so long to be with the client in time.
+/// A claim may take this share of a request's time, and at most this many seconds.
+const CLAIM_TIME_SHARE: f64 = 0.6;
+const MAX_CLAIM_SECONDS: f64 = 1.0;
+/// Time that other processes have to answer how far an operation is.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Pause before asking again about an operation that is running.
+const RUNNING_RETRY: Duration = Duration::from_millis(100);
+/// Pause before asking again about an operation that no process knows.
+const UNKNOWN_RETRY: Duration = Duration::from_millis(300);
+/// Time that an answer needs to reach the client.
 const REPLY_TIME: Duration = Duration::from_millis(50);
-/// Bytes of the largest answer that a voter is given to keep.
-const STORED_MOST: usize = 64 << 10;
+/// Size in bytes of the largest answer that is sent to a voter for storage.
+const MAX_STORED_BYTES: usize = 64 << 10;
 
 /// A keyed request.
-pub struct Request {
+pub struct KeyedRequest {
     pub key: Key,
     pub fingerprint: Fingerprint,
-    /// Seconds for which the key is to stay taken.
-    pub keep: f64,
-    /// When its client's time is over.
-    pub by: Instant,
-    /// Whether its answer may be kept in that zone.
-    pub may_be_kept_in: Box<dyn Fn(&str) -> bool>,
+    /// Seconds for which the key stays claimed.
+    pub keep_seconds: f64,
+    /// The client's deadline.
+    pub deadline: Instant,
+    /// Whether its answer may be stored in that zone.
+    pub may_be_stored_in: Box<dyn Fn(&str) -> bool>,
 }
 
-/// What a keyed request came to.
-pub enum Ended {
-    /// It was handed to the servers' pool, which answered this; with the dispatches that it made.
+/// The outcome of a keyed request.
+pub enum KeyedOutcome {
+    /// The request was handed to the servers' pool; its answer and the dispatches that were made.
     Performed(Answer<ServerProtocol>, Vec<Attempt>),
-    /// The first request of its key got this answer ([`KeptAnswer`]).
+    /// The first request with the key got this answer ([`StoredAnswer`]).
     Repeated(Rc<[u8]>),
-    /// The first request of its key is still at work.
-    AtWork,
-    /// Its key was used for another request.
+    /// The first request with the key is still running.
+    StillRunning,
+    /// The key was used for a different request.
     OtherRequest,
-    /// It is not known whether the first request of its key ran.
+    /// It is not known whether the first request with the key ran.
     Lost,
     /// Not run: too few voters answered in time.
     Unavailable,
-    /// Not run: too many operations are here, or there is nothing to send it to any more.
+    /// Not run: this gateway has too many operations, or the request can no longer be sent anywhere.
     NotSent,
 }
 
-/// What is known here of a key.
-enum Known {
+/// What this gateway knows about a key.
+enum LocalState {
     Nothing,
     Running,
-    Ended(Ended),
+    Ended(KeyedOutcome),
 }
 
-/// What a claim came to.
-enum Settled {
+/// The outcome of a claim.
+enum ClaimOutcome {
     Granted,
     Answered(Rc<[u8]>),
-    AtWork,
+    StillRunning,
     OtherRequest,
     Lost(&'static str),
     Unavailable,
-    /// The claim that held the key has not run; the key may be free again.
+    /// The operation of the claim that held the key has not run; the key may be free again.
     ClaimAgain,
 }
 
-/// What others said of an operation.
+/// What other processes answered about an operation.
 #[derive(Debug, PartialEq)]
-enum Found {
-    Said(Progress),
-    /// Not all that were asked answered in time, and none that did knew more.
-    Unheard,
+enum LookupResult {
+    Reported(Progress),
+    /// Not all processes that were asked answered in time, and no answer that came said more than that the
+    /// operation is unknown.
+    Incomplete,
 }
 
-impl Found {
-    /// Has the operation run, or may it have?
+impl LookupResult {
+    /// Whether the operation has run or may have run.
     fn ended(&self) -> bool {
-        matches!(self, Found::Said(Progress::Answered(_) | Progress::Lost))
+        matches!(self, LookupResult::Reported(Progress::Answered(_) | Progress::Lost))
     }
 
-    /// Is it known how far the operation is?
-    fn tells(&self) -> bool {
-        self.ended() || matches!(self, Found::Said(Progress::Running))
+    /// Whether the progress of the operation is known.
+    fn is_known(&self) -> bool {
+        self.ended() || matches!(self, LookupResult::Reported(Progress::Running))
     }
 }
 
-/// Counts a request until it is over.
-struct Active<'a>(&'a Operations);
+/// Counts a request as active until it is dropped.
+struct ActiveGuard<'a>(&'a Operations);
 
-impl<'a> Active<'a> {
-    fn new(operations: &'a Operations) -> Active<'a> {
+impl<'a> ActiveGuard<'a> {
+    fn new(operations: &'a Operations) -> ActiveGuard<'a> {
         operations.active.set(operations.active.get() + 1);
-        Active(operations)
+        ActiveGuard(operations)
     }
 }
 
-impl Drop for Active<'_> {
+impl Drop for ActiveGuard<'_> {
     fn drop(&mut self) {
         self.0.active.set(self.0.active.get() - 1);
         self.0.ended.notify_waiters();
@@ -119,106 +120,118 @@
 }
 
 impl Operations {
-    /// Sees a request to its end. `send` hands it to the servers' pool once it may run; none: there is nothing to send
-    /// it to any more. Not to be dropped before its end, or its key stays taken.
+    /// Runs a request to its end. `send` hands it to the servers' pool once it may run, or returns `None` if
+    /// it can no longer be sent anywhere. The future must not be dropped before its end, or the key stays
+    /// claimed.
     pub async fn perform(
         &self,
-        request: Request,
+        request: KeyedRequest,
         send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
-    ) -> Ended {
-        let _active = Active::new(self);
+    ) -> KeyedOutcome {
+        let _active = ActiveGuard::new(self);
         loop {
             let ended = self.ended.notified();
             tokio::pin!(ended);
             ended.as_mut().enable();
-            match self.known(&request) {
-                Known::Nothing => return self.claim_and_send(&request, send).await,
-                Known::Ended(ended) => return ended,
-                Known::Running => {
-                    if timeout_at(request.by - REPLY_TIME, ended).await.is_err() {
-                        return Ended::AtWork;
+            match self.local_outcome(&request) {
+                LocalState::Nothing => return self.claim_and_send(&request, send).await,
+                LocalState::Ended(ended) => return ended,
+                LocalState::Running => {
+                    if timeout_at(request.deadline - REPLY_TIME, ended).await.is_err() {
+                        return KeyedOutcome::StillRunning;
                     }
                 }
             }
         }
     }
 
-    /// How far the key's operation is here.
-    fn known(&self, request: &Request) -> Known {
-        let mut memory = self.memory.borrow_mut();
-        let Some(operation) = memory.find(self.gossip.now(), request.key) else { return Known::Nothing };
+    /// Looks up the key's operation in this gateway's memory.
+    fn local_outcome(&self, request: &KeyedRequest) -> LocalState {
+        let mut operation_table = self.operation_table.borrow_mut();
+        let Some(operation) = operation_table.find(self.gossip.now(), request.key) else {
+            return LocalState::Nothing;
+        };
         if operation.fingerprint != request.fingerprint {
-            return Known::Ended(Ended::OtherRequest);
+            return LocalState::Ended(KeyedOutcome::OtherRequest);
         }
         match &operation.state {
-            State::Running => Known::Running,
-            State::Lost => Known::Ended(Ended::Lost),
-            State::AnswerDropped => Known::Nothing,
+            State::Running => LocalState::Running,
+            State::Lost => LocalState::Ended(KeyedOutcome::Lost),
+            State::AnswerDropped => LocalState::Nothing,
             State::Answered(answer) => {
-                up(&self.write_metrics.repeated);
-                Known::Ended(Ended::Repeated(answer.clone()))
+                increment(&self.counters.repeated);
+                LocalState::Ended(KeyedOutcome::Repeated(answer.clone()))
             }
         }
     }
 
+    /// Claims the key, again if the holder's operation has not run, and sends the request once a claim is
+    /// granted.
     async fn claim_and_send(
         &self,
-        request: &Request,
+        request: &KeyedRequest,
         send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
-    ) -> Ended {
+    ) -> KeyedOutcome {
         loop {
-            let Some(claim) = self.begin(request) else { return Ended::NotSent };
-            let settled = self.settle(request, &claim).await;
+            let Some(claim) = self.claim_key(request) else { return KeyedOutcome::NotSent };
+            let outcome = self.await_outcome(request, &claim).await;
             self.pending.borrow_mut().remove(&claim.id);
-            if matches!(settled, Settled::Granted) {
-                up(&self.write_metrics.granted);
+            if matches!(outcome, ClaimOutcome::Granted) {
+                increment(&self.counters.granted);
                 return self.run(request, claim.id, send).await;
             }
             self.release(claim.id);
-            let mut memory = self.memory.borrow_mut();
-            if let Settled::Answered(answer) = &settled {
-                // the next repeat finds it here
-                memory.record_answer(request.key, claim.id, answer.clone());
+            let mut operation_table = self.operation_table.borrow_mut();
+            if let ClaimOutcome::Answered(answer) = &outcome {
+                // answers the next repeat from memory
+                operation_table.record_answer(request.key, claim.id, answer.clone());
             } else {
-                memory.withdraw(request.key, claim.id);
+                operation_table.withdraw(request.key, claim.id);
             }
-            drop(memory);
-            match settled {
-                Settled::Granted | Settled::ClaimAgain => {}
-                Settled::Answered(answer) => {
-                    up(&self.write_metrics.repeated);
-                    return Ended::Repeated(answer);
+            drop(operation_table);
+            match outcome {
+                ClaimOutcome::Granted | ClaimOutcome::ClaimAgain => {}
+                ClaimOutcome::Answered(answer) => {
+                    increment(&self.counters.repeated);
+                    return KeyedOutcome::Repeated(answer);
                 }
-                Settled::AtWork => return Ended::AtWork,
-                Settled::OtherRequest => return Ended::OtherRequest,
-                Settled::Lost(why) => {
-                    self.note_loss(request.key, why);
-                    return Ended::Lost;
+                ClaimOutcome::StillRunning => return KeyedOutcome::StillRunning,
+                ClaimOutcome::OtherRequest => return KeyedOutcome::OtherRequest,
+                ClaimOutcome::Lost(why) => {
+                    self.record_loss(request.key, why);
+                    return KeyedOutcome::Lost;
                 }
-                Settled::Unavailable => {
-                    up(&self.write_metrics.unavailable);
-                    return Ended::Unavailable;
+                ClaimOutcome::Unavailable => {
+                    increment(&self.counters.unavailable);
+                    return KeyedOutcome::Unavailable;
                 }
             }
         }
     }
 
-    /// Claims the key. None: there is no room, or nobody to ask.
-    fn begin(&self, request: &Request) -> Option<Rc<Claim>> {
-        let left = request.by.saturating_duration_since(Instant::now()).as_secs_f64();
+    /// Claims the key. Returns `None` if there is no room for the operation or there are no voters.
+    fn claim_key(&self, request: &KeyedRequest) -> Option<Rc<Claim>> {
+        let seconds_left = request.deadline.saturating_duration_since(Instant::now()).as_secs_f64();
         let voters = self.voters();
         if voters.is_empty() {
             return None;
         }
         let id = self.with_claims(|claims, now, out| {
-            let deadline = now + (left * CLAIM_PART).min(CLAIM_MOST);
-            let Request { key, fingerprint, keep, .. } = *request;
-            let claimed = claims::ClaimRequest { key, fingerprint, keep_s: keep as f32, deadline };
-            claims.begin(now, claimed, &voters, out)
+            let deadline = now + (seconds_left * CLAIM_TIME_SHARE).min(MAX_CLAIM_SECONDS);
+            let KeyedRequest { key, fingerprint, keep_seconds, .. } = *request;
+            let claim_request =
+                claims::ClaimRequest { key, fingerprint, keep_s: keep_seconds as f32, deadline };
+            claims.begin(now, claim_request, &voters, out)
         })?;
         let now = self.gossip.now();
-        let known = self.memory.borrow_mut().begin(now, request.key, id, request.fingerprint, request.keep);
-        if !known {
+        let recorded = self.operation_table.borrow_mut().begin(
+            now,
+            request.key,
+            id,
+            request.fingerprint,
+            request.keep_seconds,
+        );
+        if !recorded {
             self.release(id);
             return None;
         }
@@ -227,175 +240,194 @@
         Some(claim)
     }
 
+    /// Gives a claim up at the voters.
     fn release(&self, claim: ClaimId) {
         self.with_claims(|claims, now, out| claims.release(now, claim, out));
     }
 
-    /// Waits until the claim is granted, or until it is known what another one came to that holds the key.
-    async fn settle(&self, request: &Request, claim: &Claim) -> Settled {
+    /// Waits until the claim is granted, or until the outcome of another claim that holds the key is known.
+    async fn await_outcome(&self, request: &KeyedRequest, claim: &Claim) -> ClaimOutcome {
         while !claim.is_granted() && claim.holders().is_empty() {
             if claim.is_withdrawn() {
-                return Settled::Unavailable;
+                return ClaimOutcome::Unavailable;
             }
             claim.changed().await;
         }
         if claim.is_granted() {
-            return Settled::Granted;
+            return ClaimOutcome::Granted;
         }
-        up(&self.write_metrics.held);
-        let at_work = Cell::new(false);
+        increment(&self.counters.held);
+        let running = Cell::new(false);
         tokio::select! {
             biased;
-            _ = claim.until_granted() => Settled::Granted,
-            settled = self.find_out(request, claim, &at_work) => settled,
-            _ = sleep_until(request.by - REPLY_TIME) => match at_work.get() {
-                true => Settled::AtWork,
-                false => Settled::Lost("nobody knew in time"),
+            _ = claim.until_granted() => ClaimOutcome::Granted,
+            outcome = self.follow_holders(request, claim, &running) => outcome,
+            _ = sleep_until(request.deadline - REPLY_TIME) => match running.get() {
+                true => ClaimOutcome::StillRunning,
+                false => ClaimOutcome::Lost("no answer about the operation in time"),
             },
         }
     }
 
-    /// Asks how far the operation is whose claim holds the key, until that is over. `at_work`: by what was heard last.
-    async fn find_out(&self, request: &Request, claim: &Claim, at_work: &Cell<bool>) -> Settled {
+    /// Asks about the operation whose claim holds the key until it has ended. `running` is set by the last
+    /// answer.
+    async fn follow_holders(
+        &self,
+        request: &KeyedRequest,
+        claim: &Claim,
+        running: &Cell<bool>,
+    ) -> ClaimOutcome {
         loop {
             let holders = claim.holders();
             if holders.iter().any(|holder| holder.fingerprint != request.fingerprint) {
-                return Settled::OtherRequest;
+                return ClaimOutcome::OtherRequest;
             }
-            let (by, progress) = self.look_up(request.key, &holders).await;
+            let (holder_id, progress) = self.look_up(request.key, &holders).await;
             match progress {
-                Found::Said(Progress::Answered(answer)) => {
-                    return Settled::Answered(answer.into_vec().into())
+                LookupResult::Reported(Progress::Answered(answer)) => {
+                    return ClaimOutcome::Answered(answer.into_vec().into())
                 }
-                Found::Said(Progress::Lost) => return Settled::Lost("its gateway does not know"),
-                Found::Said(Progress::Running) => {
-                    at_work.set(true);
-                    self.yield_to(by, claim);
-                    sleep(RUNNING_PAUSE).await;
+                LookupResult::Reported(Progress::Lost) => {
+                    return ClaimOutcome::Lost("its gateway does not know whether it ran")
+                }
+                LookupResult::Reported(Progress::Running) => {
+                    running.set(true);
+                    self.give_way(holder_id, claim);
+                    sleep(RUNNING_RETRY).await;
                 }
                 _ if !claim.is_withdrawn() => {
-                    at_work.set(false);
-                    sleep(UNKNOWN_PAUSE).await;
+                    running.set(false);
+                    sleep(UNKNOWN_RETRY).await;
                 }
-                // that claim ended without a run, or its gateway did: the voters tell which
-                _ if at_work.get() => return Settled::ClaimAgain,
-                Found::Said(Progress::Withdrawn) => return Settled::Unavailable,
-                Found::Said(_) => return Settled::Lost("nobody knows"),
-                Found::Unheard => return Settled::Lost("nobody answers"),
+                // that claim's operation ended without having run, or its gateway stopped: claiming again at
+                // the voters shows which
+                _ if running.get() => return ClaimOutcome::ClaimAgain,
+                LookupResult::Reported(Progress::Withdrawn) => return ClaimOutcome::Unavailable,
+                LookupResult::Reported(_) => return ClaimOutcome::Lost("no process knows the operation"),
+                LookupResult::Incomplete => return ClaimOutcome::Lost("not all processes answered"),
             }
         }
     }
 
-    /// Where two claims share the votes, neither may get a majority: the one with the greater number gives up its own.
-    fn yield_to(&self, by: ClaimId, claim: &Claim) {
-        if by < claim.id && !claim.is_granted() && !claim.is_withdrawn() {
-            claim.withdraw();
+    /// When two claims split the votes, neither may get a majority: the one with the greater id is given up.
+    fn give_way(&self, holder_id: ClaimId, claim: &Claim) {
+        if holder_id < claim.id && !claim.is_granted() && !claim.is_withdrawn() {
+            claim.mark_withdrawn();
             self.release(claim.id);
         }
     }
 
-    /// How far the operation is of one of those claims, of which one at most has run. A claim that is said to run may be
-    /// one that waits too, so all are asked before that counts.
-    async fn look_up(&self, key: Key, holders: &[Holder]) -> (ClaimId, Found) {
-        let mut best = (ClaimId::default(), Found::Unheard);
+    /// Looks up the operation of these claims, of which at most one has run. A claim that is reported as
+    /// running may in fact be waiting too, so all claims are looked up before that answer counts.
+    async fn look_up(&self, key: Key, holders: &[Holder]) -> (ClaimId, LookupResult) {
+        let mut best = (ClaimId::default(), LookupResult::Incomplete);
         for holder in holders {
-            let found = self.look_up_one(key, holder).await;
-            if found.ended() {
-                return (holder.by, found);
+            let result = self.look_up_one(key, holder).await;
+            if result.ended() {
+                return (holder.claim_id, result);
             }
-            if !best.1.tells() {
-                best = (holder.by, found);
+            if !best.1.is_known() {
+                best = (holder.claim_id, result);
             }
         }
         best
     }
 
-    async fn look_up_one(&self, key: Key, holder: &Holder) -> Found {
-        let gateway = Some(holder.by.gateway).filter(|node| self.may_answer(*node));
+    /// Asks about one claim: first the process most likely to know, then the voters.
+    async fn look_up_one(&self, key: Key, holder: &Holder) -> LookupResult {
+        let gateway = Some(holder.claim_id.gateway).filter(|node| self.may_answer(*node));
         let first = holder.answered_at.or(gateway);
-        let mut found = Found::Said(Progress::Unknown);
+        let mut result = LookupResult::Reported(Progress::Unknown);
         if let Some(first) = first {
-            found = self.ask(vec![first], key, holder.by).await;
-            if found.tells() || found == Found::Said(Progress::Withdrawn) {
-                return found;
+            result = self.query_progress(vec![first], key, holder.claim_id).await;
+            if result.is_known() || result == LookupResult::Reported(Progress::Withdrawn) {
+                return result;
             }
         }
         let mut others = self.voters();
         others.extend(gateway);
         others.retain(|node| Some(*node) != first);
-        match self.ask(others, key, holder.by).await {
-            // the gateway may still know what no voter does
-            Found::Said(Progress::Unknown) if found == Found::Unheard => Found::Unheard,
+        match self.query_progress(others, key, holder.claim_id).await {
+            // the gateway did not answer, and may know of the operation although no voter does
+            LookupResult::Reported(Progress::Unknown) if result == LookupResult::Incomplete => {
+                LookupResult::Incomplete
+            }
             others => others,
         }
     }
 
-    async fn ask(&self, nodes: Vec<Node>, key: Key, claim: ClaimId) -> Found {
+    /// Asks these nodes about a claim's operation.
+    async fn query_progress(&self, nodes: Vec<Node>, key: Key, claim: ClaimId) -> LookupResult {
         let nodes: Vec<Node> = nodes.into_iter().filter(|node| *node != self.gossip.me()).collect();
         if nodes.is_empty() {
-            return Found::Said(Progress::Unknown);
+            return LookupResult::Reported(Progress::Unknown);
         }
-        let mut ask = self.asks.open(&nodes);
+        let mut query = self.queries.open(&nodes);
         for node in nodes {
-            self.send(node, Message::AskProgress { key, claim, tag: ask.tag });
+            self.send(node, Message::AskProgress { key, claim, tag: query.tag });
         }
-        timeout(ASK_WAIT, ask.answer()).await.map_or(Found::Unheard, Found::Said)
+        timeout(QUERY_TIMEOUT, query.answer()).await.map_or(LookupResult::Incomplete, LookupResult::Reported)
     }
 
-    /// The claim is granted: the request is sent, and what comes of it is kept.
+    /// Sends the request of a granted claim and stores its answer.
     async fn run(
         &self,
-        request: &Request,
+        request: &KeyedRequest,
         claim: ClaimId,
         send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
-    ) -> Ended {
+    ) -> KeyedOutcome {
         let Some(ticket) = send() else {
             self.withdraw(request.key, claim);
-            return Ended::NotSent;
+            return KeyedOutcome::NotSent;
         };
         let (answer, attempts) = ticket.answer_with_attempts().await;
         match &answer {
-            Answer::Passed(made) | Answer::Failed(made) => match StoredAnswer::encoded(made) {
-                Some(kept) => self.keep(request, claim, kept),
-                None => self.lose(request.key, claim, "its answer can't be kept"),
-            },
+            Answer::Passed(server_answer) | Answer::Failed(server_answer) => {
+                match StoredAnswer::encoded(server_answer) {
+                    Some(encoded) => self.store_answer(request, claim, encoded),
+                    None => self.record_lost_claim(request.key, claim, "its answer can't be stored"),
+                }
+            }
             Answer::Denied(_) => self.withdraw(request.key, claim),
-            Answer::Aborted => self.lose(request.key, claim, "no answer of a server"),
+            Answer::Aborted => self.record_lost_claim(request.key, claim, "no answer from a server"),
         }
-        Ended::Performed(answer, attempts)
+        KeyedOutcome::Performed(answer, attempts)
     }
 
-    /// It has not run, and will not under this claim.
+    /// Records that the operation has not run and will not run under this claim.
     fn withdraw(&self, key: Key, claim: ClaimId) {
-        self.memory.borrow_mut().withdraw(key, claim);
+        self.operation_table.borrow_mut().withdraw(key, claim);
         self.release(claim);
     }
 
-    fn lose(&self, key: Key, claim: ClaimId, why: &'static str) {
-        self.memory.borrow_mut().mark_lost(key, claim);
+    /// Records that it is not known whether the operation ran.
+    fn record_lost_claim(&self, key: Key, claim: ClaimId, why: &'static str) {
+        self.operation_table.borrow_mut().mark_lost(key, claim);
         self.claims.borrow_mut().finish(claim);
-        self.note_loss(key, why);
+        self.record_loss(key, why);
     }
 
-    /// Remembers an answer, and has the nearest voter that may keep it do so too.
-    fn keep(&self, request: &Request, claim: ClaimId, answer: Rc<[u8]>) {
-        self.memory.borrow_mut().record_answer(request.key, claim, answer.clone());
+    /// Stores an answer, and sends a copy to the nearest voter that may store it.
+    fn store_answer(&self, request: &KeyedRequest, claim: ClaimId, answer: Rc<[u8]>) {
+        self.operation_table.borrow_mut().record_answer(request.key, claim, answer.clone());
         let granted = self.claims.borrow_mut().finish(claim);
-        let room = || self.copies.borrow_mut().take(self.gossip.now(), answer.len());
-        if answer.len() > STORED_MOST || !room() {
+        let within_budget = || self.copy_budget.borrow_mut().take(self.gossip.now(), answer.len());
+        if answer.len() > MAX_STORED_BYTES || !within_budget() {
             return;
         }
-        let may_keep = |node: &Node| self.zone_of(*node).is_some_and(|zone| (request.may_be_kept_in)(&zone));
+        let may_keep =
+            |node: &Node| self.zone_of(*node).is_some_and(|zone| (request.may_be_stored_in)(&zone));
         if let Some(voter) = granted.into_iter().find(may_keep) {
             let answer = ByteBuf::from(answer.to_vec());
             self.send(voter, Message::Store { key: request.key, claim, answer });
         }
     }
 
-    fn note_loss(&self, key: Key, why: &'static str) {
-        up(&self.write_metrics.lost);
+    /// Counts and logs a request whose operation may have run.
+    fn record_loss(&self, key: Key, why: &'static str) {
+        increment(&self.counters.lost);
         let second = self.gossip.now() as u64;
-        if let Some(suppressed) = self.losses.borrow_mut().admit(second) {
+        if let Some(suppressed) = self.loss_limiter.borrow_mut().admit(second) {
             let key = format!("{:016x}{:016x}", key.0, key.1);
             tracing::warn!(event = "operation_lost", %key, why, untold = suppressed);
         }
--- a/data-plane/src/operations/progress_queries.rs
+++ b/data-plane/src/operations/progress_queries.rs
@@ -1,4 +1,4 @@
-//! Questions to other processes how far an operation is, and the answers to them.
+//! Queries to other processes about the progress of an operation, and the answers to them.
 
 use lupinledge_messaging::Node;
 use lupinledge_operations::message::Progress;
@@ -6,56 +6,59 @@
 use std::collections::HashMap;
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 
-/// Questions that wait for answers.
+/// The queries that are waiting for answers.
 pub struct ProgressQueries {
     next_tag: Cell<u64>,
-    open: RefCell<HashMap<u64, Open>>,
+    open_queries: RefCell<HashMap<u64, OpenQuery>>,
 }
 
-struct Open {
-    /// Who was asked and has not answered.
+/// The sending side of an open query.
+struct OpenQuery {
+    /// Nodes that were asked and have not answered.
     asked: Vec<Node>,
     answers: Sender<Progress>,
 }
 
-/// One question; dropped, it is forgotten.
+/// One query. Dropping it discards later answers.
 pub struct ProgressQuery<'a> {
-    asks: &'a ProgressQueries,
+    queries: &'a ProgressQueries,
     pub tag: u64,
     answers: Receiver<Progress>,
 }
 
 impl ProgressQueries {
-    /// Another start of the process has other tags.
+    /// Creates an empty set of queries. Each start of the process needs a different `start` number, from
+    /// which its tags are derived.
     pub fn new(start: u32) -> ProgressQueries {
-        ProgressQueries { next_tag: Cell::new(u64::from(start) << 32), open: RefCell::default() }
+        ProgressQueries { next_tag: Cell::new(u64::from(start) << 32), open_queries: RefCell::default() }
     }
 
-    /// Opens a question to these nodes.
+    /// Opens a query to these nodes.
     pub fn open(&self, asked: &[Node]) -> ProgressQuery<'_> {
         let tag = self.next_tag.get();
         self.next_tag.set(tag.wrapping_add(1));
-        let (to, answers) = channel(asked.len().max(1));
-        self.open.borrow_mut().insert(tag, Open { asked: asked.to_vec(), answers: to });
-        ProgressQuery { asks: self, tag, answers }
+        let (sender, answers) = channel(asked.len().max(1));
+        self.open_queries.borrow_mut().insert(tag, OpenQuery { asked: asked.to_vec(), answers: sender });
+        ProgressQuery { queries: self, tag, answers }
     }
 
-    /// One of those that were asked has answered.
-    pub fn told(&self, from: Node, tag: u64, progress: Progress) {
-        let mut open = self.open.borrow_mut();
-        let Some(question) = open.get_mut(&tag) else { return };
-        let Some(at) = question.asked.iter().position(|node| *node == from) else { return };
-        question.asked.swap_remove(at);
-        // there is room for one answer each
-        let _ = question.answers.try_send(progress);
-        if question.asked.is_empty() {
-            open.remove(&tag);
+    /// Records the answer of one of the nodes that were asked.
+    pub fn on_answer(&self, from: Node, tag: u64, progress: Progress) {
+        let mut open_queries = self.open_queries.borrow_mut();
+        let Some(query) = open_queries.get_mut(&tag) else { return };
+        let Some(at) = query.asked.iter().position(|node| *node == from) else { return };
+        query.asked.swap_remove(at);
+        // the channel has room for one answer from each node
+        let _ = query.answers.try_send(progress);
+        if query.asked.is_empty() {
+            open_queries.remove(&tag);
         }
     }
 }
 
 impl ProgressQuery<'_> {
-    /// The first answer that says anything; [`Progress::Unknown`] once all that were asked say so.
+    /// Waits for the first answer other than [`Progress::Unknown`]; returns `Unknown` once all nodes have
+    /// answered so.
     pub async fn answer(&mut self) -> Progress {
         while let Some(progress) = self.answers.recv().await {
             if progress != Progress::Unknown {
@@ -68,7 +71,7 @@
 
 impl Drop for ProgressQuery<'_> {
     fn drop(&mut self) {
-        self.asks.open.borrow_mut().remove(&self.tag);
+        self.queries.open_queries.borrow_mut().remove(&self.tag);
     }
 }
 
--- a/data-plane/src/operations/progress_queries/tests.rs
+++ b/data-plane/src/operations/progress_queries/tests.rs
@@ -3,34 +3,35 @@
 use std::pin::pin;
 use std::task::{Context, Poll, Waker};
 
-fn poll(ask: &mut ProgressQuery) -> Poll<Progress> {
-    let answer = pin!(ask.answer());
+fn poll(query: &mut ProgressQuery) -> Poll<Progress> {
+    let answer = pin!(query.answer());
     answer.poll(&mut Context::from_waker(Waker::noop()))
 }
 
-/// An answer counts once for each node that was asked, and under its own tag.
+/// An answer counts once for each node that was asked, and only under its own tag.
 #[test]
-fn only_those_that_were_asked_answer() {
-    let asks = ProgressQueries::new(7);
-    let mut ask = asks.open(&[1, 2]);
-    asks.told(3, ask.tag, Progress::Running);
-    asks.told(1, ask.tag + 1, Progress::Running);
-    asks.told(1, ask.tag, Progress::Unknown);
-    asks.told(1, ask.tag, Progress::Running);
-    assert_eq!(poll(&mut ask), Poll::Pending);
-    asks.told(2, ask.tag, Progress::Lost);
-    assert_eq!(poll(&mut ask), Poll::Ready(Progress::Lost));
+fn only_nodes_that_were_asked_count() {
+    let queries = ProgressQueries::new(7);
+    let mut query = queries.open(&[1, 2]);
+    queries.on_answer(3, query.tag, Progress::Running);
+    queries.on_answer(1, query.tag + 1, Progress::Running);
+    queries.on_answer(1, query.tag, Progress::Unknown);
+    queries.on_answer(1, query.tag, Progress::Running);
+    assert_eq!(poll(&mut query), Poll::Pending);
+    queries.on_answer(2, query.tag, Progress::Lost);
+    assert_eq!(poll(&mut query), Poll::Ready(Progress::Lost));
 }
 
-/// Nothing is known once nobody that was asked knows anything; a question that is dropped is forgotten.
+/// The result is unknown once all nodes that were asked have answered so; a query that is dropped is
+/// forgotten.
 #[test]
-fn nobody_knows() {
-    let asks = ProgressQueries::new(7);
-    let mut ask = asks.open(&[1, 2]);
-    asks.told(2, ask.tag, Progress::Unknown);
-    assert_eq!(poll(&mut ask), Poll::Pending);
-    asks.told(1, ask.tag, Progress::Unknown);
-    assert_eq!(poll(&mut ask), Poll::Ready(Progress::Unknown));
-    drop((asks.open(&[3]), ask));
-    assert!(asks.open.borrow().is_empty());
+fn unknown_once_all_nodes_say_so() {
+    let queries = ProgressQueries::new(7);
+    let mut query = queries.open(&[1, 2]);
+    queries.on_answer(2, query.tag, Progress::Unknown);
+    assert_eq!(poll(&mut query), Poll::Pending);
+    queries.on_answer(1, query.tag, Progress::Unknown);
+    assert_eq!(poll(&mut query), Poll::Ready(Progress::Unknown));
+    drop((queries.open(&[3]), query));
+    assert!(queries.open_queries.borrow().is_empty());
 }
--- a/data-plane/src/operations/stored_answer.rs
+++ b/data-plane/src/operations/stored_answer.rs
@@ -1,4 +1,4 @@
-//! A server's answer as it is remembered and told to other gateways.
+//! A server's answer as it is stored and sent to other gateways.
 
 use crate::server_protocol::{ServerAnswer, ATTEMPT};
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 use serde_bytes::ByteBuf;
 use std::rc::Rc;
 
-/// Status, headers and body, without the id of the request that was run.
+/// Status, headers and body, without the attempt id of the request that was run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredAnswer {
     status: u16,
@@ -18,7 +18,7 @@
 }
 
 impl StoredAnswer {
-    /// What is kept of an answer, encoded. None if it can't be encoded.
+    /// Encodes an answer for storage; `None` if it can't be encoded.
     pub fn encoded(made: &ServerAnswer) -> Option<Rc<[u8]>> {
         let kept = made.headers.iter().filter(|(name, _)| **name != ATTEMPT);
         let header = |(name, value): (&HeaderName, &HeaderValue)| {
@@ -33,7 +33,7 @@
         encode(&answer, &mut bytes).ok().map(|()| bytes.into())
     }
 
-    /// Reads one that was kept, for a request of this id.
+    /// Decodes a stored answer for a request with this attempt id.
     pub fn decoded(bytes: &[u8], attempt_id: Option<&HeaderValue>) -> Option<ServerAnswer> {
         let StoredAnswer { status, headers, body } = decode(bytes).ok()?;
         let mut made = ServerAnswer {
--- a/data-plane/src/operations/voters.rs
+++ b/data-plane/src/operations/voters.rs
@@ -1,21 +1,21 @@
-//! Whom a claim is sent to: the machines of the core by nearness.
+//! The voters that a claim is sent to: the machines of the core, nearest first.
 
 use super::Operations;
 use lupinledge_membership::{Member, Standing};
 use lupinledge_messaging::Node;
 
-/// Spreads what goes to another region over the machines there (a multiplier of Fibonacci hashing).
-const SPREAD: u32 = 0x9e37_79b1;
+/// Spreads the messages to another region over the machines there (a multiplier of Fibonacci hashing).
+const HASH_MULTIPLIER: u32 = 0x9e37_79b1;
 
 /// How near a machine is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     Zone,
     Region,
-    Afar,
+    OtherRegion,
 }
 
-/// Where this gateway is.
+/// The location of this gateway.
 #[derive(Clone, Debug)]
 pub struct Location {
     pub node: Node,
@@ -24,10 +24,10 @@
 }
 
 impl Location {
-    /// The machines of the core among these, the nearest first, and behind all others those that seem to be gone.
+    /// The core machines among the members, nearest first; those that seem to be gone come after all others.
     pub fn voters<'a>(&self, members: impl Iterator<Item = &'a Member>) -> Vec<Node> {
         let order = |member: &Member| {
-            let spread = (member.node ^ self.node).wrapping_mul(SPREAD);
+            let spread = (member.node ^ self.node).wrapping_mul(HASH_MULTIPLIER);
             (member.standing != Standing::Alive, self.distance(member), spread)
         };
         let core = members.filter(|member| member.card.core);
@@ -42,15 +42,15 @@
         } else if member.card.region == self.region {
             Distance::Region
         } else {
-            Distance::Afar
+            Distance::OtherRegion
         }
     }
 }
 
 impl Operations {
-    /// Whom to send a claim to, in this order.
+    /// The voters to send a claim to, in this order.
     pub(super) fn voters(&self) -> Vec<Node> {
-        self.gossip.with_membership(|swarm| self.place.voters(swarm.members()))
+        self.gossip.with_membership(|swarm| self.location.voters(swarm.members()))
     }
 
     /// The zone of a process, if it is known.
@@ -58,10 +58,10 @@
         self.gossip.with_membership(|swarm| swarm.member(node).map(|member| member.card.zone.clone()))
     }
 
-    /// Whether it is of use to ask a process.
+    /// Whether a process may still answer.
     pub(super) fn may_answer(&self, node: Node) -> bool {
-        let there = |member: &Member| member.standing != Standing::Gone;
-        self.gossip.with_membership(|swarm| swarm.member(node).is_some_and(there))
+        let not_gone = |member: &Member| member.standing != Standing::Gone;
+        self.gossip.with_membership(|swarm| swarm.member(node).is_some_and(not_gone))
     }
 }
 
--- a/data-plane/src/operations/voters/tests.rs
+++ b/data-plane/src/operations/voters/tests.rs
@@ -26,13 +26,14 @@
     }
 }
 
-fn place(node: Node) -> Location {
+fn location(node: Node) -> Location {
     Location { node, zone: "mead-1".into(), region: "mead".into() }
 }
 
-/// Own zone, own region, others; those that are not alive come last, and edge machines do not vote.
+/// Voters are sorted by own zone, own region, and other regions; those that are not alive come last, and edge
+/// machines do not vote.
 #[test]
-fn the_nearest_vote_first() {
+fn the_nearest_voters_come_first() {
     let members = [
         member(1, true, "mead-1", Standing::Suspect),
         member(2, true, "wold-1", Standing::Alive),
@@ -41,14 +42,14 @@
         member(5, true, "mead-1", Standing::Alive),
         member(6, true, "wold-1", Standing::Gone),
     ];
-    assert_eq!(place(9).voters(members.iter()), [5, 3, 2, 1, 6]);
-    assert!(place(9).voters([].iter()).is_empty());
+    assert_eq!(location(9).voters(members.iter()), [5, 3, 2, 1, 6]);
+    assert!(location(9).voters([].iter()).is_empty());
 }
 
-/// Where only other regions have a third voter, gateways do not all go to the same one.
+/// Where a third voter exists only in other regions, gateways do not all choose the same one.
 #[test]
-fn far_voters_share_the_work() {
+fn far_voters_share_the_load() {
     let members = [2, 3, 7].map(|node| member(node, true, "wold-1", Standing::Alive));
-    let first: BTreeSet<Node> = (100..160).map(|node| place(node).voters(members.iter())[0]).collect();
+    let first: BTreeSet<Node> = (100..160).map(|node| location(node).voters(members.iter())[0]).collect();
     assert_eq!(first, BTreeSet::from([2, 3, 7]));
 }
--- a/data-plane/src/start.rs
+++ b/data-plane/src/start.rs
@@ -1,4 +1,4 @@
-//! The program from its start to its end.
+//! Startup, service and shutdown of the program.
 
 use crate::client_handler::{ClientHandler, NotReadyHandler};
 use crate::counter_client::CounterClient;
@@ -24,34 +24,37 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Descriptors that the machine keeps for files, and the program's own.
+/// File descriptors that are reserved for files and for the program itself.
 const RESERVED: usize = 200 + 64;
-/// The hive's clock is waited for so long; then the own one has to do.
-const CLOCK_WAIT: Duration = Duration::from_secs(3);
-/// What a process that is not ready yet lacks is told after so long: a new holder has been found by then.
-const WAITING_TOLD: Duration = Duration::from_secs(2);
-/// At SIGTERM before it is ready, what was answered has so long to get out.
-const LAST: Duration = Duration::from_millis(250);
-/// Of the time that the platform gives after SIGTERM: new connections are taken for this part, and the last answers
-/// are given within that one.
-const STAY: f64 = 0.55;
-const END: f64 = 0.92;
+/// Longest wait for the cluster's clock; afterwards the process's own clock is used.
+const MAX_CLOCK_WAIT: Duration = Duration::from_secs(3);
+/// A process that is not ready logs its missing input after this time, by which a new holder has been found.
+const MISSING_INPUT_DELAY: Duration = Duration::from_secs(2);
+/// Time for sending the last answers after a SIGTERM that comes before the process is ready.
+const EARLY_END_TIME: Duration = Duration::from_millis(250);
+/// Shares of the time that the platform allows after SIGTERM: new connections are accepted during the first
+/// share, and the last answers are given by the end of the second.
+const ACCEPT_SHARE: f64 = 0.55;
+const ANSWER_SHARE: f64 = 0.92;
 
-/// A number by which the counters and the voters of operation keys tell this start of the process from others: drawn
-/// from what the machine has for random, and the same as another start's by a chance of one in 2^32.
+/// A number by which the counters and the voters on operation keys distinguish this start of the process from
+/// others. It is drawn from the machine's random source and equals another start's with a probability of one
+/// in 2^32.
 fn start_number() -> u32 {
     RandomState::new().hash_one(SystemTime::now()) as u32
 }
 
+/// Runs the program until SIGTERM or SIGINT.
 pub fn run() -> eyre::Result<()> {
     log::start();
     let path = settings::path()?;
-    let told = settings::read(&path)?;
+    let node_settings = settings::read(&path)?;
     // a `LocalSet` in a plain runtime would write to the wake-up pipe for each socket event
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
-    runtime.wrap_err("runtime")?.block_on(serve(told, path))
+    runtime.wrap_err("runtime")?.block_on(serve(node_settings, path))
 }
 
+/// The bounds of client connections, with the given times in seconds and size of a head.
 fn bounds(header: f64, idle: f64, header_bytes: usize) -> ClientBounds {
     ClientBounds {
         idle: Duration::from_secs_f64(idle.clamp(0.1, 3600.0)),
@@ -64,115 +67,128 @@
     }
 }
 
-/// Takes connections of one address for good.
-async fn accept<A: Answering>(gate: &Gate, clients: &Rc<Clients<A>>, places: &Share) {
+/// Accepts connections at one address, forever.
+async fn accept<A: Answering>(gate: &Gate, clients: &Rc<Clients<A>>, descriptors: &Share) {
     loop {
-        let (stream, peer, place) = gate.next(|| clients.make_room()).await;
-        clients.serve(stream, peer, place, places.tight());
+        let (stream, peer, descriptor) = gate.next(|| clients.make_room()).await;
+        clients.serve(stream, peer, descriptor, descriptors.tight());
     }
 }
 
-fn open(name: &str, at: Option<SocketAddr>, places: &Rc<Share>) -> eyre::Result<Gate> {
-    let at = at.ok_or_else(|| eyre!("`listen.{name}`: missing"))?;
-    Gate::open(at, places.clone()).wrap_err_with(|| format!("`listen.{name}`: {at}"))
+/// Opens a listening socket; `name` is its field in the settings.
+fn open(name: &str, address: Option<SocketAddr>, descriptors: &Rc<Share>) -> eyre::Result<Gate> {
+    let address = address.ok_or_else(|| eyre!("`listen.{name}`: missing"))?;
+    Gate::open(address, descriptors.clone()).wrap_err_with(|| format!("`listen.{name}`: {address}"))
 }
 
-async fn serve(told: Settings, path: std::path::PathBuf) -> eyre::Result<()> {
+/// Starts all parts, serves clients until a signal to end, and shuts down.
+async fn serve(node_settings: Settings, path: std::path::PathBuf) -> eyre::Result<()> {
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     let hangup = signal(SignalKind::hangup())?;
-    let told = Rc::new(told);
+    let node_settings = Rc::new(node_settings);
     let seed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64
-        ^ u64::from(u32::from(told.ip)) << 32;
-    let descriptors = (told.limits.max_fds as usize).saturating_sub(RESERVED).max(64);
-    // a quarter to the server side: a request out there holds a client's connection here for longer
-    let (server_places, client_places) = (Share::of(descriptors / 4), Share::of(descriptors * 3 / 4 - 16));
+        ^ u64::from(u32::from(node_settings.ip)) << 32;
+    let descriptors = (node_settings.limits.max_fds as usize).saturating_sub(RESERVED).max(64);
+    // a quarter for connections to servers, as each request in progress there holds a client's connection
+    // here for longer
+    let (server_descriptors, client_descriptors) =
+        (Share::of(descriptors / 4), Share::of(descriptors * 3 / 4 - 16));
     let ready = Rc::new(Cell::new(false));
 
-    // the port is there at once: who asks before the state is here hears that it is not ready
-    let ready_places = Share::of(16);
-    let ready_gate = open("ready", told.listen.ready, &ready_places)?;
+    // the port opens at once, so that readiness checks are answered while the state is still missing
+    let readiness_descriptors = Share::of(16);
+    let readiness_gate = open("ready", node_settings.listen.ready, &readiness_descriptors)?;
     let counters: Rc<lupinledge_proxy::counters::Counters> = Rc::default();
 
     let card = Card {
         core: false,
-        region: told.region.clone(),
-        zone: told.zone.clone(),
-        client_address: told.listen.front,
+        region: node_settings.region.clone(),
+        zone: node_settings.zone.clone(),
+        client_address: node_settings.listen.front,
         control_address: None,
         ready: false,
         leaving: false,
         drift: None,
         load: 0,
     };
-    let gossip = Gossip::open(&told, card, true).wrap_err("`port_range`")?;
+    let gossip = Gossip::open(&node_settings, card, true).wrap_err("`port_range`")?;
     let start_number = start_number();
     let counter_client = CounterClient::start(gossip.post().clone(), start_number);
-    let operations = Operations::start(gossip.clone(), &told, start_number);
-    let node_state = NodeState::new(told.clone(), gossip.clone(), counter_client.clone(), operations.clone());
+    let operations = Operations::start(gossip.clone(), &node_settings, start_number);
+    let node_state =
+        NodeState::new(node_settings.clone(), gossip.clone(), counter_client.clone(), operations.clone());
     let metrics = Metrics::new(node_state.clone());
-    let ready_answers = Rc::new(ReadinessHandler { is_ready: ready.clone(), metrics: metrics.clone() });
-    let ready_side = Clients::start(ready_answers, counters.clone(), bounds(3.0, 15.0, 8 << 10));
-    tokio::task::spawn_local(async move { accept(&ready_gate, &ready_side, &ready_places).await });
+    let readiness_handler = Rc::new(ReadinessHandler { is_ready: ready.clone(), metrics: metrics.clone() });
+    let readiness_clients = Clients::start(readiness_handler, counters.clone(), bounds(3.0, 15.0, 8 << 10));
+    tokio::task::spawn_local(async move {
+        accept(&readiness_gate, &readiness_clients, &readiness_descriptors).await
+    });
     tokio::task::spawn_local(gossip.clone().run());
-    let (follows, drifts) = (node_state.clone(), path.with_extension("drift"));
-    // from the start on: other seeds may be what it takes to get ready
+    let (settings_target, drift_file) = (node_state.clone(), path.with_extension("drift"));
+    // watched from the start, as the process may need other seeds to become ready
     tokio::task::spawn_local(settings::watch(path, hangup, move |s| {
-        follows.apply_settings(s);
+        settings_target.apply_settings(s);
         Ok(())
     }));
-    let gate = open("front", told.listen.front, &client_places)?;
+    let gate = open("front", node_settings.listen.front, &client_descriptors)?;
     let estimator = node_state.clone();
-    let early = NotReadyHandler(move || estimator.seconds_until_ready());
-    let early = Clients::start(Rc::new(early), counters, bounds(3.0, 15.0, 16 << 10));
+    let not_ready_clients = NotReadyHandler(move || estimator.seconds_until_ready());
+    let not_ready_clients = Clients::start(Rc::new(not_ready_clients), counters, bounds(3.0, 15.0, 16 << 10));
     let began = Instant::now();
-    let rising = async {
-        let clock = node_state.clock(CLOCK_WAIT).await;
-        let pools = Pools::new(node_state.settings(), clock, counter_client, server_places, seed);
-        node_state.open(pools.clone());
-        tokio::task::spawn_local(node_state.clone().upkeep());
-        tracing::info!(event = "started", node = %told.ip, zone = %told.zone);
+    let startup = async {
+        let clock = node_state.fetch_clock(MAX_CLOCK_WAIT).await;
+        let pools = Pools::new(node_state.settings(), clock, counter_client, server_descriptors, seed);
+        node_state.set_pools(pools.clone());
+        tokio::task::spawn_local(node_state.clone().run_periodic_tasks());
+        tracing::info!(event = "started", node = %node_settings.ip, zone = %node_settings.zone);
         metrics.set_pools(pools.clone());
-        let mut told = None;
+        let mut logged = None;
         while let Some(missing) = pools.missing_input() {
-            if began.elapsed() >= WAITING_TOLD && told.replace(missing) != Some(missing) {
+            if began.elapsed() >= MISSING_INPUT_DELAY && logged.replace(missing) != Some(missing) {
                 tracing::warn!(event = "waiting", lacks = missing);
             }
-            let _ = timeout(Duration::from_millis(100), node_state.woken.notified()).await;
+            let _ = timeout(Duration::from_millis(100), node_state.received.notified()).await;
         }
         pools
     };
-    // clients come back to an address that they know as soon as it answers
+    // clients return to a known address as soon as it accepts connections, so they are answered even before
+    // the process is ready
     let pools = tokio::select! {
-        pools = rising => Some(pools),
-        _ = accept(&gate, &early, &client_places) => None,
+        pools = startup => Some(pools),
+        _ = accept(&gate, &not_ready_clients, &client_descriptors) => None,
         _ = term.recv() => None,
         _ = int.recv() => None,
     };
-    early.end_all();
+    not_ready_clients.end_all();
     let Some(pools) = pools else {
-        let _ = timeout(LAST, early.all_ended()).await;
+        let _ = timeout(EARLY_END_TIME, not_ready_clients.all_ended()).await;
         tracing::info!(event = "ended", taken = 0);
         return Ok(());
     };
-    let door = ClientHandler::new(pools.clone(), operations.clone(), told.limits.memory_mb, seed);
-    let clients = Clients::start(door, pools.counters.clone(), bounds(3.0, 15.0, 16 << 10));
+    let client_handler =
+        ClientHandler::new(pools.clone(), operations.clone(), node_settings.limits.memory_mb, seed);
+    let clients = Clients::start(client_handler, pools.counters.clone(), bounds(3.0, 15.0, 16 << 10));
     ready.set(true);
     gossip.set_card(|card| card.ready = true);
     tracing::info!(event = "ready", version = pools.tables().version());
 
-    let (c, p, woken) = (clients.clone(), pools.clone(), node_state.clone());
+    let (bounded_clients, table_source, updates) = (clients.clone(), pools.clone(), node_state.clone());
     tokio::task::spawn_local(async move {
-        let mut limits = None;
+        let mut applied_limits = None;
         loop {
-            let now = p.tables().limits();
-            if limits.replace(now) != Some(now) {
-                c.bound(bounds(now.header_timeout, now.idle_timeout, now.max_header_bytes));
+            let limits = table_source.tables().limits();
+            if applied_limits.replace(limits) != Some(limits) {
+                bounded_clients.bound(bounds(
+                    limits.header_timeout,
+                    limits.idle_timeout,
+                    limits.max_header_bytes,
+                ));
             }
-            woken.woken.notified().await;
+            updates.received.notified().await;
         }
     });
 
-    let guard = DriftResponder::new(
+    let drift_responder = DriftResponder::new(
         node_state.clone(),
         gossip.clone(),
         pools.clone(),
@@ -180,32 +196,34 @@
         clients.clone(),
         seed,
     );
-    let guard = tokio::task::spawn_local(guard.run(drifts));
+    let drift_responder = tokio::task::spawn_local(drift_responder.run(drift_file));
     tokio::select! {
-        _ = accept(&gate, &clients, &client_places) => {}
+        _ = accept(&gate, &clients, &client_descriptors) => {}
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    guard.abort();
+    drift_responder.abort();
     let began = Instant::now();
     let grace = node_state.settings().bounds.grace_s;
     tracing::info!(event = "ending", unanswered = pools.unanswered());
     ready.set(false);
     gossip.set_card(|card| (card.ready, card.leaving) = (false, true));
-    // clients that still have this address find it open while they learn another one
+    // keeps accepting clients that still use this address, while they learn of another one
     clients.closing();
-    let _ = timeout(Duration::from_secs_f64(grace * STAY), accept(&gate, &clients, &client_places)).await;
+    let _ =
+        timeout(Duration::from_secs_f64(grace * ACCEPT_SHARE), accept(&gate, &clients, &client_descriptors))
+            .await;
     clients.end_all();
-    while let Some((stream, peer, place)) = gate.queued().await {
-        clients.serve(stream, peer, place, true);
+    while let Some((stream, peer, descriptor)) = gate.queued().await {
+        clients.serve(stream, peer, descriptor, true);
     }
     drop(gate);
     clients.end_all();
-    let left = Duration::from_secs_f64(grace * END).saturating_sub(began.elapsed());
-    let _ = timeout(left, clients.all_ended()).await;
-    // those whose clients have left, and what others have to keep of them
-    let left = Duration::from_secs_f64(grace * END).saturating_sub(began.elapsed());
-    let _ = timeout(left, operations.all_ended()).await;
+    let time_left = Duration::from_secs_f64(grace * ANSWER_SHARE).saturating_sub(began.elapsed());
+    let _ = timeout(time_left, clients.all_ended()).await;
+    // waits for operations whose clients have left and for answers that voters must store
+    let time_left = Duration::from_secs_f64(grace * ANSWER_SHARE).saturating_sub(began.elapsed());
+    let _ = timeout(time_left, operations.all_ended()).await;
     sleep(Duration::from_millis(5)).await;
     let (taken, passed) = (pools.counters.taken.get(), pools.counters.passed.get());
     tracing::info!(event = "ended", taken, passed, unanswered = pools.unanswered());
