--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -147,8 +147,8 @@
 
     /// Looks up the key's operation in this gateway's memory.
     fn local_outcome(&self, request: &KeyedRequest) -> LocalState {
-        let mut operation_table = self.operation_table.borrow_mut();
-        let Some(operation) = operation_table.find(self.gossip.now(), request.key) else {
+        let mut table = self.operation_table.borrow_mut();
+        let Some(operation) = table.find(self.gossip.now(), request.key) else {
             return LocalState::Nothing;
         };
         if operation.fingerprint != request.fingerprint {
--- a/data-plane/tests/rules/fleet.rs
+++ b/data-plane/tests/rules/cluster.rs
@@ -1,7 +1,7 @@
-//! The real program on loopback, among stand-ins.
+//! Runs the real program on loopback with a test core and test servers.
 
-use crate::hive::Hive;
-use crate::srv::{Srv, GOOD};
+use crate::test_core::TestCore;
+use crate::test_server::{TestServer, WELL_BEHAVED};
 use lupinledge_config::{Document, Settings};
 use lupinledge_example::http::{Client, Message};
 use lupinledge_messaging::list::ListedServer;
@@ -15,31 +15,31 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// What has not come by then never does, however busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
+/// What has not happened after this time never will, however busy the machine is.
+const LONG_WAIT: Duration = Duration::from_secs(60);
 
-/// Waits until something holds; fails when it never does.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds; fails when it never does.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LONG, "never: {what}");
+        assert!(start.elapsed() < LONG_WAIT, "never: {what}");
         sleep(Duration::from_millis(5));
     }
 }
 
-/// An address that no other test has, nor the same test run beside this one.
+/// A loopback address that no other test uses, nor the same test in another process.
 fn ip() -> Ipv4Addr {
-    static GIVEN: AtomicU32 = AtomicU32::new(1);
-    let (pid, nth) = (std::process::id(), GIVEN.fetch_add(1, Ordering::SeqCst));
+    static NEXT_NUMBER: AtomicU32 = AtomicU32::new(1);
+    let (pid, nth) = (std::process::id(), NEXT_NUMBER.fetch_add(1, Ordering::SeqCst));
     let [.., mid, low] = (1 + pid % 0xfffe).to_be_bytes();
     Ipv4Addr::new(127, mid, low, (nth % 255) as u8)
 }
 
-/// A program being started has open for a moment what this one has open, the sockets by which ports are looked for
-/// too: one at a time.
-static STARTING: Mutex<()> = Mutex::new(());
+/// Programs are started one at a time: for a moment a new process has all open files of this one, including
+/// the sockets by which free ports are searched.
+static START_LOCK: Mutex<()> = Mutex::new(());
 
-/// Three ports, each free at both of these for both kinds of sockets.
+/// Three ports, each free at both addresses for TCP and UDP.
 fn ports(at: [Ipv4Addr; 2]) -> [u16; 3] {
     let mut free = Vec::new();
     while free.len() < 3 {
@@ -50,7 +50,7 @@
     [free[0], free[1], free[2]]
 }
 
-/// Two services and a third by which it is seen that a list has come.
+/// The default configuration: two services, and a third that shows when a server list has been applied.
 pub fn config() -> Value {
     let rule = |prefix: &str, kind: &str, service: &str| {
         let public = matches!(prefix, "/open/" | "/");
@@ -72,7 +72,7 @@
     })
 }
 
-/// A document of this serial with a configuration and evacuated zones.
+/// A document with this serial, a configuration and evacuated zones.
 pub fn document(serial: u64, config: &Value, evacuated: &[&str]) -> Document {
     let evacuated = evacuated.iter().map(|z| z.to_string()).collect();
     Document {
@@ -84,8 +84,8 @@
     }
 }
 
-/// A server in the list, ready and warm.
-pub fn row(s: &Srv, service: &str) -> ListedServer {
+/// The list's row of a server that is ready and warm.
+pub fn server_row(s: &TestServer, service: &str) -> ListedServer {
     let (id, zone) = (s.id.clone(), s.zone.to_string());
     ListedServer {
         id,
@@ -98,23 +98,24 @@
     }
 }
 
-/// A request of the key's tenant under an id of its own; `more` are whole header lines.
-pub fn req(line: &str, key: &str, more: &str, body: &str) -> (String, String) {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
-    let id = format!("at{:06}", GIVEN.fetch_add(1, Ordering::SeqCst));
+/// The attempt id and text of a request with this API key and a new attempt id; `more` holds complete header
+/// lines.
+pub fn new_request(line: &str, key: &str, more: &str, body: &str) -> (String, String) {
+    static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+    let id = format!("at{:06}", NEXT_NUMBER.fetch_add(1, Ordering::SeqCst));
     let head = format!("{line} HTTP/1.1\r\nHost: a.example\r\nLupinledge-Attempt-Id: {id}\r\n");
     let rest = format!("Authorization: Token {key}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len());
     (id, head + &rest)
 }
 
-/// The program by these settings, with its log written there.
+/// Starts the program with these settings and this log output.
 fn spawn_program(path: &Path, settings: &Value, log: Stdio) -> Child {
     std::fs::write(path, settings.to_string()).expect("a settings file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_lupinledge-forager"));
     program.env("LUPINLEDGE_NODE_FILE", path).stderr(log).spawn().expect("the program")
 }
 
-/// The program by these settings, and what it logs.
+/// Starts the program with these settings and collects its log.
 fn run(path: &Path, settings: &Value) -> (Child, Arc<Mutex<String>>) {
     let mut child = spawn_program(path, settings, Stdio::piped());
     let log: Arc<Mutex<String>> = Arc::default();
@@ -126,15 +127,16 @@
     (child, log)
 }
 
-/// Another node of the same hive. Killed when dropped.
-pub struct Beside {
+/// Another gateway of the same cluster, killed when dropped.
+pub struct ExtraGateway {
     child: Child,
     path: PathBuf,
     pub front: SocketAddr,
     ready: SocketAddr,
 }
 
-impl Beside {
+impl ExtraGateway {
+    /// The status of its readiness check, if it answers.
     pub fn readiness(&self) -> Option<u16> {
         readiness(self.ready)
     }
@@ -145,97 +147,102 @@
     }
 }
 
+/// Sends one request on a new connection; `None` if no complete answer came.
 fn try_ask(at: SocketAddr, bytes: &str) -> Option<Message> {
     Client::to(at).ok()?.ask(bytes.as_bytes()).ok()?
 }
 
-/// A figure that a program tells of itself.
+/// Reads a metric of a program.
 fn metric(at: SocketAddr, name: &str) -> Option<u64> {
     let mut client = Client::to(at).ok()?;
     let answer = client.ask(b"GET /lupinledge/metrics HTTP/1.1\r\nHost: a\r\n\r\n").ok()??;
     answer.text().lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
 }
 
-impl Drop for Beside {
+impl Drop for ExtraGateway {
     fn drop(&mut self) {
         let _ = (self.child.kill(), self.child.wait(), std::fs::remove_file(&self.path));
     }
 }
 
+/// The status of a readiness check, if it is answered.
 fn readiness(at: SocketAddr) -> Option<u16> {
     let mut c = Client::to(at).ok()?;
     let answer = c.ask(b"GET /lupinledge/readiness HTTP/1.1\r\nHost: a\r\n\r\n").ok()??;
     Some(answer.status())
 }
 
-/// The program with its hive. Killed when dropped.
-pub struct Fleet {
+/// The program with its test core, killed when dropped.
+pub struct Cluster {
     child: Child,
-    pub hive: Hive,
+    pub core: TestCore,
     pub ip: Ipv4Addr,
     pub front: SocketAddr,
     ready: SocketAddr,
     path: PathBuf,
     settings: Value,
     log: Arc<Mutex<String>>,
-    mark: Srv,
+    marker_server: TestServer,
     lists: AtomicU64,
 }
 
-impl Fleet {
-    /// Ready with these rows and the plain configuration.
-    pub fn start(rows: Vec<ListedServer>) -> Fleet {
-        Fleet::with(rows, &config(), json!({}))
+impl Cluster {
+    /// Starts the program with these servers and the default configuration, and waits until it is ready.
+    pub fn start(rows: Vec<ListedServer>) -> Cluster {
+        Cluster::with_config(rows, &config(), json!({}))
     }
 
-    /// With so many megabytes of memory.
-    pub fn within(rows: Vec<ListedServer>, memory_mb: u64) -> Fleet {
-        Fleet::set_up(rows, &config(), json!({"limits": {"memory_mb": memory_mb}}))
+    /// Starts it with this many megabytes of memory.
+    pub fn with_memory(rows: Vec<ListedServer>, memory_mb: u64) -> Cluster {
+        Cluster::start_with(rows, &config(), json!({"limits": {"memory_mb": memory_mb}}))
     }
 
-    pub fn with(rows: Vec<ListedServer>, config: &Value, bounds: Value) -> Fleet {
-        Fleet::set_up(rows, config, json!({"bounds": bounds}))
+    /// Starts it with this configuration and these bounds.
+    pub fn with_config(rows: Vec<ListedServer>, config: &Value, bounds: Value) -> Cluster {
+        Cluster::start_with(rows, config, json!({"bounds": bounds}))
     }
 
-    /// With these fields of the settings file beside the plain ones.
-    fn set_up(rows: Vec<ListedServer>, config: &Value, more: Value) -> Fleet {
-        let (own, hive) = (ip(), ip());
-        let alone = STARTING.lock().unwrap_or_else(|e| e.into_inner());
-        let [peers, front, ready] = ports([own, hive]);
+    /// Starts it with these fields of the settings file in addition to the default ones.
+    fn start_with(rows: Vec<ListedServer>, config: &Value, more: Value) -> Cluster {
+        let (own_ip, core) = (ip(), ip());
+        let start_guard = START_LOCK.lock().unwrap_or_else(|e| e.into_inner());
+        let [peers, front, ready] = ports([own_ip, core]);
         let settings = |ip: Ipv4Addr| {
             let mut settings = json!({
                 "ip": ip, "zone": "mead-1", "region": "mead",
                 "zones": {"mead-1": "mead", "mead-2": "mead", "wold-1": "wold"},
-                "listen": {"front": format!("{own}:{front}"), "ready": format!("{own}:{ready}")},
-                "port_range": [peers, peers], "seeds": [format!("{hive}:{peers}")],
+                "listen": {"front": format!("{own_ip}:{front}"), "ready": format!("{own_ip}:{ready}")},
+                "port_range": [peers, peers], "seeds": [format!("{core}:{peers}")],
             });
             let fields = settings.as_object_mut().zip(more.as_object());
             fields.into_iter().for_each(|(all, more)| all.extend(more.clone()));
             settings
         };
-        let told = Settings::parse(settings(hive).to_string().as_bytes()).expect("the hive's settings");
-        let hive = Hive::start(told);
-        let path = std::env::temp_dir().join(format!("lupinledge-forager-{own}.json"));
-        let settings = settings(own);
+        let core_settings =
+            Settings::parse(settings(core).to_string().as_bytes()).expect("the hive's settings");
+        let core = TestCore::start(core_settings);
+        let path = std::env::temp_dir().join(format!("lupinledge-forager-{own_ip}.json"));
+        let settings = settings(own_ip);
         let (child, log) = run(&path, &settings);
-        drop(alone);
-        let (front, ready) = ((own, front).into(), (own, ready).into());
-        let (mark, lists) = (Srv::start("mark", "mead-2", GOOD), AtomicU64::new(0));
-        let fleet = Fleet { child, hive, ip: own, front, ready, path, settings, log, mark, lists };
-        fleet.follow(document(1, config, &[]));
-        fleet.list(rows);
-        until("it says that it is ready", || fleet.readiness() == Some(200));
+        drop(start_guard);
+        let (front, ready) = ((own_ip, front).into(), (own_ip, ready).into());
+        let (marker_server, lists) = (TestServer::start("mark", "mead-2", WELL_BEHAVED), AtomicU64::new(0));
+        let fleet =
+            Cluster { child, core, ip: own_ip, front, ready, path, settings, log, marker_server, lists };
+        fleet.apply_document(document(1, config, &[]));
+        fleet.apply_list(rows);
+        wait_until("the gateway is ready", || fleet.readiness() == Some(200));
         fleet
     }
 
-    /// Tells a document, and waits until it is in force.
-    pub fn follow(&self, document: Document) {
+    /// Publishes a document and waits until it is in force.
+    pub fn apply_document(&self, document: Document) {
         let line = format!("event=follow serial={} ", document.serial);
-        self.hive.document(document.serial, document);
-        until(&line, || self.log.lock().unwrap().contains(&line));
+        self.core.publish_document(document.serial, document);
+        wait_until(&line, || self.log.lock().unwrap().contains(&line));
     }
 
-    /// The most memory that the program ever had, in kilobytes.
+    /// The program's peak memory in kilobytes.
     pub fn peak_kb(&self) -> u64 {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
@@ -244,85 +251,90 @@
         peak.expect("its peak")
     }
 
-    /// The hive is the only one there among so many voters of operation keys from now on.
-    pub fn alone_among(&self, voters: u32) {
-        let members: Vec<u32> = (0..voters).map(|nth| self.hive.me + nth).collect();
-        self.hive.votes_among(&members);
+    /// From now on the core is the only one of this many voters on operation keys that answers.
+    pub fn answer_alone_among(&self, voters: u32) {
+        let members: Vec<u32> = (0..voters).map(|nth| self.core.me + nth).collect();
+        self.core.set_voters(&members);
     }
 
-    /// More voters of operation keys, so that with the hive `there` of `all` are there.
-    pub fn voters(&self, there: usize, all: usize) -> Vec<Hive> {
-        let _alone = STARTING.lock();
+    /// Starts more voters on operation keys, so that including the core `running` of `all` voters answer.
+    pub fn start_voters(&self, running: usize, all: usize) -> Vec<TestCore> {
+        let _start_guard = START_LOCK.lock();
         let voter = |_| {
             let mut settings = self.settings.clone();
             settings["ip"] = json!(ip());
-            let told = Settings::parse(settings.to_string().as_bytes()).expect("the voter's settings");
-            Hive::voter(told)
+            let voter_settings =
+                Settings::parse(settings.to_string().as_bytes()).expect("the voter's settings");
+            TestCore::start_voter(voter_settings)
         };
-        let more: Vec<Hive> = (1..there).map(voter).collect();
+        let more: Vec<TestCore> = (1..running).map(voter).collect();
         let mut members: Vec<u32> = more.iter().map(|voter| voter.me).collect();
-        members.extend((0..=all - there).map(|nth| self.hive.me + nth as u32));
-        more.iter().chain([&self.hive]).for_each(|voter| voter.votes_among(&members));
+        members.extend((0..=all - running).map(|nth| self.core.me + nth as u32));
+        more.iter().chain([&self.core]).for_each(|voter| voter.set_voters(&members));
         more
     }
 
-    /// The figure of this name that the program tells of itself.
+    /// Reads a metric of the program.
     pub fn metric(&self, name: &str) -> Option<u64> {
         metric(self.ready, name)
     }
 
-    /// Other bounds in the settings file and SIGHUP; waits until the log says this of it.
-    pub fn bounds(&self, bounds: Value, says: &str) {
+    /// Changes the bounds in the settings file, sends SIGHUP, and waits until the log contains this text.
+    pub fn change_bounds(&self, bounds: Value, expected_log: &str) {
         let (mut settings, file) = (self.settings.clone(), self.path.with_extension("new"));
         settings["bounds"] = bounds;
         std::fs::write(&file, settings.to_string()).expect("a settings file");
         std::fs::rename(&file, &self.path).expect("its place");
         self.signal("HUP");
-        until(says, || self.log.lock().unwrap().contains(says));
+        wait_until(expected_log, || self.log.lock().unwrap().contains(expected_log));
     }
 
-    /// Tells a list, and waits until it is in force: a server of its own kind is known by its number.
-    pub fn list(&self, mut rows: Vec<ListedServer>) {
+    /// Publishes a server list and waits until it is in force, which a marker server with the list's number
+    /// shows.
+    pub fn apply_list(&self, mut rows: Vec<ListedServer>) {
         let number = self.lists.fetch_add(1, Ordering::SeqCst) + 1;
-        let mark = format!("mark-{number}");
-        rows.push(ListedServer { id: mark.clone(), ..row(&self.mark, "mark") });
-        self.hive.rows(number, rows);
-        let req = || req("GET /", "key", "", "").1.replace("a.example", "mark.example");
-        until(&mark, || self.try_ask(&req()).is_some_and(|m| m.text().starts_with(&mark)));
+        let marker_server = format!("mark-{number}");
+        rows.push(ListedServer { id: marker_server.clone(), ..server_row(&self.marker_server, "mark") });
+        self.core.publish_list(number, rows);
+        let new_request = || new_request("GET /", "key", "", "").1.replace("a.example", "mark.example");
+        wait_until(&marker_server, || {
+            self.try_ask(&new_request()).is_some_and(|m| m.text().starts_with(&marker_server))
+        });
     }
 
+    /// The status of its readiness check, if it answers.
     pub fn readiness(&self) -> Option<u16> {
         readiness(self.ready)
     }
 
-    /// One more node, ready when this returns.
-    pub fn beside(&self) -> Beside {
-        self.beside_logging_to(Stdio::null())
+    /// Starts another gateway and waits until it is ready.
+    pub fn start_gateway(&self) -> ExtraGateway {
+        self.start_gateway_logging_to(Stdio::null())
     }
 
-    /// One more node whose log is written there, ready when this returns.
-    pub fn beside_logging_to(&self, log: Stdio) -> Beside {
-        let (own, mut settings) = (ip(), self.settings.clone());
-        let at = |port: u16| SocketAddr::from((own, port));
+    /// Starts another gateway with this log output and waits until it is ready.
+    pub fn start_gateway_logging_to(&self, log: Stdio) -> ExtraGateway {
+        let (own_ip, mut settings) = (ip(), self.settings.clone());
+        let at = |port: u16| SocketAddr::from((own_ip, port));
         let (front, ready) = (at(self.front.port()), at(self.ready.port()));
-        settings["ip"] = json!(own);
+        settings["ip"] = json!(own_ip);
         settings["listen"] = json!({"front": front, "ready": ready});
-        let path = std::env::temp_dir().join(format!("lupinledge-forager-{own}.json"));
-        let alone = STARTING.lock();
+        let path = std::env::temp_dir().join(format!("lupinledge-forager-{own_ip}.json"));
+        let start_guard = START_LOCK.lock();
         let child = spawn_program(&path, &settings, log);
-        drop(alone);
-        let beside = Beside { child, path, front, ready };
-        until("the node beside is ready", || beside.readiness() == Some(200));
-        beside
+        drop(start_guard);
+        let gateway = ExtraGateway { child, path, front, ready };
+        wait_until("the other gateway is ready", || gateway.readiness() == Some(200));
+        gateway
     }
 
-    /// Killed, and started anew at the same address; ready when this returns.
+    /// Kills the program, restarts it at the same address, and waits until it is ready.
     pub fn restart(&mut self) {
         let _ = (self.child.kill(), self.child.wait());
-        let alone = STARTING.lock();
+        let start_guard = START_LOCK.lock();
         (self.child, self.log) = run(&self.path, &self.settings);
-        drop(alone);
-        until("it is ready again", || self.readiness() == Some(200));
+        drop(start_guard);
+        wait_until("the gateway is ready again", || self.readiness() == Some(200));
     }
 
     /// Changes the program's tables in its memory, as a fault would.
@@ -331,7 +343,7 @@
         self.signal("USR1");
     }
 
-    /// What it logged so far.
+    /// What the program has logged so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
@@ -345,21 +357,22 @@
         self.try_ask(bytes).expect("an answer")
     }
 
-    /// The statuses of so many requests one after the other.
+    /// The statuses of this many requests, sent one after the other.
     pub fn statuses(&self, times: usize, line: &str, key: &str) -> Vec<u16> {
-        (0..times).map(|_| self.ask(&req(line, key, "", "").1).status()).collect()
+        (0..times).map(|_| self.ask(&new_request(line, key, "", "").1).status()).collect()
     }
 
+    /// Sends the program a signal.
     pub fn signal(&self, name: &str) {
-        let _alone = STARTING.lock();
+        let _start_guard = START_LOCK.lock();
         let kill = Command::new("sh").arg("-c").arg(format!("kill -{name} {}", self.child.id())).status();
         assert!(kill.expect("a shell").success());
     }
 
-    /// How it ended.
-    pub fn end(&mut self) -> ExitStatus {
+    /// Waits until the program exits and returns its status.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("it ends", || {
+        wait_until("the program exits", || {
             status = self.child.try_wait().expect("its status");
             status.is_some()
         });
@@ -367,7 +380,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for Cluster {
     fn drop(&mut self) {
         let _ = (self.child.kill(), self.child.wait(), std::fs::remove_file(&self.path));
         let _ = std::fs::remove_file(self.path.with_extension("drift"));
--- a/data-plane/tests/rules/hive.rs
+++ b/data-plane/tests/rules/test_core.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the hive: one process that holds the duty, tells documents and lists of servers, counts, and shows
-//! its clock. It votes on operation keys, without a disk. It gossips with the system's own parts.
+//! A test core: one process that holds the duty, publishes documents and server lists, counts, and answers
+//! clock requests. It votes on operation keys without a disk, and uses the system's own gossip.
 
 use lupinledge_config::{Document, Settings, Tables};
 use lupinledge_consensus::Ballot;
@@ -20,15 +20,16 @@
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 
-enum Order {
+/// A command from a test to the core.
+enum Command {
     Document(u64, Document),
     Rows(u64, Vec<ListedServer>),
-    /// The duty is held under the epoch of this round from now on, by the same process.
+    /// From now on the same process holds the duty under the epoch of this round.
     Round(u32),
-    /// These vote on operation keys from now on.
+    /// From now on these nodes vote on operation keys.
     Voters(Vec<Node>),
-    /// Straight to a process, without keeping it.
-    Say(Node, Ballot, Document),
+    /// Sends a document directly to a process without storing it.
+    SendDocument(Node, Ballot, Document),
 }
 
 /// How calls to the counters are answered.
@@ -36,78 +37,78 @@
 pub enum Answers {
     #[default]
     Prompt,
-    /// Not yet; the answers are kept, with totals past any quota.
+    /// Not answered yet; the answers, with totals beyond any quota, are kept.
     Withheld,
-    /// What was kept comes when the next call does, which is not answered itself.
+    /// The kept answers are sent when the next call arrives, which is not answered itself.
     Late,
-    /// With totals past any quota, from the round before this one.
+    /// Answered with totals beyond any quota, from the round before this one.
     Outdated,
 }
 
-/// What goes through the counters. Names of leases are odd, those of use are even.
+/// The state of the counters. Names of leases are odd, names of use are even.
 #[derive(Default)]
-pub struct Counts {
-    /// Requests that others have added to each name of use.
+pub struct CounterState {
+    /// Requests that other gateways have added to each name of use.
     pub others: AtomicU64,
     /// Requests that were added to names of use so far.
     pub added: AtomicU64,
     /// Leases held under the newest name.
     pub leases: AtomicU64,
-    /// Requests that were told to a new holder.
-    pub told: AtomicU64,
-    /// Answers of no worth that were sent.
+    /// Requests in the latest report to a new holder.
+    pub reported: AtomicU64,
+    /// Invalid answers that were sent.
     pub stale: AtomicU64,
     pub answers: Mutex<Answers>,
 }
 
-/// What becomes of operation keys.
+/// The state of the votes on operation keys.
 #[derive(Default)]
-pub struct Votes {
-    /// Claims that came.
+pub struct VoteState {
+    /// Claims that were received.
     pub claims: AtomicU64,
-    /// Claims are not answered.
+    /// Whether claims are left unanswered.
     pub silent: AtomicBool,
-    /// A key's claims are not answered until this gateway has claimed it; 0: whoever is first is answered.
+    /// If not 0, a key's claims are not answered until the gateway with this node number has claimed it.
     pub prefers: AtomicU32,
     /// Keys that are held.
     pub held: AtomicU64,
-    /// Bytes of answers that are kept.
+    /// Bytes of stored answers.
     pub answer_bytes: AtomicU64,
 }
 
-/// Ends when dropped.
-pub struct Hive {
-    orders: UnboundedSender<Order>,
-    pub counts: Arc<Counts>,
-    pub votes: Arc<Votes>,
+/// A running test core; it stops when dropped.
+pub struct TestCore {
+    commands: UnboundedSender<Command>,
+    pub counts: Arc<CounterState>,
+    pub votes: Arc<VoteState>,
     pub me: Node,
 }
 
-/// The most keys and bytes of answers that the stand-in holds.
+/// The largest number of keys and of bytes of answers that the test core stores.
 const KEYS: usize = 10_000;
 const ANSWER_BYTES: usize = 1 << 20;
 
-/// Answers the words that are not of the gossip.
-struct Holder {
+/// Answers the messages that the gossip does not handle.
+struct CoreHost {
     gossip: Rc<Gossip>,
     totals: RefCell<BTreeMap<u64, f64>>,
-    kept: RefCell<Vec<WireMessage>>,
-    counts: Arc<Counts>,
+    withheld_answers: RefCell<Vec<WireMessage>>,
+    counts: Arc<CounterState>,
     voter: RefCell<Voter>,
     electorate: Cell<u64>,
     /// Keys whose claims are answered.
     preferred: RefCell<BTreeSet<Key>>,
-    votes: Arc<Votes>,
+    votes: Arc<VoteState>,
 }
 
-impl Holder {
-    /// Lets the voter act; what it writes is on disk at once.
+impl CoreHost {
+    /// Lets the voter act; what it appends counts as saved at once.
     fn vote(&self, act: impl FnOnce(&mut Voter, f64, &mut Vec<Action>)) {
         let (mut voter, now, mut out) = (self.voter.borrow_mut(), self.gossip.now(), Vec::new());
         act(&mut voter, now, &mut out);
         while !out.is_empty() {
-            for order in std::mem::take(&mut out) {
-                match order {
+            for action in std::mem::take(&mut out) {
+                match action {
                     Action::Send(to, message) => {
                         self.gossip.post().send(to, &WireMessage::Operation(message))
                     }
@@ -128,26 +129,26 @@
         self.preferred.borrow().contains(&key)
     }
 
-    /// The electorate is these from now on.
-    fn voters(&self, members: &[Node]) {
+    /// Sets the electorate from now on.
+    fn set_electorate(&self, members: &[Node]) {
         let index = self.electorate.get() + 1;
         self.electorate.set(index);
         self.vote(|voter, now, out| voter.set_members(now, index, members, &[], out));
     }
 }
 
-impl Host for Holder {
+impl Host for CoreHost {
     fn on_update(&self, _: Update) {}
-    fn on_message(&self, from: Node, word: WireMessage) {
-        let answer = match word {
+    fn on_message(&self, from: Node, message: WireMessage) {
+        let answer = match message {
             WireMessage::ClockRequest { sent } => {
                 WireMessage::ClockReply { sent, hive: 1000.0 + self.gossip.now() }
             }
             WireMessage::CounterSums { tag, calls, .. } => {
-                let mut sums = self.totals.borrow_mut();
+                let mut totals_by_name = self.totals.borrow_mut();
                 let mut add = |(name, sum, _): (u64, i64, u16)| {
                     let sum = from_fixed(sum);
-                    let before = sums.insert(name, sum).unwrap_or(0.0);
+                    let before = totals_by_name.insert(name, sum).unwrap_or(0.0);
                     if name & 1 == 1 {
                         return to_fixed(sum);
                     }
@@ -155,30 +156,32 @@
                     to_fixed(sum + self.counts.others.load(Ordering::SeqCst) as f64)
                 };
                 let totals = calls.into_iter().map(|call| NameTotal(add(call), None)).collect();
-                let newest = sums.iter().rev().find(|(name, _)| *name & 1 == 1).map_or(0.0, |(_, sum)| *sum);
+                let newest =
+                    totals_by_name.iter().rev().find(|(name, _)| *name & 1 == 1).map_or(0.0, |(_, sum)| *sum);
                 self.counts.leases.store(newest.round() as u64, Ordering::SeqCst);
                 let round = round_of_epoch(self.gossip.with_store(|h| h.epoch().0));
-                let past = |totals: Vec<NameTotal>| vec![NameTotal(to_fixed(1000.0), None); totals.len()];
+                let beyond_quota =
+                    |totals: Vec<NameTotal>| vec![NameTotal(to_fixed(1000.0), None); totals.len()];
                 match *self.counts.answers.lock().unwrap() {
                     Answers::Prompt => WireMessage::Totals { tag, round, totals },
                     Answers::Withheld => {
-                        let answer = WireMessage::Totals { tag, round, totals: past(totals) };
-                        return self.kept.borrow_mut().push(answer);
+                        let answer = WireMessage::Totals { tag, round, totals: beyond_quota(totals) };
+                        return self.withheld_answers.borrow_mut().push(answer);
                     }
                     Answers::Late => {
-                        let kept = self.kept.take();
-                        self.counts.stale.fetch_add(kept.len() as u64, Ordering::SeqCst);
-                        return kept.iter().for_each(|k| self.gossip.post().send(from, k));
+                        let withheld_answers = self.withheld_answers.take();
+                        self.counts.stale.fetch_add(withheld_answers.len() as u64, Ordering::SeqCst);
+                        return withheld_answers.iter().for_each(|k| self.gossip.post().send(from, k));
                     }
                     Answers::Outdated => {
                         self.counts.stale.fetch_add(1, Ordering::SeqCst);
-                        WireMessage::Totals { tag, round: round - 1, totals: past(totals) }
+                        WireMessage::Totals { tag, round: round - 1, totals: beyond_quota(totals) }
                     }
                 }
             }
             WireMessage::CounterReport { told, .. } => {
-                let use_of = told.iter().filter(|t| t.name & 1 == 0).map(|t| t.sum).sum::<f64>();
-                return self.counts.told.store(use_of.round() as u64, Ordering::SeqCst);
+                let total_use = told.iter().filter(|t| t.name & 1 == 0).map(|t| t.sum).sum::<f64>();
+                return self.counts.reported.store(total_use.round() as u64, Ordering::SeqCst);
             }
             WireMessage::Operation(message) => {
                 if let Message::Claim { key, .. } = &message {
@@ -195,67 +198,79 @@
     }
 }
 
-fn bytes(what: &Document) -> Vec<u8> {
+/// The encoded document.
+fn encoded(document: &Document) -> Vec<u8> {
     let mut bytes = Vec::new();
-    encode(what, &mut bytes).expect("plain data");
+    encode(document, &mut bytes).expect("plain data");
     bytes
 }
 
-impl Hive {
-    /// Has bound its port when it returns.
-    pub fn start(settings: Settings) -> Hive {
-        Hive::with(settings, true)
+impl TestCore {
+    /// Starts a core that holds the duty; its port is bound when this returns.
+    pub fn start(settings: Settings) -> TestCore {
+        TestCore::start_with_role(settings, true)
     }
-    /// Another voter, which does not hold the duty.
-    pub fn voter(settings: Settings) -> Hive {
-        Hive::with(settings, false)
+    /// Starts another voter, which does not hold the duty.
+    pub fn start_voter(settings: Settings) -> TestCore {
+        TestCore::start_with_role(settings, false)
     }
-    fn with(settings: Settings, holds: bool) -> Hive {
-        let (orders, from) = unbounded_channel();
-        let hive = Hive { orders, counts: Arc::default(), votes: Arc::default(), me: settings.node() };
-        let (counts, votes) = (hive.counts.clone(), hive.votes.clone());
-        let (bound, is_bound) = std::sync::mpsc::channel();
+    /// Starts the core's thread.
+    fn start_with_role(settings: Settings, holds_duty: bool) -> TestCore {
+        let (commands, from) = unbounded_channel();
+        let core = TestCore { commands, counts: Arc::default(), votes: Arc::default(), me: settings.node() };
+        let (counts, votes) = (core.counts.clone(), core.votes.clone());
+        let (bound_sender, bound_receiver) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
-            runtime.expect("a runtime").block_on(run(settings, holds, from, (counts, votes), bound));
+            runtime.expect("a runtime").block_on(run(
+                settings,
+                holds_duty,
+                from,
+                (counts, votes),
+                bound_sender,
+            ));
         });
-        is_bound.recv().expect("its port");
-        hive
+        bound_receiver.recv().expect("its port");
+        core
     }
-    /// Tells a document under a ballot of the epoch.
-    pub fn document(&self, index: u64, document: Document) {
-        let _ = self.orders.send(Order::Document(index, document));
+    /// Publishes a document under a ballot of the epoch.
+    pub fn publish_document(&self, index: u64, document: Document) {
+        let _ = self.commands.send(Command::Document(index, document));
     }
-    pub fn rows(&self, number: u64, rows: Vec<ListedServer>) {
-        let _ = self.orders.send(Order::Rows(number, rows));
+    /// Publishes a server list.
+    pub fn publish_list(&self, number: u64, rows: Vec<ListedServer>) {
+        let _ = self.commands.send(Command::Rows(number, rows));
     }
-    pub fn round(&self, round: u32) {
-        let _ = self.orders.send(Order::Round(round));
+    /// Continues to hold the duty under the epoch of this round.
+    pub fn start_round(&self, round: u32) {
+        let _ = self.commands.send(Command::Round(round));
     }
-    /// It votes among these from now on.
-    pub fn votes_among(&self, voters: &[Node]) {
-        let _ = self.orders.send(Order::Voters(voters.to_vec()));
+    /// Sets the voters that the core votes among from now on.
+    pub fn set_voters(&self, voters: &[Node]) {
+        let _ = self.commands.send(Command::Voters(voters.to_vec()));
     }
-    pub fn answers(&self, how: Answers) {
+    /// Changes how calls to the counters are answered.
+    pub fn set_answers(&self, how: Answers) {
         *self.counts.answers.lock().unwrap() = how;
     }
-    /// What an honest holder would not say.
-    pub fn say(&self, to: Node, (epoch, index): (u64, u64), document: Document) {
-        let _ = self.orders.send(Order::Say(to, Ballot { epoch, index }, document));
+    /// Sends a document with any ballot to a process, as no correct holder would.
+    pub fn send_document(&self, to: Node, (epoch, index): (u64, u64), document: Document) {
+        let _ = self.commands.send(Command::SendDocument(to, Ballot { epoch, index }, document));
     }
 }
 
-/// A voter that votes from the start.
+/// Settings of a voter that may vote from the start.
 fn founder(me: Node) -> voter::Settings {
     voter::Settings { me, seed: 1, founder: true, max_records: KEYS, max_answer_bytes: ANSWER_BYTES }
 }
 
+/// Runs a core and carries out the commands of its test.
 async fn run(
     settings: Settings,
-    holds: bool,
-    mut orders: UnboundedReceiver<Order>,
-    (counts, votes): (Arc<Counts>, Arc<Votes>),
-    bound: std::sync::mpsc::Sender<()>,
+    holds_duty: bool,
+    mut commands: UnboundedReceiver<Command>,
+    (counts, votes): (Arc<CounterState>, Arc<VoteState>),
+    bound_sender: std::sync::mpsc::Sender<()>,
 ) {
     let (region, zone) = (settings.region.clone(), settings.zone.clone());
     let (client_address, control_address) = (None, settings.seeds.first().copied());
@@ -270,48 +285,48 @@
         drift: None,
         load: 0,
     };
-    let gossip = Gossip::open(&settings, card, false).expect("the hive's port");
-    let _ = bound.send(());
-    let holder = Rc::new(Holder {
+    let gossip = Gossip::open(&settings, card, false).expect("the core's port");
+    let _ = bound_sender.send(());
+    let core_host = Rc::new(CoreHost {
         gossip: gossip.clone(),
         totals: RefCell::default(),
-        kept: RefCell::default(),
+        withheld_answers: RefCell::default(),
         counts,
         voter: RefCell::new(Voter::new(0.0, founder(gossip.me()), Vec::new(), &mut Vec::new())),
         electorate: Cell::new(0),
         preferred: RefCell::default(),
         votes,
     });
-    holder.vote(|voter, now, out| voter.on_saved(now, 1, out));
-    holder.voters(&[gossip.me()]);
-    let host: Rc<dyn Host> = holder.clone();
+    core_host.vote(|voter, now, out| voter.on_saved(now, 1, out));
+    core_host.set_electorate(&[gossip.me()]);
+    let host: Rc<dyn Host> = core_host.clone();
     gossip.set_host(Rc::downgrade(&host));
     tokio::task::spawn_local(gossip.clone().run());
-    if holds {
+    if holds_duty {
         let epoch = Some((epoch_of_round(1, gossip.me()), gossip.me()));
         gossip.publish(Update { epoch, ..Update::default() }, Source::Origin);
     }
-    while let Some(order) = orders.recv().await {
-        match order {
-            Order::Document(index, d) => {
-                let state = Some(((1, index), Rc::from(bytes(&d))));
+    while let Some(command) = commands.recv().await {
+        match command {
+            Command::Document(index, d) => {
+                let state = Some(((1, index), Rc::from(encoded(&d))));
                 gossip.publish(Update { state, ..Update::default() }, Source::Origin);
-                let print = Tables::new(&d, &settings.zones).map_or(0, |t| t.print().folded());
-                gossip.set_fingerprint(index, print);
+                let fingerprint = Tables::new(&d, &settings.zones).map_or(0, |t| t.print().folded());
+                gossip.set_fingerprint(index, fingerprint);
             }
-            Order::Rows(number, rows) => {
+            Command::Rows(number, rows) => {
                 let list = Some(((1, number), Rc::from(ServerList { number: (1, number), rows }.encode())));
                 gossip.publish(Update { list, ..Update::default() }, Source::Origin);
             }
-            Order::Round(round) => {
+            Command::Round(round) => {
                 let epoch = Some((epoch_of_round(round, gossip.me()), gossip.me()));
                 gossip.publish(Update { epoch, ..Update::default() }, Source::Origin);
             }
-            Order::Voters(members) => holder.voters(&members),
-            Order::Say(to, ballot, d) => {
-                let state = Some(((ballot.epoch, ballot.index), ByteBuf::from(bytes(&d))));
-                let news = WireMessage::Update { digest: Default::default(), state, list: None };
-                gossip.post().send(to, &news);
+            Command::Voters(members) => core_host.set_electorate(&members),
+            Command::SendDocument(to, ballot, d) => {
+                let state = Some(((ballot.epoch, ballot.index), ByteBuf::from(encoded(&d))));
+                let update = WireMessage::Update { digest: Default::default(), state, list: None };
+                gossip.post().send(to, &update);
             }
         }
     }
