--- a/data-plane/src/drift_responder.rs
+++ b/data-plane/src/drift_responder.rs
@@ -38,7 +38,7 @@
     audited: Rc<Tables>,
     /// The tables that were in force when the node withdrew and the detector's name, until it is known what
     /// differed.
-    doubted_tables: Option<(Rc<Tables>, &'static str)>,
+    doubted: Option<(Rc<Tables>, &'static str)>,
 }
 
 impl DriftResponder {
@@ -64,7 +64,7 @@
             monitor,
             checks: 0,
             audited,
-            doubted_tables: None,
+            doubted: None,
         }
     }
 
@@ -104,12 +104,12 @@
                 terms_due.then(|| self.pools.find_deviation((self.checks / TERMS_CHECKS) as usize)).flatten();
             deviation.map(|(part, name)| Finding { part, names: vec![name] })
         });
-        let (index, fingerprint) =
+        let (index, print) =
             (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().folded());
-        self.gossip.set_fingerprint(index, fingerprint);
+        self.gossip.set_fingerprint(index, print);
         let local_state = LocalState {
             index,
-            print: fingerprint,
+            print,
             faulty_part: finding.as_ref().map(|f| f.part),
             verified: self.audit.is_clean(),
         };
@@ -133,7 +133,7 @@
                 let (detector_name, route) = (detector.name(), differing_names.unwrap_or_default());
                 tracing::warn!(event = "drift", part = part_name, %route, judge = detector_name, index);
                 tracing::warn!(event = "out", judge = detector_name, times, hold);
-                self.doubted_tables = Some((tables.clone(), detector_name));
+                self.doubted = Some((tables.clone(), detector_name));
                 self.ready.set(false);
                 self.pools.set_suspension(Some(self.monitor.retry_after(self.gossip.now())));
                 self.clients.closing();
@@ -165,13 +165,11 @@
     /// Logs what differed once other tables are in force than those that were in doubt.
     fn log_difference(&mut self) {
         let current = self.pools.tables();
-        let Some((doubted, judge)) =
-            self.doubted_tables.take_if(|(doubted, _)| !Rc::ptr_eq(doubted, &current))
-        else {
+        let Some((old, judge)) = self.doubted.take_if(|(old, _)| !Rc::ptr_eq(old, &current)) else {
             return;
         };
-        for part in Part::ALL.into_iter().filter(|p| doubted.reprint(*p) != current.reprint(*p)) {
-            let route = doubted.differing(&current, part).join(",");
+        for part in Part::ALL.into_iter().filter(|p| old.reprint(*p) != current.reprint(*p)) {
+            let route = old.differing(&current, part).join(",");
             tracing::warn!(event = "drift", part = part.name(), %route, judge);
         }
     }
--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -63,7 +63,7 @@
 }
 
 /// What this gateway knows about a key.
-enum LocalState {
+enum KeyState {
     Nothing,
     Running,
     Ended(KeyedOutcome),
@@ -133,10 +133,10 @@
             let ended = self.ended.notified();
             tokio::pin!(ended);
             ended.as_mut().enable();
-            match self.local_outcome(&request) {
-                LocalState::Nothing => return self.claim_and_send(&request, send).await,
-                LocalState::Ended(ended) => return ended,
-                LocalState::Running => {
+            match self.local_state(&request) {
+                KeyState::Nothing => return self.claim_and_send(&request, send).await,
+                KeyState::Ended(ended) => return ended,
+                KeyState::Running => {
                     if timeout_at(request.deadline - REPLY_TIME, ended).await.is_err() {
                         return KeyedOutcome::StillRunning;
                     }
@@ -146,21 +146,21 @@
     }
 
     /// Looks up the key's operation in this gateway's memory.
-    fn local_outcome(&self, request: &KeyedRequest) -> LocalState {
+    fn local_state(&self, request: &KeyedRequest) -> KeyState {
         let mut table = self.operation_table.borrow_mut();
         let Some(operation) = table.find(self.gossip.now(), request.key) else {
-            return LocalState::Nothing;
+            return KeyState::Nothing;
         };
         if operation.fingerprint != request.fingerprint {
-            return LocalState::Ended(KeyedOutcome::OtherRequest);
+            return KeyState::Ended(KeyedOutcome::OtherRequest);
         }
         match &operation.state {
-            State::Running => LocalState::Running,
-            State::Lost => LocalState::Ended(KeyedOutcome::Lost),
-            State::AnswerDropped => LocalState::Nothing,
+            State::Running => KeyState::Running,
+            State::Lost => KeyState::Ended(KeyedOutcome::Lost),
+            State::AnswerDropped => KeyState::Nothing,
             State::Answered(answer) => {
                 increment(&self.counters.repeated);
-                LocalState::Ended(KeyedOutcome::Repeated(answer.clone()))
+                KeyState::Ended(KeyedOutcome::Repeated(answer.clone()))
             }
         }
     }
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -186,8 +186,8 @@
     }
 
     /// Injects a fault in tests, see [`Tables::drift`].
-    pub fn drift(&self, how: &str) {
-        Rc::make_mut(&mut self.pool_set.borrow_mut().tables).drift(how);
+    pub fn drift(&self, drift_kind: &str) {
+        Rc::make_mut(&mut self.pool_set.borrow_mut().tables).drift(drift_kind);
     }
 
     /// Writes the metrics of requests, servers and rules.
--- a/data-plane/tests/rules/cluster.rs
+++ b/data-plane/tests/rules/cluster.rs
@@ -219,7 +219,7 @@
             settings
         };
         let core_settings =
-            Settings::parse(settings(core).to_string().as_bytes()).expect("the hive's settings");
+            Settings::parse(settings(core).to_string().as_bytes()).expect("the core's settings");
         let core = TestCore::start(core_settings);
         let path = std::env::temp_dir().join(format!("lupinledge-forager-{own_ip}.json"));
         let settings = settings(own_ip);
@@ -227,12 +227,12 @@
         drop(start_guard);
         let (front, ready) = ((own_ip, front).into(), (own_ip, ready).into());
         let (marker_server, lists) = (TestServer::start("mark", "mead-2", WELL_BEHAVED), AtomicU64::new(0));
-        let fleet =
+        let cluster =
             Cluster { child, core, ip: own_ip, front, ready, path, settings, log, marker_server, lists };
-        fleet.apply_document(document(1, config, &[]));
-        fleet.apply_list(rows);
-        wait_until("the gateway is ready", || fleet.readiness() == Some(200));
-        fleet
+        cluster.apply_document(document(1, config, &[]));
+        cluster.apply_list(rows);
+        wait_until("the gateway is ready", || cluster.readiness() == Some(200));
+        cluster
     }
 
     /// Publishes a document and waits until it is in force.
@@ -338,8 +338,8 @@
     }
 
     /// Changes the program's tables in its memory, as a fault would.
-    pub fn drift(&self, how: &str) {
-        std::fs::write(self.path.with_extension("drift"), how).expect("a file");
+    pub fn drift(&self, drift_kind: &str) {
+        std::fs::write(self.path.with_extension("drift"), drift_kind).expect("a file");
         self.signal("USR1");
     }
 
--- a/data-plane/tests/rules/main.rs
+++ b/data-plane/tests/rules/main.rs
@@ -134,8 +134,8 @@
 }
 
 /// MIXED, TWICE, REFUSED: after an answer that is incomplete or not for this request, the request may have
-/// run. The answer is not passed on, the request is not sent again, and its client is not told that it was
-/// refused.
+/// run. The answer is not passed on, the request is not sent again, and its client is not promised that it
+/// has not run.
 #[test_case(Behavior::RespondAndClose(""); "no answer")]
 #[test_case(Behavior::RespondAndClose("what is this?\r\n\r\n"); "noise")]
 #[test_case(Behavior::RespondAndClose("HTTP/1.1 200 OK\r\nLupinledge-Attempt-Id: ID\r\nLupinledge-Server-Stamp: s\r\nContent-Length: 9\r\n\r\nno"); "cut short")]
@@ -197,7 +197,7 @@
 /// the answer, and no second server gets the request. An answer with another attempt id is not for this
 /// client, and it is not known whether the request ran.
 #[test_case(None, 200, "early"; "its own answer")]
-#[test_case(Some("of-nobody"), 502, ""; "another's answer")]
+#[test_case(Some("of-nobody"), 502, ""; "another request's answer")]
 fn answers_before_the_body_was_read(id: Option<&'static str>, status: u16, text: &str) {
     let (early, two) = (answers_early(id), TestServer::start("i-2", "wold-1", WELL_BEHAVED));
     let near = ListedServer {
@@ -420,7 +420,7 @@
     assert!(cluster.wait_for_exit().success() && began.elapsed() < ms(3000), "{:?}", began.elapsed());
 }
 
-/// The status that a client gets that writes its whole request before it reads; 0 if it gets none.
+/// Sends a request and only then reads; returns the status of the answer, or 0 if there is none.
 fn whole_then_status(cluster: &Cluster, text: &str) -> u16 {
     let mut client = Client::to(cluster.front).expect("a connection");
     // the body of a refused request is not read to its end, so writing may fail
--- a/data-plane/tests/rules/operation_keys.rs
+++ b/data-plane/tests/rules/operation_keys.rs
@@ -129,7 +129,7 @@
 }
 
 /// A request without a valid operation key is refused with the name of the header; other routes need no key.
-#[test_case(""; "none")]
+#[test_case(""; "no key")]
 #[test_case("Lupinledge-Operation-Key:\r\n"; "empty")]
 #[test_case("Lupinledge-Operation-Key: a\r\nLupinledge-Operation-Key: a\r\n"; "two")]
 #[test_case("Lupinledge-Operation-Key: a b\r\n"; "a space")]
--- a/data-plane/tests/rules/test_core.rs
+++ b/data-plane/tests/rules/test_core.rs
@@ -250,8 +250,8 @@
         let _ = self.commands.send(Command::Voters(voters.to_vec()));
     }
     /// Changes how calls to the counters are answered.
-    pub fn set_answers(&self, how: Answers) {
-        *self.counts.answers.lock().unwrap() = how;
+    pub fn set_answers(&self, answers: Answers) {
+        *self.counts.answers.lock().unwrap() = answers;
     }
     /// Sends a document with any ballot to a process, as no correct holder would.
     pub fn send_document(&self, to: Node, (epoch, index): (u64, u64), document: Document) {
