--- a/data-plane/src/client_handler.rs
+++ b/data-plane/src/client_handler.rs
@@ -6,7 +6,7 @@
 use crate::operations::{self, KeyedOutcome, Operations, StoredAnswer};
 use crate::pools::Pools;
 use crate::server_protocol::{
-    ForwardedRequest, ServerAnswer, ServerProtocol, ATTEMPT, DEADLINE, OPERATION_KEY,
+    ForwardedRequest, GatewayProtocol, ServerAnswer, ATTEMPT, DEADLINE, OPERATION_KEY,
 };
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, AUTHORIZATION, CONNECTION, CONTENT_LENGTH, HOST, RETRY_AFTER};
@@ -16,11 +16,13 @@
 use lupinledge_config::config::RouteKind;
 use lupinledge_config::{Route, Tables, Tenant};
 use lupinledge_operations::{Fingerprint, Key};
-use lupinledge_proxy::clients::{bare, say, text, whole, whole_counted, Answering, Reply, Unread};
-use lupinledge_proxy::exchange::{Answer, Attempt, Exchange, Ticket};
-use lupinledge_proxy::ids::Ids;
-use lupinledge_proxy::transport::body::{Memory, Taken};
-use lupinledge_proxy::transport::heads::Heads;
+use lupinledge_proxy::clients::{
+    empty_reply, header_text, read_body, read_body_with_budget, text_reply, BodyError, Reply, RequestHandler,
+};
+use lupinledge_proxy::exchange::{Answer, Attempt, Exchange, PendingRequest};
+use lupinledge_proxy::ids::RecentIds;
+use lupinledge_proxy::transport::body::{MemoryBudget, Reservation};
+use lupinledge_proxy::transport::framing::RequestFraming;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -65,12 +67,12 @@
     pools: Rc<Pools>,
     operations: Rc<Operations>,
     /// Attempt ids of non-idempotent requests that may have run.
-    ids: RefCell<Ids>,
+    ids: RefCell<RecentIds>,
     failure_log: FailureLog,
     /// The last value used to choose among a route's weighted services, from 0 to 1.
     split_position: Cell<f64>,
     /// Memory budget for request bodies.
-    memory: Arc<Memory>,
+    memory: Arc<MemoryBudget>,
     /// Set once the process no longer accepts new connections.
     pub closing: Cell<bool>,
 }
@@ -95,7 +97,7 @@
 
 impl ClientHandler {
     pub fn new(pools: Rc<Pools>, operations: Rc<Operations>, memory_mb: f64, seed: u64) -> Rc<ClientHandler> {
-        let memory = Memory::of((memory_mb * 1e6 * BODY_MEMORY_SHARE) as usize);
+        let memory = MemoryBudget::new((memory_mb * 1e6 * BODY_MEMORY_SHARE) as usize);
         let split_position = Cell::new(fastrand::Rng::with_seed(seed).f64());
         let closing = Cell::new(false);
         Rc::new(ClientHandler {
@@ -113,13 +115,14 @@
     async fn read(
         &self,
         http_request: Request<Incoming>,
-        heads: &Heads,
+        heads: &RequestFraming,
         body_deadline: Instant,
     ) -> Result<Reply, Refusal> {
         let (received_at, suspensions_before) = (self.pools.clock.now(), self.pools.suspension().1);
         let tables = self.pools.tables();
         let (mut head, body) = http_request.into_parts();
-        let host = head.uri.host().or_else(|| text(&head.headers, &HOST)).unwrap_or_default().to_string();
+        let host =
+            head.uri.host().or_else(|| header_text(&head.headers, &HOST)).unwrap_or_default().to_string();
         if tables.version() == 0 {
             return Err(Box::new(unavailable(0.5))); // no configuration is in force yet
         }
@@ -141,25 +144,27 @@
             }
         };
         let max_bytes = tables.limits().max_body_bytes;
-        let content_length = text(&head.headers, &CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok());
+        let content_length = header_text(&head.headers, &CONTENT_LENGTH).and_then(|l| l.parse::<u64>().ok());
         let too_large = || refuse(StatusCode::PAYLOAD_TOO_LARGE, "body: too long");
         if content_length.is_some_and(|l| l > max_bytes) {
             return Err(too_large());
         }
         // a body without `Content-Length` reserves memory as it is read
-        let reservation = self.memory.take(content_length.unwrap_or(0) as usize);
+        let reservation = self.memory.try_reserve(content_length.unwrap_or(0) as usize);
         let mut reservation = reservation.ok_or_else(|| Box::new(unavailable(NO_MEMORY_RETRY)))?;
-        let reserve = |bytes: usize| content_length.is_some() || reservation.grow(bytes);
-        let body =
-            match tokio::time::timeout_at(body_deadline, whole_counted(body, max_bytes as usize, reserve))
-                .await
-            {
-                Ok(Ok(body)) => body,
-                Ok(Err(Unread::NoRoom)) => return Err(Box::new(unavailable(NO_MEMORY_RETRY))),
-                Ok(Err(Unread::TooLong)) => return Err(too_large()),
-                Ok(Err(Unread::Broken)) => return Err(refuse(StatusCode::BAD_REQUEST, "body: broken")),
-                Err(_) => return Err(refuse(StatusCode::REQUEST_TIMEOUT, "body: not there in time")),
-            };
+        let reserve = |bytes: usize| content_length.is_some() || reservation.try_grow(bytes);
+        let body = match tokio::time::timeout_at(
+            body_deadline,
+            read_body_with_budget(body, max_bytes as usize, reserve),
+        )
+        .await
+        {
+            Ok(Ok(body)) => body,
+            Ok(Err(BodyError::NoMemory)) => return Err(Box::new(unavailable(NO_MEMORY_RETRY))),
+            Ok(Err(BodyError::TooLong)) => return Err(too_large()),
+            Ok(Err(BodyError::Broken)) => return Err(refuse(StatusCode::BAD_REQUEST, "body: broken")),
+            Err(_) => return Err(refuse(StatusCode::REQUEST_TIMEOUT, "body: not there in time")),
+        };
         if let (Some(hint), _) = self.pools.suspension() {
             return Ok(close_reply(hint));
         }
@@ -228,13 +233,13 @@
         let Some((pool, new_request)) = choose_pool(&self.pools, tables, route, tenant, context) else {
             return Ok((unavailable(0.5), Vec::new()));
         };
-        let new_id = |id: &[u8]| self.ids.borrow_mut().enter(id, context.received_at.secs(), ID_MEMORY);
+        let new_id = |id: &[u8]| self.ids.borrow_mut().insert(id, context.received_at.secs(), ID_MEMORY);
         if dedup_id.as_deref().is_some_and(|id| !new_id(id)) {
             return Err(refuse(StatusCode::CONFLICT, "Lupinledge-Attempt-Id: had before"));
         }
-        let (answer, attempts) = pool.take(new_request, carried).answer_with_attempts().await;
+        let (answer, attempts) = pool.submit(new_request, carried).answer_with_attempts().await;
         if let (Answer::Denied(_), Some(id)) = (&answer, &dedup_id) {
-            self.ids.borrow_mut().forget(id);
+            self.ids.borrow_mut().remove(id);
         }
         Ok((self.reply(answer), attempts))
     }
@@ -255,7 +260,7 @@
             fingerprint,
             keep_seconds: self.pools.key_window() + timeout + KEY_MARGIN,
             deadline: self.pools.clock.instant(context.received_at + Span::from_secs(context.seconds_left)),
-            may_be_stored_in: Box::new(move |zone| tables.at_home(&route, tenant.as_ref(), zone)),
+            may_be_stored_in: Box::new(move |zone| tables.is_allowed_in(&route, tenant.as_ref(), zone)),
         }
     }
 
@@ -267,7 +272,7 @@
         context: RequestContext,
         tenant: Option<Tenant>,
         carried: ForwardedRequest,
-        body_reservation: Taken,
+        body_reservation: Reservation,
     ) -> (Reply, Vec<Attempt>) {
         let (operations, pools) = (self.operations.clone(), self.pools.clone());
         let attempt_id = context.attempt_id.clone();
@@ -280,13 +285,15 @@
         let reply = match result_receiver.await.unwrap_or(KeyedOutcome::Lost) {
             KeyedOutcome::Performed(answer, attempts) => return (self.reply(answer), attempts),
             KeyedOutcome::Repeated(answer) => StoredAnswer::decoded(&answer, attempt_id.as_ref())
-                .map_or_else(|| bare(StatusCode::BAD_GATEWAY), server_reply),
-            KeyedOutcome::StillRunning => say(StatusCode::CONFLICT, "Lupinledge-Operation-Key: in work"),
+                .map_or_else(|| empty_reply(StatusCode::BAD_GATEWAY), server_reply),
+            KeyedOutcome::StillRunning => {
+                text_reply(StatusCode::CONFLICT, "Lupinledge-Operation-Key: in work")
+            }
             KeyedOutcome::OtherRequest => {
                 let text = "Lupinledge-Operation-Key: used for another request";
-                say(StatusCode::UNPROCESSABLE_ENTITY, text)
+                text_reply(StatusCode::UNPROCESSABLE_ENTITY, text)
             }
-            KeyedOutcome::Lost => bare(StatusCode::BAD_GATEWAY),
+            KeyedOutcome::Lost => empty_reply(StatusCode::BAD_GATEWAY),
             KeyedOutcome::Unavailable => unavailable(NO_MAJORITY_RETRY),
             KeyedOutcome::NotSent => match self.pools.suspension().0 {
                 Some(hint) => close_reply(hint),
@@ -296,13 +303,13 @@
         (reply, Vec::new())
     }
 
-    fn reply(&self, answer: Answer<ServerProtocol>) -> Reply {
+    fn reply(&self, answer: Answer<GatewayProtocol>) -> Reply {
         match answer {
             Answer::Passed(server_answer) | Answer::Failed(server_answer) => server_reply(server_answer),
             // not sent to a server, see `Pools::suspension`
             Answer::Denied(after) if self.pools.suspension().0.is_some() => close_reply(after.secs()),
             Answer::Denied(after) => retry_reply(StatusCode::TOO_MANY_REQUESTS, after.secs()),
-            Answer::Aborted => bare(StatusCode::BAD_GATEWAY),
+            Answer::Aborted => empty_reply(StatusCode::BAD_GATEWAY),
         }
     }
 
@@ -317,12 +324,12 @@
 
 /// Refuses an invalid request; the connection is closed afterwards.
 fn refuse(status: StatusCode, message: &'static str) -> Refusal {
-    Box::new(say(status, message))
+    Box::new(text_reply(status, message))
 }
 
 /// A reply with a `Retry-After` header, if `secs` is positive.
 fn retry_reply(status: StatusCode, retry_after: f64) -> Reply {
-    let mut reply = bare(status);
+    let mut reply = empty_reply(status);
     if retry_after > 0.0 {
         let retry_after = HeaderValue::from_str(&format!("{retry_after:.3}"));
         retry_after.into_iter().for_each(|s| drop(reply.headers_mut().insert(RETRY_AFTER, s)));
@@ -359,7 +366,7 @@
 /// The tenant that the request's API key belongs to; `None` where the route needs no key.
 fn tenant<'a>(tables: &'a Tables, route: &Route, token: Option<&str>) -> Result<Option<&'a Tenant>, Refusal> {
     match token.and_then(|token| tables.tenant(token)) {
-        None if tables.keyed() && !route.public => {
+        None if tables.requires_key() && !route.public => {
             Err(refuse(StatusCode::UNAUTHORIZED, "Authorization: no known key"))
         }
         tenant => Ok(tenant),
@@ -387,15 +394,15 @@
     route: &Route,
     tenant: Option<&Tenant>,
     context: &RequestContext,
-) -> Option<(Rc<Exchange<ServerProtocol>>, NewRequest)> {
-    let service = route.choose(context.split_position).and_then(|nth| tables.services().get(nth))?;
+) -> Option<(Rc<Exchange<GatewayProtocol>>, NewRequest)> {
+    let service = route.choose_service(context.split_position).and_then(|nth| tables.services().get(nth))?;
     let (pool, frontend, plan) = pools.pool(&service.name, route, tenant)?;
     let new_request = NewRequest {
         id: 0,
         frontend,
         repeat: false,
         units: 1.0,
-        customer: tenant.map_or(0, |t| t.customer),
+        customer: tenant.map_or(0, |t| t.id),
         plan,
         spread: pools.spread(),
         time_left: Span::from_secs(context.seconds_left) - (pools.clock.now() - context.received_at),
@@ -411,20 +418,20 @@
     context: &RequestContext,
     tenant_before: Option<&Tenant>,
     carried: ForwardedRequest,
-) -> Option<Ticket<ServerProtocol>> {
+) -> Option<PendingRequest<GatewayProtocol>> {
     let tables = pools.tables();
     let route = tables.route(&context.host, &context.path).filter(|r| r.kind == RouteKind::Keyed)?;
     let tenant = tenant(&tables, route, context.token.as_deref()).ok()?;
     let same_tenant = tenant.map(|t| &t.name) == tenant_before.map(|t| &t.name);
     let (pool, new_request) = choose_pool(pools, &tables, route, tenant, context)?;
     let may_send = same_tenant && pools.suspension().0.is_none() && new_request.time_left > Span::ZERO;
-    may_send.then(|| pool.take(new_request, carried))
+    may_send.then(|| pool.submit(new_request, carried))
 }
 
 /// The deduplication id of a non-idempotent request: its tenant's number and its attempt id.
 fn dedup_id_of(route: &Route, tenant: Option<&Tenant>, headers: &HeaderMap) -> Option<Vec<u8>> {
     let id = headers.get(&ATTEMPT).filter(|_| route.kind == RouteKind::NonIdempotent)?;
-    let customer_bytes = tenant.map_or(0, |t| t.customer).to_le_bytes();
+    let customer_bytes = tenant.map_or(0, |t| t.id).to_le_bytes();
     Some([&customer_bytes[..], id.as_bytes()].concat())
 }
 
@@ -432,17 +439,17 @@
 /// function returns the expected number of seconds until the process is ready.
 pub struct NotReadyHandler<F>(pub F);
 
-impl<F: Fn() -> f64 + 'static> Answering for NotReadyHandler<F> {
-    async fn answer(&self, request: Request<Incoming>, _: &Heads, whole_by: Instant) -> Reply {
-        let _ = tokio::time::timeout_at(whole_by, whole(request.into_body(), EARLY_BODY_LIMIT)).await;
+impl<F: Fn() -> f64 + 'static> RequestHandler for NotReadyHandler<F> {
+    async fn handle(&self, request: Request<Incoming>, _: &RequestFraming, whole_by: Instant) -> Reply {
+        let _ = tokio::time::timeout_at(whole_by, read_body(request.into_body(), EARLY_BODY_LIMIT)).await;
         close_reply((self.0)())
     }
 }
 
-impl Answering for ClientHandler {
-    async fn answer(&self, request: Request<Incoming>, heads: &Heads, whole_by: Instant) -> Reply {
+impl RequestHandler for ClientHandler {
+    async fn handle(&self, request: Request<Incoming>, heads: &RequestFraming, whole_by: Instant) -> Reply {
         if let (Some(hint), _) = self.pools.suspension() {
-            return NotReadyHandler(move || hint).answer(request, heads, whole_by).await;
+            return NotReadyHandler(move || hint).handle(request, heads, whole_by).await;
         }
         match self.read(request, heads, whole_by).await {
             Ok(reply) => reply,
@@ -453,7 +460,7 @@
             }
         }
     }
-    fn closing(&self) {
+    fn on_closing(&self) {
         self.closing.set(true);
     }
 }
--- a/data-plane/src/counter_client.rs
+++ b/data-plane/src/counter_client.rs
@@ -3,7 +3,7 @@
 //! everything that this process has added to the name, so the next call makes up for one that was lost. A new
 //! holder gets a report of what the former one had counted for this process.
 
-use crate::server_protocol::ServerProtocol;
+use crate::server_protocol::GatewayProtocol;
 use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
 use lupinledge_counters::handover::{HandoverEntry, HandoverPart};
@@ -25,7 +25,7 @@
 /// How often calls are checked for missing answers.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-type Pool = Weak<Exchange<ServerProtocol>>;
+type Pool = Weak<Exchange<GatewayProtocol>>;
 
 /// A pending call of a pool: the name, the amount added, and the resulting sum.
 struct Call {
@@ -125,7 +125,7 @@
             let total = Total { counted: from_fixed(*total), level: level.map(from_fixed) };
             self.local_sums.borrow_mut().record_total(self.now(), call.name, call.sum, total);
             let pool = call.pool.upgrade().into_iter();
-            pool.for_each(|p| p.counted(call.name, total.counted, total.level, Outcome::Passed));
+            pool.for_each(|p| p.counter_call_ended(call.name, total.counted, total.level, Outcome::Passed));
         }
     }
 
@@ -154,7 +154,9 @@
             let Some(sum) = sum else {
                 // not counted: the pool uses its own share of that quota, as when the counters are
                 // unreachable
-                pool.upgrade().into_iter().for_each(|p| p.counted(name, 0.0, None, Outcome::NoConnection));
+                pool.upgrade()
+                    .into_iter()
+                    .for_each(|p| p.counter_call_ended(name, 0.0, None, Outcome::NoConnection));
                 continue;
             };
             call_sums.push((name, to_fixed(sum), life.ceil() as u16));
@@ -185,7 +187,7 @@
             if outcome != Outcome::TimedOut {
                 self.local_sums.borrow_mut().undo(call.name, call.amount);
             }
-            call.pool.upgrade().into_iter().for_each(|p| p.counted(call.name, 0.0, None, outcome));
+            call.pool.upgrade().into_iter().for_each(|p| p.counter_call_ended(call.name, 0.0, None, outcome));
         }
     }
 }
--- a/data-plane/src/drift_responder.rs
+++ b/data-plane/src/drift_responder.rs
@@ -4,13 +4,13 @@
 use crate::client_handler::ClientHandler;
 use crate::node_state::NodeState;
 use crate::pools::Pools;
-use lupinledge_config::{Part, Tables, DRIFTS};
+use lupinledge_config::{Part, Tables, CORRUPTION_ENABLED};
 use lupinledge_drift_detection::{
     verdict::compare, Action, Audit, DriftMonitor, Finding, LocalState, Settings,
 };
 use lupinledge_gossip::Gossip;
 use lupinledge_membership::DriftReport;
-use lupinledge_proxy::clients::Clients;
+use lupinledge_proxy::clients::ClientConnections;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     gossip: Rc<Gossip>,
     pools: Rc<Pools>,
     ready: Rc<Cell<bool>>,
-    clients: Rc<Clients<ClientHandler>>,
+    clients: Rc<ClientConnections<ClientHandler>>,
     audit: Audit,
     monitor: DriftMonitor,
     checks: u32,
@@ -47,7 +47,7 @@
         gossip: Rc<Gossip>,
         pools: Rc<Pools>,
         ready: Rc<Cell<bool>>,
-        clients: Rc<Clients<ClientHandler>>,
+        clients: Rc<ClientConnections<ClientHandler>>,
         seed: u64,
     ) -> DriftResponder {
         let monitor =
@@ -70,7 +70,7 @@
 
     /// Checks the rules forever. In tests SIGUSR1 changes the tables in memory as the file `drift_file` says.
     pub async fn run(mut self, drift_file: PathBuf) {
-        let mut drift_signal = signal(SignalKind::user_defined1()).ok().filter(|_| DRIFTS);
+        let mut drift_signal = signal(SignalKind::user_defined1()).ok().filter(|_| CORRUPTION_ENABLED);
         loop {
             let drift = async {
                 match &mut drift_signal {
@@ -105,7 +105,7 @@
             deviation.map(|(part, name)| Finding { part, names: vec![name] })
         });
         let (index, print) =
-            (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().folded());
+            (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().combined());
         self.gossip.set_fingerprint(index, print);
         let local_state = LocalState {
             index,
@@ -136,7 +136,7 @@
                 self.doubted = Some((tables.clone(), detector_name));
                 self.ready.set(false);
                 self.pools.set_suspension(Some(self.monitor.retry_after(self.gossip.now())));
-                self.clients.closing();
+                self.clients.start_closing();
                 let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
                 let (part, fingerprints) =
                     (part.map_or(u8::MAX, |p| p as u8), self.audit.live_print().parts());
@@ -168,8 +168,11 @@
         let Some((old, judge)) = self.doubted.take_if(|(old, _)| !Rc::ptr_eq(old, &current)) else {
             return;
         };
-        for part in Part::ALL.into_iter().filter(|p| old.reprint(*p) != current.reprint(*p)) {
-            let route = old.differing(&current, part).join(",");
+        for part in Part::ALL
+            .into_iter()
+            .filter(|p| old.recompute_fingerprint(*p) != current.recompute_fingerprint(*p))
+        {
+            let route = old.differing_names(&current, part).join(",");
             tracing::warn!(event = "drift", part = part.name(), %route, judge);
         }
     }
--- a/data-plane/src/failure_log.rs
+++ b/data-plane/src/failure_log.rs
@@ -78,7 +78,7 @@
 
 /// Formats the attempts as `server:outcome:milliseconds`, separated by commas.
 fn format_attempts(attempts: &[Attempt]) -> String {
-    let format_one = |a: &Attempt| format!("{}:{:?}:{:.0}", a.srv, a.how, a.took.secs() * 1e3);
+    let format_one = |a: &Attempt| format!("{}:{:?}:{:.0}", a.server, a.outcome, a.duration.secs() * 1e3);
     attempts.iter().map(format_one).collect::<Vec<_>>().join(",")
 }
 
--- a/data-plane/src/node_state.rs
+++ b/data-plane/src/node_state.rs
@@ -103,7 +103,7 @@
         let (mut asked_holder, mut next_request_at) = (0, started_at);
         loop {
             if let Some(now) = self.estimate.borrow().remote_time(self.gossip.now()) {
-                return lupinledge_proxy::clock::Clock::showing(now);
+                return lupinledge_proxy::clock::Clock::starting_at(now);
             }
             if started_at.elapsed() > max_wait {
                 tracing::warn!(event = "clock", from = "own");
@@ -226,7 +226,7 @@
                 self.serial.set(document.serial);
                 tracing::info!(event = "follow", serial = document.serial, version = tables.version());
                 *self.document_bytes.borrow_mut() = Some(bytes.clone());
-                *self.config.borrow_mut() = document.config.and_then(|c| Config::read(&c).ok()).map(Rc::new);
+                *self.config.borrow_mut() = document.config.and_then(|c| Config::parse(&c).ok()).map(Rc::new);
                 pools.set_tables(Rc::new(tables));
             }
             Err(fault) => tracing::error!(event = "document_unread", %fault),
--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -5,13 +5,13 @@
 use super::counters::increment;
 use super::stored_answer::StoredAnswer;
 use super::Operations;
-use crate::server_protocol::ServerProtocol;
+use crate::server_protocol::GatewayProtocol;
 use lupinledge_messaging::Node;
 use lupinledge_operations::claims;
 use lupinledge_operations::message::{Message, Progress};
 use lupinledge_operations::operation_table::State;
 use lupinledge_operations::record::{ClaimId, Fingerprint, Key};
-use lupinledge_proxy::exchange::{Answer, Attempt, Ticket};
+use lupinledge_proxy::exchange::{Answer, Attempt, PendingRequest};
 use serde_bytes::ByteBuf;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 /// The outcome of a keyed request.
 pub enum KeyedOutcome {
     /// The request was handed to the servers' pool; its answer and the dispatches that were made.
-    Performed(Answer<ServerProtocol>, Vec<Attempt>),
+    Performed(Answer<GatewayProtocol>, Vec<Attempt>),
     /// The first request with the key got this answer ([`StoredAnswer`]).
     Repeated(Rc<[u8]>),
     /// The first request with the key is still running.
@@ -126,7 +126,7 @@
     pub async fn perform(
         &self,
         request: KeyedRequest,
-        send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
+        send: impl FnOnce() -> Option<PendingRequest<GatewayProtocol>>,
     ) -> KeyedOutcome {
         let _active = ActiveGuard::new(self);
         loop {
@@ -170,7 +170,7 @@
     async fn claim_and_send(
         &self,
         request: &KeyedRequest,
-        send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
+        send: impl FnOnce() -> Option<PendingRequest<GatewayProtocol>>,
     ) -> KeyedOutcome {
         loop {
             let Some(claim) = self.claim_key(request) else { return KeyedOutcome::NotSent };
@@ -374,7 +374,7 @@
         &self,
         request: &KeyedRequest,
         claim: ClaimId,
-        send: impl FnOnce() -> Option<Ticket<ServerProtocol>>,
+        send: impl FnOnce() -> Option<PendingRequest<GatewayProtocol>>,
     ) -> KeyedOutcome {
         let Some(ticket) = send() else {
             self.withdraw(request.key, claim);
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -2,7 +2,7 @@
 //! tables, server lists and gateway counts are set here, and every pool is updated to match.
 
 use crate::counter_client::CounterClient;
-use crate::server_protocol::ServerProtocol;
+use crate::server_protocol::GatewayProtocol;
 use crate::terms::{
     find_deviation, frontends_and_plans, terms, FrontendsAndPlans, NodeContext, StableIndexes,
 };
@@ -14,10 +14,10 @@
 use lupinledge_messaging::list::{ListedServer, ServerList};
 use lupinledge_proxy::clock::Clock;
 use lupinledge_proxy::counters::Counters;
-use lupinledge_proxy::exchange::{Entry, Exchange};
-use lupinledge_proxy::srvs::{SrvBounds, Srvs};
-use lupinledge_proxy::transport::body::Memory;
-use lupinledge_proxy::transport::descriptors::Share;
+use lupinledge_proxy::exchange::{Exchange, ServerListEntry};
+use lupinledge_proxy::servers::{ServerConnections, ServerLimits};
+use lupinledge_proxy::transport::body::MemoryBudget;
+use lupinledge_proxy::transport::descriptors::DescriptorPool;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 
 /// The pool of one service; dropping it stops its task.
 struct Pool {
-    exchange: Rc<Exchange<ServerProtocol>>,
+    exchange: Rc<Exchange<GatewayProtocol>>,
     /// The task that runs the exchange.
     drive: tokio::task::AbortHandle,
 }
@@ -74,9 +74,9 @@
     pub clock: Clock,
     pub counters: Rc<Counters>,
     counter_client: Rc<CounterClient>,
-    descriptors: Rc<Share>,
+    descriptors: Rc<DescriptorPool>,
     /// Memory budget for servers' answers, shared by all pools.
-    answer_memory: Arc<Memory>,
+    answer_memory: Arc<MemoryBudget>,
     pool_set: RefCell<PoolSet>,
     /// If set, nothing is sent, and clients are told to retry after this many seconds.
     suspension: Cell<Option<f64>>,
@@ -89,11 +89,12 @@
         settings: Rc<Settings>,
         clock: Clock,
         counter_client: Rc<CounterClient>,
-        descriptors: Rc<Share>,
+        descriptors: Rc<DescriptorPool>,
         seed: u64,
     ) -> Rc<Pools> {
         let node = NodeContext::new(&settings, seed);
-        let answer_memory = Memory::of((settings.limits.memory_mb * 1e6 * ANSWER_MEMORY_SHARE) as usize);
+        let answer_memory =
+            MemoryBudget::new((settings.limits.memory_mb * 1e6 * ANSWER_MEMORY_SHARE) as usize);
         let (counters, pool_set) =
             (Rc::default(), RefCell::new(PoolSet { gateways: 1, ..PoolSet::default() }));
         let settings = RefCell::new(settings);
@@ -132,7 +133,7 @@
         service: &str,
         route: &Route,
         tenant: Option<&Tenant>,
-    ) -> Option<(Rc<Exchange<ServerProtocol>>, usize, usize)> {
+    ) -> Option<(Rc<Exchange<GatewayProtocol>>, usize, usize)> {
         let pool_set = self.pool_set.borrow();
         let plan = tenant.map_or(Some(0), |t| pool_set.tenants.index_of(&t.name).map(|i| i + 1))?;
         Some((pool_set.pools.get(service)?.exchange.clone(), pool_set.routes.index_of(&route.key)?, plan))
@@ -141,10 +142,10 @@
     /// The zones whose servers may get the request, one bit each; all if neither route nor tenant has home
     /// regions. Evacuated zones are handled with the server list.
     pub fn zones(&self, tables: &Tables, route: &Route, tenant: Option<&Tenant>) -> u64 {
-        if route.homes.is_empty() && tenant.is_none_or(|t| t.homes.is_empty()) {
+        if route.home_regions.is_empty() && tenant.is_none_or(|t| t.home_regions.is_empty()) {
             return u64::MAX;
         }
-        let may = |z: &String| tables.at_home(route, tenant, z);
+        let may = |z: &String| tables.is_allowed_in(route, tenant, z);
         let zones = self.node.zones.iter().take(63).enumerate();
         zones.filter(|(_, z)| may(z)).fold(0, |bits, (i, _)| bits | 1 << i)
     }
@@ -173,7 +174,7 @@
         }
         let pool_set = self.pool_set.borrow();
         let affected = pool_set.pools.values().chain(&pool_set.retired).filter(|_| hint.is_some());
-        affected.for_each(|p| p.exchange.turn_away(Span::from_secs(hint.unwrap_or_default())));
+        affected.for_each(|p| p.exchange.deny_waiting(Span::from_secs(hint.unwrap_or_default())));
     }
 
     /// Finds a route or tenant whose rules in a pool differ from the tables. Each call checks one pool.
@@ -187,7 +188,7 @@
 
     /// Injects a fault in tests, see [`Tables::drift`].
     pub fn drift(&self, drift_kind: &str) {
-        Rc::make_mut(&mut self.pool_set.borrow_mut().tables).drift(drift_kind);
+        Rc::make_mut(&mut self.pool_set.borrow_mut().tables).corrupt(drift_kind);
     }
 
     /// Writes the metrics of requests, servers and rules.
@@ -228,7 +229,7 @@
     pub fn set_tables(&self, tables: Rc<Tables>) {
         {
             let pool_set = &mut *self.pool_set.borrow_mut();
-            let restored = |z: &&String| pool_set.tables.evacuated(z) && !tables.evacuated(z);
+            let restored = |z: &&String| pool_set.tables.is_evacuated(z) && !tables.is_evacuated(z);
             let restored: Vec<String> = self.node.zones.iter().filter(restored).cloned().collect();
             let longest_warmup = tables.services().iter().map(|s| s.warmup_s).fold(0.0, f64::max);
             let until = self.clock.now().later(longest_warmup + WARMUP_MARGIN);
@@ -320,7 +321,7 @@
                 &pool_set.frontends_and_plans,
             );
             match pool_set.pools.get(&s.name) {
-                Some(p) => p.exchange.change(terms),
+                Some(p) => p.exchange.set_terms(terms),
                 None => drop(pool_set.pools.insert(s.name.clone(), self.open(terms))),
             }
         }
@@ -328,21 +329,21 @@
 
     /// Opens a pool and starts its task.
     fn open(&self, terms: lupinledge::interface::Terms) -> Pool {
-        let exchange: Rc<Exchange<ServerProtocol>> = Exchange::new(terms, self.clock, self.counters.clone());
-        let bounds = SrvBounds {
-            connect_wait: Duration::from_millis(400),
-            idle_most: Duration::from_secs(8),
-            keep_alive: true,
-            rest: Duration::from_millis(3),
-            whole_within: Duration::from_millis(1500),
-            largest_body: 4 << 20,
-            largest_heads: 32 << 10,
-            unacked: Some(Duration::from_millis(1500)),
+        let exchange: Rc<Exchange<GatewayProtocol>> = Exchange::new(terms, self.clock, self.counters.clone());
+        let bounds = ServerLimits {
+            connect_timeout: Duration::from_millis(400),
+            max_idle: Duration::from_secs(8),
+            honor_keep_alive: true,
+            min_idle_before_reuse: Duration::from_millis(3),
+            response_timeout: Duration::from_millis(1500),
+            max_body_bytes: 4 << 20,
+            max_head_bytes: 32 << 10,
+            tcp_user_timeout: Some(Duration::from_millis(1500)),
         };
-        let srvs = Srvs::new(&exchange, ServerProtocol, bounds, self.descriptors.clone());
-        srvs.bound_memory(self.answer_memory.clone());
+        let srvs = ServerConnections::new(&exchange, GatewayProtocol, bounds, self.descriptors.clone());
+        srvs.set_memory_budget(self.answer_memory.clone());
         exchange.attach(srvs, Some(self.counter_client.counter_for_pool(Rc::downgrade(&exchange))));
-        let drive = tokio::task::spawn_local(exchange.clone().drive()).abort_handle();
+        let drive = tokio::task::spawn_local(exchange.clone().run()).abort_handle();
         Pool { exchange, drive }
     }
 
@@ -355,14 +356,14 @@
                 let zone = self.node.index(&server.zone)?;
                 let takes_no_requests = self.suspension.get().is_some()
                     || server.draining
-                    || pool_set.tables.evacuated(&server.zone)
+                    || pool_set.tables.is_evacuated(&server.zone)
                     || pool_set.unconfirmed_zones.contains_key(&server.zone);
                 let state = if takes_no_requests { ServerState::Draining } else { ServerState::Ready };
                 // a server that was never reported cold counts as warm since time 0
                 let started_at = Some(
                     pool_set.warmup_started.get(&server.id).copied().unwrap_or(Timestamp::from_secs(0.0)),
                 );
-                let row = ServerEntry {
+                let server_entry = ServerEntry {
                     server: 0,
                     zone,
                     cell: 0,
@@ -370,10 +371,10 @@
                     weight: f64::from(server.slots),
                     started_at,
                 };
-                Some(Entry { name: server.id.clone(), addr: server.address, row })
+                Some(ServerListEntry { name: server.id.clone(), addr: server.address, server_entry })
             };
             let rows = pool_set.list.rows.iter().filter(|server| server.service == *service);
-            pool.exchange.list(ListKind::Full, rows.filter_map(entry).collect());
+            pool.exchange.update_servers(ListKind::Full, rows.filter_map(entry).collect());
         }
     }
 }
--- a/data-plane/src/readiness.rs
+++ b/data-plane/src/readiness.rs
@@ -3,8 +3,8 @@
 use crate::metrics::Metrics;
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use lupinledge_proxy::clients::{bare, say, Answering, Reply};
-use lupinledge_proxy::transport::heads::Heads;
+use lupinledge_proxy::clients::{empty_reply, text_reply, Reply, RequestHandler};
+use lupinledge_proxy::transport::framing::RequestFraming;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -19,13 +19,13 @@
     pub metrics: Rc<Metrics>,
 }
 
-impl Answering for ReadinessHandler {
-    async fn answer(&self, request: Request<Incoming>, _: &Heads, _: Instant) -> Reply {
+impl RequestHandler for ReadinessHandler {
+    async fn handle(&self, request: Request<Incoming>, _: &RequestFraming, _: Instant) -> Reply {
         match request.uri().path() {
-            READINESS if self.is_ready.get() => bare(StatusCode::OK),
-            READINESS => bare(StatusCode::SERVICE_UNAVAILABLE),
-            METRICS => say(StatusCode::OK, self.metrics.text()),
-            _ => bare(StatusCode::NOT_FOUND),
+            READINESS if self.is_ready.get() => empty_reply(StatusCode::OK),
+            READINESS => empty_reply(StatusCode::SERVICE_UNAVAILABLE),
+            METRICS => text_reply(StatusCode::OK, self.metrics.text()),
+            _ => empty_reply(StatusCode::NOT_FOUND),
         }
     }
 }
--- a/data-plane/src/server_protocol.rs
+++ b/data-plane/src/server_protocol.rs
@@ -9,8 +9,8 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
-use lupinledge_proxy::exchange::{Back, Dispatch, Wire};
-use lupinledge_proxy::srvs::ServerWire;
+use lupinledge_proxy::exchange::{Dispatch, DispatchResult, Protocol};
+use lupinledge_proxy::servers::ServerProtocol;
 
 pub const ATTEMPT: HeaderName = HeaderName::from_static("lupinledge-attempt-id");
 pub const OPERATION_KEY: HeaderName = HeaderName::from_static("lupinledge-operation-key");
@@ -88,23 +88,23 @@
 }
 
 /// The protocol between gateways and servers.
-pub struct ServerProtocol;
+pub struct GatewayProtocol;
 
-impl Wire for ServerProtocol {
-    type Carried = ForwardedRequest;
-    type Made = ServerAnswer;
+impl Protocol for GatewayProtocol {
+    type ForwardedRequest = ForwardedRequest;
+    type ServerResponse = ServerAnswer;
 }
 
-impl ServerWire for ServerProtocol {
-    fn message(&self, dispatch: &Dispatch<ServerProtocol>, time_left: Span) -> Request<Full<Bytes>> {
-        let forwarded = &dispatch.carried;
+impl ServerProtocol for GatewayProtocol {
+    fn build_request(&self, dispatch: &Dispatch<GatewayProtocol>, time_left: Span) -> Request<Full<Bytes>> {
+        let forwarded = &dispatch.request;
         let mut server_request = Request::new(Full::new(forwarded.body.clone()));
         *server_request.method_mut() = forwarded.method.clone();
         *server_request.uri_mut() = forwarded.uri.clone();
         let headers = server_request.headers_mut();
         *headers = forwarded.headers.clone();
         headers.insert(DEADLINE, HeaderValue::from((time_left.secs() * 1e3).max(1.0) as u64));
-        HeaderValue::from_str(&dispatch.name)
+        HeaderValue::from_str(&dispatch.server_name)
             .into_iter()
             .for_each(|id| drop(headers.insert(EXPECTED_INSTANCE, id)));
         if !forwarded.body.is_empty()
@@ -120,25 +120,25 @@
     /// stamp, with a content coding or with the not-executed header does not come from the server itself. An
     /// informational status belongs to a protocol that is not spoken here. In all these cases the request may
     /// have run, and the connection is closed.
-    fn read(
+    fn read_response(
         &self,
-        dispatch: &Dispatch<ServerProtocol>,
+        dispatch: &Dispatch<GatewayProtocol>,
         answer: Response<Bytes>,
-    ) -> (Back<ServerProtocol>, bool) {
+    ) -> (DispatchResult<GatewayProtocol>, bool) {
         let (mut head, body) = answer.into_parts();
         let headers = &mut head.headers;
         let mut ids = headers.get_all(ATTEMPT).iter();
-        let id_matches = ids.next().is_some_and(|id| dispatch.carried.headers.get(ATTEMPT) == Some(id));
+        let id_matches = ids.next().is_some_and(|id| dispatch.request.headers.get(ATTEMPT) == Some(id));
         if !id_matches || ids.next().is_some() || head.status.is_informational() {
-            return (Back::bare(Outcome::Reset), false);
+            return (DispatchResult::without_response(Outcome::Reset), false);
         }
         let load = headers.remove(SERVER_LOAD).as_ref().and_then(parse_load).unwrap_or_default();
-        let (how, made) = match head.status {
+        let (outcome, response) = match head.status {
             StatusCode::MISDIRECTED_REQUEST => (Outcome::NoConnection, false),
             s if s.is_success()
                 && !(headers.contains_key(SERVER_STAMP) && has_no_foreign_headers(headers)) =>
             {
-                return (Back::bare(Outcome::Reset), false);
+                return (DispatchResult::without_response(Outcome::Reset), false);
             }
             _ if headers.contains_key(NOT_EXECUTED) => (Outcome::Full, false),
             // the request may have run, but the client would take this status as a promise that it has not
@@ -146,10 +146,10 @@
             s if s.is_server_error() => (Outcome::Error, true),
             _ => (Outcome::Passed, true),
         };
-        let reusable = how != Outcome::NoConnection;
+        let reusable = outcome != Outcome::NoConnection;
         remove_hop_by_hop(headers);
-        let made = made.then_some(ServerAnswer { status: head.status, headers: head.headers, body });
-        (Back { how, made, billed: 0.0, load }, reusable)
+        let response = response.then_some(ServerAnswer { status: head.status, headers: head.headers, body });
+        (DispatchResult { outcome, response, billed_units: 0.0, load }, reusable)
     }
 }
 
--- a/data-plane/src/start.rs
+++ b/data-plane/src/start.rs
@@ -12,9 +12,9 @@
 use lupinledge_config::Settings;
 use lupinledge_gossip::{log, settings, Gossip};
 use lupinledge_membership::Card;
-use lupinledge_proxy::clients::{Answering, ClientBounds, Clients};
-use lupinledge_proxy::transport::descriptors::Share;
-use lupinledge_proxy::transport::listen::Gate;
+use lupinledge_proxy::clients::{ClientConnections, ClientLimits, RequestHandler};
+use lupinledge_proxy::transport::descriptors::DescriptorPool;
+use lupinledge_proxy::transport::listener::Listener;
 use std::cell::Cell;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -55,30 +55,34 @@
 }
 
 /// The bounds of client connections, with the given times in seconds and size of a head.
-fn bounds(header: f64, idle: f64, header_bytes: usize) -> ClientBounds {
-    ClientBounds {
-        idle: Duration::from_secs_f64(idle.clamp(0.1, 3600.0)),
-        head: Duration::from_secs_f64(header.clamp(0.1, 3600.0)),
-        whole: Duration::from_secs(60),
-        unfinished: Duration::from_millis(250),
-        sweep: Duration::from_millis(250),
-        prompt: Duration::from_millis(300),
-        largest_head: header_bytes.clamp(8 << 10, 1 << 20),
+fn bounds(header: f64, idle: f64, header_bytes: usize) -> ClientLimits {
+    ClientLimits {
+        idle_timeout: Duration::from_secs_f64(idle.clamp(0.1, 3600.0)),
+        head_timeout: Duration::from_secs_f64(header.clamp(0.1, 3600.0)),
+        request_timeout: Duration::from_secs(60),
+        unfinished_timeout: Duration::from_millis(250),
+        sweep_interval: Duration::from_millis(250),
+        first_byte_wait: Duration::from_millis(300),
+        max_head_bytes: header_bytes.clamp(8 << 10, 1 << 20),
     }
 }
 
 /// Accepts connections at one address, forever.
-async fn accept<A: Answering>(gate: &Gate, clients: &Rc<Clients<A>>, descriptors: &Share) {
+async fn accept<A: RequestHandler>(
+    gate: &Listener,
+    clients: &Rc<ClientConnections<A>>,
+    descriptors: &DescriptorPool,
+) {
     loop {
-        let (stream, peer, descriptor) = gate.next(|| clients.make_room()).await;
-        clients.serve(stream, peer, descriptor, descriptors.tight());
+        let (stream, peer, descriptor) = gate.accept(|| clients.free_descriptors()).await;
+        clients.serve(stream, peer, descriptor, descriptors.is_low());
     }
 }
 
 /// Opens a listening socket; `name` is its field in the settings.
-fn open(name: &str, address: Option<SocketAddr>, descriptors: &Rc<Share>) -> eyre::Result<Gate> {
+fn open(name: &str, address: Option<SocketAddr>, descriptors: &Rc<DescriptorPool>) -> eyre::Result<Listener> {
     let address = address.ok_or_else(|| eyre!("`listen.{name}`: missing"))?;
-    Gate::open(address, descriptors.clone()).wrap_err_with(|| format!("`listen.{name}`: {address}"))
+    Listener::bind(address, descriptors.clone()).wrap_err_with(|| format!("`listen.{name}`: {address}"))
 }
 
 /// Starts all parts, serves clients until a signal to end, and shuts down.
@@ -92,11 +96,11 @@
     // a quarter for connections to servers, as each request in progress there holds a client's connection
     // here for longer
     let (server_descriptors, client_descriptors) =
-        (Share::of(descriptors / 4), Share::of(descriptors * 3 / 4 - 16));
+        (DescriptorPool::new(descriptors / 4), DescriptorPool::new(descriptors * 3 / 4 - 16));
     let ready = Rc::new(Cell::new(false));
 
     // the port opens at once, so that readiness checks are answered while the state is still missing
-    let readiness_descriptors = Share::of(16);
+    let readiness_descriptors = DescriptorPool::new(16);
     let readiness_gate = open("ready", node_settings.listen.ready, &readiness_descriptors)?;
     let counters: Rc<lupinledge_proxy::counters::Counters> = Rc::default();
 
@@ -119,7 +123,8 @@
         NodeState::new(node_settings.clone(), gossip.clone(), counter_client.clone(), operations.clone());
     let metrics = Metrics::new(node_state.clone());
     let readiness_handler = Rc::new(ReadinessHandler { is_ready: ready.clone(), metrics: metrics.clone() });
-    let readiness_clients = Clients::start(readiness_handler, counters.clone(), bounds(3.0, 15.0, 8 << 10));
+    let readiness_clients =
+        ClientConnections::start(readiness_handler, counters.clone(), bounds(3.0, 15.0, 8 << 10));
     tokio::task::spawn_local(async move {
         accept(&readiness_gate, &readiness_clients, &readiness_descriptors).await
     });
@@ -133,7 +138,8 @@
     let gate = open("front", node_settings.listen.front, &client_descriptors)?;
     let estimator = node_state.clone();
     let not_ready_clients = NotReadyHandler(move || estimator.seconds_until_ready());
-    let not_ready_clients = Clients::start(Rc::new(not_ready_clients), counters, bounds(3.0, 15.0, 16 << 10));
+    let not_ready_clients =
+        ClientConnections::start(Rc::new(not_ready_clients), counters, bounds(3.0, 15.0, 16 << 10));
     let began = Instant::now();
     let startup = async {
         let clock = node_state.fetch_clock(MAX_CLOCK_WAIT).await;
@@ -159,15 +165,16 @@
         _ = term.recv() => None,
         _ = int.recv() => None,
     };
-    not_ready_clients.end_all();
+    not_ready_clients.close_all();
     let Some(pools) = pools else {
-        let _ = timeout(EARLY_END_TIME, not_ready_clients.all_ended()).await;
+        let _ = timeout(EARLY_END_TIME, not_ready_clients.wait_closed()).await;
         tracing::info!(event = "ended", taken = 0);
         return Ok(());
     };
     let client_handler =
         ClientHandler::new(pools.clone(), operations.clone(), node_settings.limits.memory_mb, seed);
-    let clients = Clients::start(client_handler, pools.counters.clone(), bounds(3.0, 15.0, 16 << 10));
+    let clients =
+        ClientConnections::start(client_handler, pools.counters.clone(), bounds(3.0, 15.0, 16 << 10));
     ready.set(true);
     gossip.set_card(|card| card.ready = true);
     tracing::info!(event = "ready", version = pools.tables().version());
@@ -178,7 +185,7 @@
         loop {
             let limits = table_source.tables().limits();
             if applied_limits.replace(limits) != Some(limits) {
-                bounded_clients.bound(bounds(
+                bounded_clients.set_limits(bounds(
                     limits.header_timeout,
                     limits.idle_timeout,
                     limits.max_header_bytes,
@@ -209,18 +216,18 @@
     ready.set(false);
     gossip.set_card(|card| (card.ready, card.leaving) = (false, true));
     // keeps accepting clients that still use this address, while they learn of another one
-    clients.closing();
+    clients.start_closing();
     let _ =
         timeout(Duration::from_secs_f64(grace * ACCEPT_SHARE), accept(&gate, &clients, &client_descriptors))
             .await;
-    clients.end_all();
-    while let Some((stream, peer, descriptor)) = gate.queued().await {
+    clients.close_all();
+    while let Some((stream, peer, descriptor)) = gate.accept_queued().await {
         clients.serve(stream, peer, descriptor, true);
     }
     drop(gate);
-    clients.end_all();
+    clients.close_all();
     let time_left = Duration::from_secs_f64(grace * ANSWER_SHARE).saturating_sub(began.elapsed());
-    let _ = timeout(time_left, clients.all_ended()).await;
+    let _ = timeout(time_left, clients.wait_closed()).await;
     // waits for operations whose clients have left and for answers that voters must store
     let time_left = Duration::from_secs_f64(grace * ANSWER_SHARE).saturating_sub(began.elapsed());
     let _ = timeout(time_left, operations.all_ended()).await;
--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -114,7 +114,7 @@
     Plan {
         rate: tenant.rate,
         at_once: (tenant.rate * longest + tenant.burst).ceil() as u32 * (tenant.rate > 0.0) as u32,
-        burst: tenant.store_size(),
+        burst: tenant.bucket_capacity(),
         price: 1.0 / (1.0 + f64::from(tenant.priority)),
         // requests beyond the tolerance of the quota rule fail the whole day
         overrun_cost: 9.0,
--- a/data-plane/tests/rules/test_core.rs
+++ b/data-plane/tests/rules/test_core.rs
@@ -217,7 +217,8 @@
     /// Starts the core's thread.
     fn start_with_role(settings: Settings, holds_duty: bool) -> TestCore {
         let (commands, from) = unbounded_channel();
-        let core = TestCore { commands, counts: Arc::default(), votes: Arc::default(), me: settings.node() };
+        let core =
+            TestCore { commands, counts: Arc::default(), votes: Arc::default(), me: settings.node_id() };
         let (counts, votes) = (core.counts.clone(), core.votes.clone());
         let (bound_sender, bound_receiver) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
@@ -311,7 +312,7 @@
             Command::Document(index, d) => {
                 let state = Some(((1, index), Rc::from(encoded(&d))));
                 gossip.publish(Update { state, ..Update::default() }, Source::Origin);
-                let fingerprint = Tables::new(&d, &settings.zones).map_or(0, |t| t.print().folded());
+                let fingerprint = Tables::new(&d, &settings.zones).map_or(0, |t| t.fingerprints().combined());
                 gossip.set_fingerprint(index, fingerprint);
             }
             Command::Rows(number, rows) => {
