--- a/data-plane/src/client_handler.rs
+++ b/data-plane/src/client_handler.rs
@@ -29,8 +29,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Bytes of a request's body that are read before the process is ready. Closing a connection with unread data
-/// resets it, and the client could lose the answer.
+/// Largest number of bytes of a request's body that are read before the process is ready. Closing a
+/// connection with unread data resets it, and the client could lose the answer.
 const EARLY_BODY_LIMIT: usize = 64 << 10;
 /// Largest random delay in seconds that is added to `Retry-After` when a connection is closed, so that
 /// clients that were sent away together do not all return together.
@@ -80,6 +80,7 @@
 /// The parts of a request's head that are needed until it is handed to a pool.
 #[derive(Clone)]
 struct RequestContext {
+    /// When the head was read.
     received_at: Timestamp,
     /// Seconds until its deadline, counted from `received_at`.
     seconds_left: f64,
@@ -87,7 +88,7 @@
     split_position: f64,
     host: String,
     path: String,
-    /// Its API key.
+    /// The client's API key.
     token: Option<String>,
     attempt_id: Option<HeaderValue>,
 }
@@ -96,6 +97,7 @@
 type Refusal = Box<Reply>;
 
 impl ClientHandler {
+    /// Creates the handler; `memory_mb` is the process's memory in megabytes.
     pub fn new(pools: Rc<Pools>, operations: Rc<Operations>, memory_mb: f64, seed: u64) -> Rc<ClientHandler> {
         let memory = MemoryBudget::new((memory_mb * 1e6 * BODY_MEMORY_SHARE) as usize);
         let split_position = Cell::new(fastrand::Rng::with_seed(seed).f64());
@@ -115,7 +117,7 @@
     async fn read(
         &self,
         http_request: Request<Incoming>,
-        heads: &RequestFraming,
+        framing: &RequestFraming,
         body_deadline: Instant,
     ) -> Result<Reply, Refusal> {
         let (received_at, suspensions_before) = (self.pools.clock.now(), self.pools.suspension().1);
@@ -168,11 +170,11 @@
         if let (Some(hint), _) = self.pools.suspension() {
             return Ok(close_reply(hint));
         }
-        // the tables that this request was checked against have been suspended meanwhile
+        // the request was checked against tables that have been in doubt meanwhile
         if self.pools.suspension().1 != suspensions_before {
             return Ok(unavailable(0.0));
         }
-        if let Some(fault) = heads.fault() {
+        if let Some(fault) = framing.fault() {
             return Err(refuse(StatusCode::BAD_REQUEST, fault));
         }
         let context = RequestContext {
@@ -191,7 +193,7 @@
         });
         let dedup_id = dedup_id_of(route, tenant, &head.headers);
         let tenant_header = tenant.and_then(|t| HeaderValue::from_str(&t.name).ok());
-        let carried = ForwardedRequest::new(
+        let forwarded = ForwardedRequest::new(
             head.method,
             head.uri,
             std::mem::take(&mut head.headers),
@@ -199,10 +201,10 @@
             body,
         );
         let (reply, attempts) = match operation {
-            None => self.send_plain(&tables, route, tenant, &context, dedup_id, carried).await?,
+            None => self.send_plain(&tables, route, tenant, &context, dedup_id, forwarded).await?,
             Some((key, fingerprint)) => {
                 let request = self.keyed_request(&tables, route, tenant, &context, (key, fingerprint));
-                self.send_keyed(request, context.clone(), tenant.cloned(), carried, reservation).await
+                self.send_keyed(request, context.clone(), tenant.cloned(), forwarded, reservation).await
             }
         };
         if reply.status().is_server_error() || reply.status() == StatusCode::TOO_MANY_REQUESTS {
@@ -228,7 +230,7 @@
         tenant: Option<&Tenant>,
         context: &RequestContext,
         dedup_id: Option<Vec<u8>>,
-        carried: ForwardedRequest,
+        forwarded: ForwardedRequest,
     ) -> Result<(Reply, Vec<Attempt>), Refusal> {
         let Some((pool, new_request)) = choose_pool(&self.pools, tables, route, tenant, context) else {
             return Ok((unavailable(0.5), Vec::new()));
@@ -237,7 +239,7 @@
         if dedup_id.as_deref().is_some_and(|id| !new_id(id)) {
             return Err(refuse(StatusCode::CONFLICT, "Lupinledge-Attempt-Id: had before"));
         }
-        let (answer, attempts) = pool.submit(new_request, carried).answer_with_attempts().await;
+        let (answer, attempts) = pool.submit(new_request, forwarded).answer_with_attempts().await;
         if let (Answer::Denied(_), Some(id)) = (&answer, &dedup_id) {
             self.ids.borrow_mut().remove(id);
         }
@@ -271,7 +273,7 @@
         request: operations::KeyedRequest,
         context: RequestContext,
         tenant: Option<Tenant>,
-        carried: ForwardedRequest,
+        forwarded: ForwardedRequest,
         body_reservation: Reservation,
     ) -> (Reply, Vec<Attempt>) {
         let (operations, pools) = (self.operations.clone(), self.pools.clone());
@@ -279,7 +281,7 @@
         let (result_sender, result_receiver) = oneshot::channel();
         tokio::task::spawn_local(async move {
             let _body_reservation = body_reservation;
-            let send = move || send_to_pool(&pools, &context, tenant.as_ref(), carried);
+            let send = move || send_to_pool(&pools, &context, tenant.as_ref(), forwarded);
             let _ = result_sender.send(operations.perform(request, send).await);
         });
         let reply = match result_receiver.await.unwrap_or(KeyedOutcome::Lost) {
@@ -303,6 +305,7 @@
         (reply, Vec::new())
     }
 
+    /// The reply for the outcome of an exchange.
     fn reply(&self, answer: Answer<GatewayProtocol>) -> Reply {
         match answer {
             Answer::Passed(server_answer) | Answer::Failed(server_answer) => server_reply(server_answer),
@@ -327,7 +330,7 @@
     Box::new(text_reply(status, message))
 }
 
-/// A reply with a `Retry-After` header, if `secs` is positive.
+/// A reply with a `Retry-After` header, if `retry_after` is positive.
 fn retry_reply(status: StatusCode, retry_after: f64) -> Reply {
     let mut reply = empty_reply(status);
     if retry_after > 0.0 {
@@ -349,6 +352,7 @@
     retry_reply(StatusCode::SERVICE_UNAVAILABLE, retry_after)
 }
 
+/// The reply that passes a server's answer on.
 fn server_reply(answer: ServerAnswer) -> Reply {
     let mut reply = Response::new(http_body_util::Full::new(answer.body));
     (*reply.status_mut(), *reply.headers_mut()) = (answer.status, answer.headers);
@@ -417,7 +421,7 @@
     pools: &Pools,
     context: &RequestContext,
     tenant_before: Option<&Tenant>,
-    carried: ForwardedRequest,
+    forwarded: ForwardedRequest,
 ) -> Option<PendingRequest<GatewayProtocol>> {
     let tables = pools.tables();
     let route = tables.route(&context.host, &context.path).filter(|r| r.kind == RouteKind::Keyed)?;
@@ -425,7 +429,7 @@
     let same_tenant = tenant.map(|t| &t.name) == tenant_before.map(|t| &t.name);
     let (pool, new_request) = choose_pool(pools, &tables, route, tenant, context)?;
     let may_send = same_tenant && pools.suspension().0.is_none() && new_request.time_left > Span::ZERO;
-    may_send.then(|| pool.submit(new_request, carried))
+    may_send.then(|| pool.submit(new_request, forwarded))
 }
 
 /// The deduplication id of a non-idempotent request: its tenant's number and its attempt id.
@@ -440,18 +444,29 @@
 pub struct NotReadyHandler<F>(pub F);
 
 impl<F: Fn() -> f64 + 'static> RequestHandler for NotReadyHandler<F> {
-    async fn handle(&self, request: Request<Incoming>, _: &RequestFraming, whole_by: Instant) -> Reply {
-        let _ = tokio::time::timeout_at(whole_by, read_body(request.into_body(), EARLY_BODY_LIMIT)).await;
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+        _: &RequestFraming,
+        request_deadline: Instant,
+    ) -> Reply {
+        let _ =
+            tokio::time::timeout_at(request_deadline, read_body(request.into_body(), EARLY_BODY_LIMIT)).await;
         close_reply((self.0)())
     }
 }
 
 impl RequestHandler for ClientHandler {
-    async fn handle(&self, request: Request<Incoming>, heads: &RequestFraming, whole_by: Instant) -> Reply {
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+        framing: &RequestFraming,
+        request_deadline: Instant,
+    ) -> Reply {
         if let (Some(hint), _) = self.pools.suspension() {
-            return NotReadyHandler(move || hint).handle(request, heads, whole_by).await;
+            return NotReadyHandler(move || hint).handle(request, framing, request_deadline).await;
         }
-        match self.read(request, heads, whole_by).await {
+        match self.read(request, framing, request_deadline).await {
             Ok(reply) => reply,
             Err(mut refusal) => {
                 // the rest of an unread body must not be parsed as the next request
--- a/data-plane/src/counter_client.rs
+++ b/data-plane/src/counter_client.rs
@@ -25,6 +25,7 @@
 /// How often calls are checked for missing answers.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
+/// The pool that a call belongs to; it may be gone when the answer arrives.
 type Pool = Weak<Exchange<GatewayProtocol>>;
 
 /// A pending call of a pool: the name, the amount added, and the resulting sum.
@@ -45,6 +46,7 @@
 /// Sends the counter calls of all pools of this process.
 pub struct CounterClient {
     transport: Rc<Transport>,
+    /// Distinguishes this start of the process from others.
     incarnation: u32,
     started_at: Instant,
     /// The counters' epoch and its holder; node 0 if there is none.
@@ -103,6 +105,7 @@
         }
     }
 
+    /// Seconds since the client was started.
     fn now(&self) -> f64 {
         self.started_at.elapsed().as_secs_f64()
     }
--- a/data-plane/src/drift_responder.rs
+++ b/data-plane/src/drift_responder.rs
@@ -29,10 +29,12 @@
     node_state: Rc<NodeState>,
     gossip: Rc<Gossip>,
     pools: Rc<Pools>,
+    /// The flag that readiness checks are answered by.
     ready: Rc<Cell<bool>>,
     clients: Rc<ClientConnections<ClientHandler>>,
     audit: Audit,
     monitor: DriftMonitor,
+    /// The number of checks so far.
     checks: u32,
     /// The tables that were audited last.
     audited: Rc<Tables>,
@@ -42,6 +44,7 @@
 }
 
 impl DriftResponder {
+    /// Creates the responder for a node that has just become ready.
     pub fn new(
         node_state: Rc<NodeState>,
         gossip: Rc<Gossip>,
@@ -82,7 +85,7 @@
                 _ = tokio::time::sleep(AUDIT_INTERVAL) => self.check(),
                 _ = drift => {
                     let drift_kind = std::fs::read_to_string(&drift_file).unwrap_or_default();
-                    self.pools.drift(drift_kind.trim());
+                    self.pools.corrupt_tables(drift_kind.trim());
                 }
             }
         }
@@ -164,15 +167,12 @@
 
     /// Logs what differed once other tables are in force than those that were in doubt.
     fn log_difference(&mut self) {
-        let current = self.pools.tables();
-        let Some((old, judge)) = self.doubted.take_if(|(old, _)| !Rc::ptr_eq(old, &current)) else {
-            return;
-        };
-        for part in Part::ALL
-            .into_iter()
-            .filter(|p| old.recompute_fingerprint(*p) != current.recompute_fingerprint(*p))
+        let new = self.pools.tables();
+        let Some((old, judge)) = self.doubted.take_if(|(old, _)| !Rc::ptr_eq(old, &new)) else { return };
+        for part in
+            Part::ALL.into_iter().filter(|p| old.recompute_fingerprint(*p) != new.recompute_fingerprint(*p))
         {
-            let route = old.differing_names(&current, part).join(",");
+            let route = old.differing_names(&new, part).join(",");
             tracing::warn!(event = "drift", part = part.name(), %route, judge);
         }
     }
--- a/data-plane/src/failure_log.rs
+++ b/data-plane/src/failure_log.rs
@@ -32,8 +32,11 @@
 /// Limits the lines of one kind that are written per second.
 #[derive(Default)]
 pub struct LineLimiter {
+    /// The current second.
     second: u64,
+    /// Lines written in the current second.
     lines_written: u32,
+    /// Lines left out since the last one that was written.
     suppressed: u64,
 }
 
--- a/data-plane/src/node_state.rs
+++ b/data-plane/src/node_state.rs
@@ -39,7 +39,9 @@
     counter_client: Rc<CounterClient>,
     operations: Rc<Operations>,
     pools: RefCell<Option<Rc<Pools>>>,
+    /// The estimate of the cluster's clock.
     estimate: RefCell<ClockEstimate>,
+    /// Clock requests that were sent.
     clock_requests: RefCell<SentRequests>,
     /// The serial of the document in force; 0 if any document is to be accepted.
     serial: Cell<u64>,
@@ -54,6 +56,7 @@
 }
 
 impl NodeState {
+    /// Creates the state and registers it as the gossip's host.
     pub fn new(
         settings: Rc<Settings>,
         gossip: Rc<Gossip>,
--- a/data-plane/src/operations.rs
+++ b/data-plane/src/operations.rs
@@ -180,6 +180,7 @@
         }
     }
 
+    /// Sends a message to a voter or another gateway.
     fn send(&self, to: Node, message: Message) {
         self.gossip.post().send(to, &WireMessage::Operation(message));
     }
--- a/data-plane/src/operations/byte_budget.rs
+++ b/data-plane/src/operations/byte_budget.rs
@@ -8,6 +8,7 @@
 pub struct ByteBudget {
     bytes_per_s: f64,
     available_bytes: f64,
+    /// The time in seconds when `available_bytes` was computed.
     updated_at: f64,
 }
 
--- a/data-plane/src/operations/claim.rs
+++ b/data-plane/src/operations/claim.rs
@@ -13,6 +13,7 @@
 pub struct Holder {
     /// The claim that holds the key.
     pub claim_id: ClaimId,
+    /// The fingerprint of that claim's request.
     pub fingerprint: Fingerprint,
     /// A voter that stores the answer, if any.
     pub answered_at: Option<Node>,
@@ -20,6 +21,7 @@
 
 /// The state of one claim, shared by its request and the handling of votes.
 pub struct Claim {
+    /// The claim's id.
     pub id: ClaimId,
     granted: Cell<bool>,
     withdrawn: Cell<bool>,
--- a/data-plane/src/operations/perform.rs
+++ b/data-plane/src/operations/perform.rs
@@ -34,7 +34,9 @@
 
 /// A keyed request.
 pub struct KeyedRequest {
+    /// The operation key.
     pub key: Key,
+    /// The fingerprint of the request's method, path and body.
     pub fingerprint: Fingerprint,
     /// Seconds for which the key stays claimed.
     pub keep_seconds: f64,
@@ -71,11 +73,17 @@
 
 /// The outcome of a claim.
 enum ClaimOutcome {
+    /// A majority of the voters granted it.
     Granted,
+    /// The key's operation has this stored answer.
     Answered(Rc<[u8]>),
+    /// The key's operation is still running.
     StillRunning,
+    /// The key belongs to a different request.
     OtherRequest,
+    /// It is not known whether the key's operation ran, for this reason.
     Lost(&'static str),
+    /// Too few voters answered in time.
     Unavailable,
     /// The operation of the claim that held the key has not run; the key may be free again.
     ClaimAgain,
@@ -148,13 +156,11 @@
     /// Looks up the key's operation in this gateway's memory.
     fn local_state(&self, request: &KeyedRequest) -> KeyState {
         let mut table = self.operation_table.borrow_mut();
-        let Some(operation) = table.find(self.gossip.now(), request.key) else {
-            return KeyState::Nothing;
-        };
-        if operation.fingerprint != request.fingerprint {
+        let Some(entry) = table.find(self.gossip.now(), request.key) else { return KeyState::Nothing };
+        if entry.fingerprint != request.fingerprint {
             return KeyState::Ended(KeyedOutcome::OtherRequest);
         }
-        match &operation.state {
+        match &entry.state {
             State::Running => KeyState::Running,
             State::Lost => KeyState::Ended(KeyedOutcome::Lost),
             State::AnswerDropped => KeyState::Nothing,
--- a/data-plane/src/operations/progress_queries.rs
+++ b/data-plane/src/operations/progress_queries.rs
@@ -22,6 +22,7 @@
 /// One query. Dropping it discards later answers.
 pub struct ProgressQuery<'a> {
     queries: &'a ProgressQueries,
+    /// The tag that answers carry.
     pub tag: u64,
     answers: Receiver<Progress>,
 }
@@ -58,7 +59,7 @@
 
 impl ProgressQuery<'_> {
     /// Waits for the first answer other than [`Progress::Unknown`]; returns `Unknown` once all nodes have
-    /// answered so.
+    /// given that answer.
     pub async fn answer(&mut self) -> Progress {
         while let Some(progress) = self.answers.recv().await {
             if progress != Progress::Unknown {
--- a/data-plane/src/operations/voters.rs
+++ b/data-plane/src/operations/voters.rs
@@ -18,8 +18,11 @@
 /// The location of this gateway.
 #[derive(Clone, Debug)]
 pub struct Location {
+    /// The gateway's node number.
     pub node: Node,
+    /// Its zone.
     pub zone: String,
+    /// The region of its zone.
     pub region: String,
 }
 
@@ -36,6 +39,7 @@
         voters.into_iter().map(|(_, node)| node).collect()
     }
 
+    /// How near a member is to this gateway.
     fn distance(&self, member: &Member) -> Distance {
         if member.card.zone == self.zone {
             Distance::Zone
@@ -50,18 +54,19 @@
 impl Operations {
     /// The voters to send a claim to, in this order.
     pub(super) fn voters(&self) -> Vec<Node> {
-        self.gossip.with_membership(|swarm| self.location.voters(swarm.members()))
+        self.gossip.with_membership(|membership| self.location.voters(membership.members()))
     }
 
     /// The zone of a process, if it is known.
     pub(super) fn zone_of(&self, node: Node) -> Option<String> {
-        self.gossip.with_membership(|swarm| swarm.member(node).map(|member| member.card.zone.clone()))
+        self.gossip
+            .with_membership(|membership| membership.member(node).map(|member| member.card.zone.clone()))
     }
 
     /// Whether a process may still answer.
     pub(super) fn may_answer(&self, node: Node) -> bool {
         let not_gone = |member: &Member| member.standing != Standing::Gone;
-        self.gossip.with_membership(|swarm| swarm.member(node).is_some_and(not_gone))
+        self.gossip.with_membership(|membership| membership.member(node).is_some_and(not_gone))
     }
 }
 
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -39,24 +39,30 @@
 struct Pool {
     exchange: Rc<Exchange<GatewayProtocol>>,
     /// The task that runs the exchange.
-    drive: tokio::task::AbortHandle,
+    task: tokio::task::AbortHandle,
 }
 
 impl Drop for Pool {
     fn drop(&mut self) {
-        self.drive.abort();
+        self.task.abort();
     }
 }
 
 /// The inputs in force and the pools that follow them.
 #[derive(Default)]
 struct PoolSet {
+    /// The tables in force.
     tables: Rc<Tables>,
+    /// The newest server list.
     list: ServerList,
+    /// The number of gateways that share the limits.
     gateways: usize,
+    /// The index of each route's frontend.
     routes: StableIndexes,
+    /// The index of each tenant's plan, less one.
     tenants: StableIndexes,
     frontends_and_plans: FrontendsAndPlans,
+    /// The pools by service name.
     pools: HashMap<String, Pool>,
     /// Pools of services that are no longer configured, kept until their requests are over.
     retired: Vec<Pool>,
@@ -71,9 +77,12 @@
 pub struct Pools {
     settings: RefCell<Rc<Settings>>,
     node: NodeContext,
+    /// The cluster's clock.
     pub clock: Clock,
+    /// The metrics of requests and connections.
     pub counters: Rc<Counters>,
     counter_client: Rc<CounterClient>,
+    /// File descriptors for connections to servers.
     descriptors: Rc<DescriptorPool>,
     /// Memory budget for servers' answers, shared by all pools.
     answer_memory: Arc<MemoryBudget>,
@@ -85,6 +94,7 @@
 }
 
 impl Pools {
+    /// Creates the pools without any service; `seed` is for the decisions' random numbers.
     pub fn new(
         settings: Rc<Settings>,
         clock: Clock,
@@ -145,9 +155,9 @@
         if route.home_regions.is_empty() && tenant.is_none_or(|t| t.home_regions.is_empty()) {
             return u64::MAX;
         }
-        let may = |z: &String| tables.is_allowed_in(route, tenant, z);
+        let is_allowed = |z: &String| tables.is_allowed_in(route, tenant, z);
         let zones = self.node.zones.iter().take(63).enumerate();
-        zones.filter(|(_, z)| may(z)).fold(0, |bits, (i, _)| bits | 1 << i)
+        zones.filter(|(_, z)| is_allowed(z)).fold(0, |bits, (i, _)| bits | 1 << i)
     }
 
     /// The number of pools, over all gateways, that a tenant's requests may arrive through. While the
@@ -186,8 +196,8 @@
         find_deviation(&terms, &settings, &pool_set.tables, [&pool_set.routes, &pool_set.tenants])
     }
 
-    /// Injects a fault in tests, see [`Tables::drift`].
-    pub fn drift(&self, drift_kind: &str) {
+    /// Injects a fault in tests, see [`Tables::corrupt`].
+    pub fn corrupt_tables(&self, drift_kind: &str) {
         Rc::make_mut(&mut self.pool_set.borrow_mut().tables).corrupt(drift_kind);
     }
 
@@ -284,10 +294,10 @@
         {
             let pool_set = &mut *self.pool_set.borrow_mut();
             pool_set.unconfirmed_zones.retain(|_, (known, _)| list.number <= *known);
-            let listed_ids: HashSet<&str> = list.rows.iter().map(|r| r.id.as_str()).collect();
+            let listed_ids: HashSet<&str> = list.rows.iter().map(|server| server.id.as_str()).collect();
             pool_set.warmup_started.retain(|id, _| listed_ids.contains(id.as_str()));
-            for r in &list.rows {
-                self.record_warmup(pool_set, r);
+            for server in &list.rows {
+                self.record_warmup(pool_set, server);
             }
             pool_set.list = list;
         }
@@ -330,7 +340,7 @@
     /// Opens a pool and starts its task.
     fn open(&self, terms: lupinledge::interface::Terms) -> Pool {
         let exchange: Rc<Exchange<GatewayProtocol>> = Exchange::new(terms, self.clock, self.counters.clone());
-        let bounds = ServerLimits {
+        let limits = ServerLimits {
             connect_timeout: Duration::from_millis(400),
             max_idle: Duration::from_secs(8),
             honor_keep_alive: true,
@@ -340,11 +350,12 @@
             max_head_bytes: 32 << 10,
             tcp_user_timeout: Some(Duration::from_millis(1500)),
         };
-        let srvs = ServerConnections::new(&exchange, GatewayProtocol, bounds, self.descriptors.clone());
-        srvs.set_memory_budget(self.answer_memory.clone());
-        exchange.attach(srvs, Some(self.counter_client.counter_for_pool(Rc::downgrade(&exchange))));
-        let drive = tokio::task::spawn_local(exchange.clone().run()).abort_handle();
-        Pool { exchange, drive }
+        let connections =
+            ServerConnections::new(&exchange, GatewayProtocol, limits, self.descriptors.clone());
+        connections.set_memory_budget(self.answer_memory.clone());
+        exchange.attach(connections, Some(self.counter_client.counter_for_pool(Rc::downgrade(&exchange))));
+        let task = tokio::task::spawn_local(exchange.clone().run()).abort_handle();
+        Pool { exchange, task }
     }
 
     /// Gives each pool its servers of the list. Servers in evacuated zones get no new requests, nor do those
--- a/data-plane/src/readiness.rs
+++ b/data-plane/src/readiness.rs
@@ -16,6 +16,7 @@
 pub struct ReadinessHandler {
     /// Whether the process is ready; set by the rest of the program.
     pub is_ready: Rc<Cell<bool>>,
+    /// The metrics that are served.
     pub metrics: Rc<Metrics>,
 }
 
--- a/data-plane/src/server_protocol.rs
+++ b/data-plane/src/server_protocol.rs
@@ -12,13 +12,21 @@
 use lupinledge_proxy::exchange::{Dispatch, DispatchResult, Protocol};
 use lupinledge_proxy::servers::ServerProtocol;
 
+/// The client's id of a request's attempt, repeated in the answer.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("lupinledge-attempt-id");
+/// The key under which an operation runs at most once.
 pub const OPERATION_KEY: HeaderName = HeaderName::from_static("lupinledge-operation-key");
+/// Milliseconds that are left for a request.
 pub const DEADLINE: HeaderName = HeaderName::from_static("lupinledge-deadline-ms");
+/// The server instance that a request is meant for.
 const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("lupinledge-expect-instance");
+/// The name of the tenant that sent a request.
 const TENANT: HeaderName = HeaderName::from_static("lupinledge-tenant");
+/// Set by servers on every success.
 const SERVER_STAMP: HeaderName = HeaderName::from_static("lupinledge-server-stamp");
+/// Set by a server that has not run the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("lupinledge-not-executed");
+/// A server's load, see [`parse_load`].
 const SERVER_LOAD: HeaderName = HeaderName::from_static("lupinledge-server-load");
 
 /// Hop-by-hop headers, which are not forwarded.
@@ -39,7 +47,8 @@
 const NOT_EXECUTED_STATUSES: [StatusCode; 3] =
     [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS, StatusCode::SERVICE_UNAVAILABLE];
 
-/// Headers that only the gateway sets on requests to servers; a client's values are removed.
+/// Headers of a client that are never forwarded: the API key, and the headers that only the gateway sets on
+/// requests to servers.
 const GATEWAY_ONLY: [HeaderName; 4] = [AUTHORIZATION, DEADLINE, EXPECTED_INSTANCE, TENANT];
 
 /// Removes the hop-by-hop headers and those that `Connection` names.
@@ -55,7 +64,7 @@
     HOP_BY_HOP.iter().chain(&named).for_each(|n| drop(headers.remove(n)));
 }
 
-/// A client's request as it is forwarded to a server, without the headers that only the gateway sets.
+/// A client's request as it is forwarded to a server.
 pub struct ForwardedRequest {
     method: Method,
     uri: Uri,
@@ -64,7 +73,8 @@
 }
 
 impl ForwardedRequest {
-    /// `tenant` is the name of the tenant that the API key belongs to, if the configuration has tenants.
+    /// Removes the headers that are not forwarded and names the tenant: `tenant` is the tenant of the API
+    /// key, if the configuration has tenants.
     pub fn new(
         method: Method,
         uri: Uri,
@@ -82,8 +92,11 @@
 /// A server's answer.
 #[derive(Debug)]
 pub struct ServerAnswer {
+    /// The status that the server answered.
     pub status: StatusCode,
+    /// The headers without the hop-by-hop ones.
     pub headers: HeaderMap,
+    /// The whole body.
     pub body: Bytes,
 }
 
--- a/data-plane/src/start.rs
+++ b/data-plane/src/start.rs
@@ -32,8 +32,8 @@
 const MISSING_INPUT_DELAY: Duration = Duration::from_secs(2);
 /// Time for sending the last answers after a SIGTERM that comes before the process is ready.
 const EARLY_END_TIME: Duration = Duration::from_millis(250);
-/// Shares of the time that the platform allows after SIGTERM: new connections are accepted during the first
-/// share, and the last answers are given by the end of the second.
+/// Shares of the time that the platform allows after SIGTERM: new connections are accepted during
+/// `ACCEPT_SHARE` of it, and the last answers are given by the end of `ANSWER_SHARE`.
 const ACCEPT_SHARE: f64 = 0.55;
 const ANSWER_SHARE: f64 = 0.92;
 
@@ -54,8 +54,8 @@
     runtime.wrap_err("runtime")?.block_on(serve(node_settings, path))
 }
 
-/// The bounds of client connections, with the given times in seconds and size of a head.
-fn bounds(header: f64, idle: f64, header_bytes: usize) -> ClientLimits {
+/// The limits of client connections, with the given times in seconds and size of a head.
+fn client_limits(header: f64, idle: f64, header_bytes: usize) -> ClientLimits {
     ClientLimits {
         idle_timeout: Duration::from_secs_f64(idle.clamp(0.1, 3600.0)),
         head_timeout: Duration::from_secs_f64(header.clamp(0.1, 3600.0)),
@@ -69,12 +69,12 @@
 
 /// Accepts connections at one address, forever.
 async fn accept<A: RequestHandler>(
-    gate: &Listener,
+    listener: &Listener,
     clients: &Rc<ClientConnections<A>>,
     descriptors: &DescriptorPool,
 ) {
     loop {
-        let (stream, peer, descriptor) = gate.accept(|| clients.free_descriptors()).await;
+        let (stream, peer, descriptor) = listener.accept(|| clients.free_descriptors()).await;
         clients.serve(stream, peer, descriptor, descriptors.is_low());
     }
 }
@@ -101,7 +101,7 @@
 
     // the port opens at once, so that readiness checks are answered while the state is still missing
     let readiness_descriptors = DescriptorPool::new(16);
-    let readiness_gate = open("ready", node_settings.listen.ready, &readiness_descriptors)?;
+    let readiness_listener = open("ready", node_settings.listen.ready, &readiness_descriptors)?;
     let counters: Rc<lupinledge_proxy::counters::Counters> = Rc::default();
 
     let card = Card {
@@ -124,9 +124,9 @@
     let metrics = Metrics::new(node_state.clone());
     let readiness_handler = Rc::new(ReadinessHandler { is_ready: ready.clone(), metrics: metrics.clone() });
     let readiness_clients =
-        ClientConnections::start(readiness_handler, counters.clone(), bounds(3.0, 15.0, 8 << 10));
+        ClientConnections::start(readiness_handler, counters.clone(), client_limits(3.0, 15.0, 8 << 10));
     tokio::task::spawn_local(async move {
-        accept(&readiness_gate, &readiness_clients, &readiness_descriptors).await
+        accept(&readiness_listener, &readiness_clients, &readiness_descriptors).await
     });
     tokio::task::spawn_local(gossip.clone().run());
     let (settings_target, drift_file) = (node_state.clone(), path.with_extension("drift"));
@@ -135,11 +135,11 @@
         settings_target.apply_settings(s);
         Ok(())
     }));
-    let gate = open("front", node_settings.listen.front, &client_descriptors)?;
+    let listener = open("front", node_settings.listen.front, &client_descriptors)?;
     let estimator = node_state.clone();
     let not_ready_clients = NotReadyHandler(move || estimator.seconds_until_ready());
     let not_ready_clients =
-        ClientConnections::start(Rc::new(not_ready_clients), counters, bounds(3.0, 15.0, 16 << 10));
+        ClientConnections::start(Rc::new(not_ready_clients), counters, client_limits(3.0, 15.0, 16 << 10));
     let began = Instant::now();
     let startup = async {
         let clock = node_state.fetch_clock(MAX_CLOCK_WAIT).await;
@@ -161,7 +161,7 @@
     // the process is ready
     let pools = tokio::select! {
         pools = startup => Some(pools),
-        _ = accept(&gate, &not_ready_clients, &client_descriptors) => None,
+        _ = accept(&listener, &not_ready_clients, &client_descriptors) => None,
         _ = term.recv() => None,
         _ = int.recv() => None,
     };
@@ -174,7 +174,7 @@
     let client_handler =
         ClientHandler::new(pools.clone(), operations.clone(), node_settings.limits.memory_mb, seed);
     let clients =
-        ClientConnections::start(client_handler, pools.counters.clone(), bounds(3.0, 15.0, 16 << 10));
+        ClientConnections::start(client_handler, pools.counters.clone(), client_limits(3.0, 15.0, 16 << 10));
     ready.set(true);
     gossip.set_card(|card| card.ready = true);
     tracing::info!(event = "ready", version = pools.tables().version());
@@ -185,7 +185,7 @@
         loop {
             let limits = table_source.tables().limits();
             if applied_limits.replace(limits) != Some(limits) {
-                bounded_clients.set_limits(bounds(
+                bounded_clients.set_limits(client_limits(
                     limits.header_timeout,
                     limits.idle_timeout,
                     limits.max_header_bytes,
@@ -205,7 +205,7 @@
     );
     let drift_responder = tokio::task::spawn_local(drift_responder.run(drift_file));
     tokio::select! {
-        _ = accept(&gate, &clients, &client_descriptors) => {}
+        _ = accept(&listener, &clients, &client_descriptors) => {}
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
@@ -217,14 +217,16 @@
     gossip.set_card(|card| (card.ready, card.leaving) = (false, true));
     // keeps accepting clients that still use this address, while they learn of another one
     clients.start_closing();
-    let _ =
-        timeout(Duration::from_secs_f64(grace * ACCEPT_SHARE), accept(&gate, &clients, &client_descriptors))
-            .await;
+    let _ = timeout(
+        Duration::from_secs_f64(grace * ACCEPT_SHARE),
+        accept(&listener, &clients, &client_descriptors),
+    )
+    .await;
     clients.close_all();
-    while let Some((stream, peer, descriptor)) = gate.accept_queued().await {
+    while let Some((stream, peer, descriptor)) = listener.accept_queued().await {
         clients.serve(stream, peer, descriptor, true);
     }
-    drop(gate);
+    drop(listener);
     clients.close_all();
     let time_left = Duration::from_secs_f64(grace * ANSWER_SHARE).saturating_sub(began.elapsed());
     let _ = timeout(time_left, clients.wait_closed()).await;
--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -22,8 +22,11 @@
 pub struct StableIndexes {
     /// Each name's index and the generation that used it last.
     by_name: HashMap<String, (usize, u64)>,
+    /// Indexes that may be assigned again.
     free: Vec<usize>,
+    /// The number of calls of [`StableIndexes::assign_indexes`].
     generation: u64,
+    /// The number of indexes in existence.
     next_index: usize,
 }
 
@@ -65,6 +68,7 @@
     pub regions: Vec<u16>,
     /// The index of the node's own zone.
     pub zone: u16,
+    /// The seed of the decisions' random numbers.
     pub seed: u64,
 }
 
