--- a/data-plane/tests/rules/cluster.rs
+++ b/data-plane/tests/rules/cluster.rs
@@ -19,10 +19,10 @@
 const LONG_WAIT: Duration = Duration::from_secs(60);
 
 /// Waits until a condition holds; fails when it never does.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LONG_WAIT, "never: {what}");
+        assert!(start.elapsed() < LONG_WAIT, "never: {condition}");
         sleep(Duration::from_millis(5));
     }
 }
@@ -131,6 +131,7 @@
 pub struct ExtraGateway {
     child: Child,
     path: PathBuf,
+    /// Its address for clients.
     pub front: SocketAddr,
     ready: SocketAddr,
 }
@@ -175,8 +176,11 @@
 /// The program with its test core, killed when dropped.
 pub struct Cluster {
     child: Child,
+    /// The core that it gets its state from.
     pub core: TestCore,
+    /// The program's address.
     pub ip: Ipv4Addr,
+    /// Its address for clients.
     pub front: SocketAddr,
     ready: SocketAddr,
     path: PathBuf,
--- a/data-plane/tests/rules/faulty_servers.rs
+++ b/data-plane/tests/rules/faulty_servers.rs
@@ -16,9 +16,11 @@
 /// What a server does with a request that it has read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultyBehavior {
+    /// Answers as it should.
     Good,
     /// Answers in two writes.
     TwoWrites,
+    /// Answers with a chunked body.
     Chunked,
     /// Sends informational answers first.
     Informational,
--- a/data-plane/tests/rules/test_core.rs
+++ b/data-plane/tests/rules/test_core.rs
@@ -22,7 +22,9 @@
 
 /// A command from a test to the core.
 enum Command {
+    /// Publishes a document under this ballot index.
     Document(u64, Document),
+    /// Publishes a server list with this number.
     Rows(u64, Vec<ListedServer>),
     /// From now on the same process holds the duty under the epoch of this round.
     Round(u32),
@@ -36,6 +38,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Answers {
     #[default]
+    /// At once and correctly.
     Prompt,
     /// Not answered yet; the answers, with totals beyond any quota, are kept.
     Withheld,
@@ -58,6 +61,7 @@
     pub reported: AtomicU64,
     /// Invalid answers that were sent.
     pub stale: AtomicU64,
+    /// How calls are answered now.
     pub answers: Mutex<Answers>,
 }
 
@@ -79,8 +83,11 @@
 /// A running test core; it stops when dropped.
 pub struct TestCore {
     commands: UnboundedSender<Command>,
+    /// The state of its counters.
     pub counts: Arc<CounterState>,
+    /// The state of its votes.
     pub votes: Arc<VoteState>,
+    /// Its node number.
     pub me: Node,
 }
 
@@ -91,10 +98,12 @@
 /// Answers the messages that the gossip does not handle.
 struct CoreHost {
     gossip: Rc<Gossip>,
+    /// The last sum by name.
     totals: RefCell<BTreeMap<u64, f64>>,
     withheld_answers: RefCell<Vec<WireMessage>>,
     counts: Arc<CounterState>,
     voter: RefCell<Voter>,
+    /// The index of the current electorate.
     electorate: Cell<u64>,
     /// Keys whose claims are answered.
     preferred: RefCell<BTreeSet<Key>>,
@@ -290,10 +299,12 @@
     let _ = bound_sender.send(());
     let core_host = Rc::new(CoreHost {
         gossip: gossip.clone(),
+        /// The last sum by name.
         totals: RefCell::default(),
         withheld_answers: RefCell::default(),
         counts,
         voter: RefCell::new(Voter::new(0.0, founder(gossip.me()), Vec::new(), &mut Vec::new())),
+        /// The index of the current electorate.
         electorate: Cell::new(0),
         preferred: RefCell::default(),
         votes,
--- a/data-plane/tests/rules/test_server.rs
+++ b/data-plane/tests/rules/test_server.rs
@@ -28,8 +28,11 @@
 
 /// A test server on a loopback port.
 pub struct TestServer {
+    /// Its instance id.
     pub id: String,
+    /// Its zone.
     pub zone: &'static str,
+    /// Its address.
     pub addr: SocketAddr,
     received: Arc<Mutex<Vec<(Instant, Message)>>>,
     behavior: Arc<Mutex<Behavior>>,
--- a/data-plane/tests/start.rs
+++ b/data-plane/tests/start.rs
@@ -123,7 +123,7 @@
 #[test]
 fn a_gateway_without_a_configuration_reports_it() {
     let (log, to) = std::io::pipe().expect("a pipe");
-    let (_forager, _, ready, _hive) = start_logging_to(Stdio::from(to));
+    let (_gateway, _, ready, _seed_socket) = start_logging_to(Stdio::from(to));
     let mut lines = BufReader::new(log).lines().map_while(Result::ok);
     assert!(lines.any(|line| line.contains("event=waiting lacks=configuration")));
     let mut stream = TcpStream::connect(ready).expect("a connection for metrics");
