--- a/data-plane/tests/rules/test_core.rs
+++ b/data-plane/tests/rules/test_core.rs
@@ -299,12 +299,10 @@
     let _ = bound_sender.send(());
     let core_host = Rc::new(CoreHost {
         gossip: gossip.clone(),
-        /// The last sum by name.
         totals: RefCell::default(),
         withheld_answers: RefCell::default(),
         counts,
         voter: RefCell::new(Voter::new(0.0, founder(gossip.me()), Vec::new(), &mut Vec::new())),
-        /// The index of the current electorate.
         electorate: Cell::new(0),
         preferred: RefCell::default(),
         votes,
