--- a/data-plane/src/main.rs
+++ b/data-plane/src/main.rs
@@ -1,17 +1,17 @@
 //! The data plane of the system: takes clients' requests on an edge machine and passes them to servers.
 
-mod door;
-mod failures;
-mod guard;
-mod ledger;
+mod client_handler;
+mod counter_client;
+mod drift_responder;
+mod failure_log;
 mod metrics;
-mod nest;
+mod node_state;
 mod operations;
 mod pools;
-mod ready;
+mod readiness;
+mod server_protocol;
 mod start;
 mod terms;
-mod wire;
 
 use lupinledge_gossip::cli::{self, Program};
 
--- a/data-plane/src/ready.rs
+++ b/data-plane/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's question whether this gateway is ready, and its figures for those who look into an incident.
+//! Answers the platform's readiness checks and serves the metrics page.
 
 use crate::metrics::Metrics;
 use hyper::body::Incoming;
@@ -12,16 +12,18 @@
 const READINESS: &str = "/lupinledge/readiness";
 const METRICS: &str = "/lupinledge/metrics";
 
-/// Answers by a flag that others keep, and by the figures of the process.
-pub struct Ready {
-    pub flag: Rc<Cell<bool>>,
+/// Serves readiness and metrics.
+pub struct ReadinessHandler {
+    /// Whether the process is ready; set by the rest of the program.
+    pub is_ready: Rc<Cell<bool>>,
+    /// The metrics that are served.
     pub metrics: Rc<Metrics>,
 }
 
-impl RequestHandler for Ready {
-    async fn handle(&self, req: Request<Incoming>, _: &RequestFraming, _: Instant) -> Reply {
-        match req.uri().path() {
-            READINESS if self.flag.get() => empty_reply(StatusCode::OK),
+impl RequestHandler for ReadinessHandler {
+    async fn handle(&self, request: Request<Incoming>, _: &RequestFraming, _: Instant) -> Reply {
+        match request.uri().path() {
+            READINESS if self.is_ready.get() => empty_reply(StatusCode::OK),
             READINESS => empty_reply(StatusCode::SERVICE_UNAVAILABLE),
             METRICS => text_reply(StatusCode::OK, self.metrics.text()),
             _ => empty_reply(StatusCode::NOT_FOUND),
