--- a/control-plane/src/clock.rs
+++ b/control-plane/src/clock.rs
@@ -12,22 +12,22 @@
     pub incarnation: u64,
     start: Instant,
     /// What the hive's clock shows beyond the own one.
-    base: Cell<f64>,
-    led: Cell<bool>,
-    asked: RefCell<SentRequests>,
+    cluster_offset: Cell<f64>,
+    authoritative: Cell<bool>,
+    sent_requests: RefCell<SentRequests>,
 }
 
 impl Clock {
     pub fn start(me: Node) -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let (start, base) = (Instant::now(), Cell::new(unix.as_secs_f64()));
+        let (start, cluster_offset) = (Instant::now(), Cell::new(unix.as_secs_f64()));
         Clock {
             me,
             incarnation: unix.as_millis() as u64,
             start,
-            base,
-            led: Cell::new(false),
-            asked: RefCell::default(),
+            cluster_offset,
+            authoritative: Cell::new(false),
+            sent_requests: RefCell::default(),
         }
     }
 
@@ -37,31 +37,31 @@
     }
 
     /// What the hive's clock shows.
-    pub fn hive(&self) -> f64 {
-        self.now() + self.base.get()
+    pub fn cluster_time(&self) -> f64 {
+        self.now() + self.cluster_offset.get()
     }
 
     /// From here on the others take the time from this process.
-    pub fn leads(&self) {
-        self.led.set(true);
+    pub fn mark_authoritative(&self) {
+        self.authoritative.set(true);
     }
 
     /// What to ask a holder's clock with.
-    pub fn ask(&self) -> f64 {
+    pub fn start_request(&self) -> f64 {
         let now = self.now();
-        self.asked.borrow_mut().add(now);
+        self.sent_requests.borrow_mut().add(now);
         now
     }
 
     /// Goes by a holder's clock from here on, as long as this process has not led itself.
-    pub fn adopt(&self, sent: f64, hive: f64) {
-        let trip = self.now() - sent;
-        if !self.led.get()
-            && self.asked.borrow().contains(sent)
-            && hive.is_finite()
-            && (0.0..=1.0).contains(&trip)
+    pub fn adopt(&self, sent: f64, cluster_time: f64) {
+        let round_trip = self.now() - sent;
+        if !self.authoritative.get()
+            && self.sent_requests.borrow().contains(sent)
+            && cluster_time.is_finite()
+            && (0.0..=1.0).contains(&round_trip)
         {
-            self.base.set(hive + trip / 2.0 - self.now());
+            self.cluster_offset.set(cluster_time + round_trip / 2.0 - self.now());
         }
     }
 }
--- a/control-plane/src/command.rs
+++ b/control-plane/src/command.rs
@@ -24,7 +24,7 @@
     }
 
     /// What it changes, as it is named in the log; none for a question.
-    pub fn changes(&self) -> Option<&'static str> {
+    pub fn change_name(&self) -> Option<&'static str> {
         match self {
             Command::PutConfig { .. } => Some("configuration"),
             Command::Evacuate { .. } => Some("evacuation"),
@@ -65,65 +65,67 @@
         text: String,
     },
     /// Another process speaks for the whole.
-    Elsewhere(SocketAddr),
+    Redirect(SocketAddr),
     /// Nobody here can tell now; not the same as a refusal: it may have been taken.
-    Later,
+    Unavailable,
 }
 
 /// A path and method that stand for a command, before any body was read.
 #[derive(Debug, PartialEq)]
-pub enum Asked {
-    Put,
-    Ready(Command),
+pub enum Route {
+    PutConfig,
+    NoBody(Command),
     Resolve,
     Nodes,
     Core,
-    FoundAnew,
+    FoundCore,
     Metrics,
-    NoSuchMethod(&'static str),
+    MethodNotAllowed(&'static str),
     Malformed(&'static str),
-    Nothing,
+    NotFound,
 }
 
-const ZONE_MOST: usize = 128;
+const MAX_ZONE_BYTES: usize = 128;
 
 /// What a request line asks for.
-pub fn asked(method: &Method, path: &str) -> Asked {
+pub fn route(method: &Method, path: &str) -> Route {
     match path {
-        "/lupinledge/resolve" if method == Method::GET => Asked::Resolve,
-        "/lupinledge/resolve" => Asked::NoSuchMethod("GET"),
-        "/lupinledge/nodes" if method == Method::GET => Asked::Nodes,
-        "/lupinledge/nodes" => Asked::NoSuchMethod("GET"),
-        "/lupinledge/core" if method == Method::GET => Asked::Core,
-        "/lupinledge/core" => Asked::NoSuchMethod("GET"),
-        "/lupinledge/core/found" if method == Method::POST => Asked::FoundAnew,
-        "/lupinledge/core/found" => Asked::NoSuchMethod("POST"),
-        "/lupinledge/metrics" if method == Method::GET => Asked::Metrics,
-        "/lupinledge/metrics" => Asked::NoSuchMethod("GET"),
+        "/lupinledge/resolve" if method == Method::GET => Route::Resolve,
+        "/lupinledge/resolve" => Route::MethodNotAllowed("GET"),
+        "/lupinledge/nodes" if method == Method::GET => Route::Nodes,
+        "/lupinledge/nodes" => Route::MethodNotAllowed("GET"),
+        "/lupinledge/core" if method == Method::GET => Route::Core,
+        "/lupinledge/core" => Route::MethodNotAllowed("GET"),
+        "/lupinledge/core/found" if method == Method::POST => Route::FoundCore,
+        "/lupinledge/core/found" => Route::MethodNotAllowed("POST"),
+        "/lupinledge/metrics" if method == Method::GET => Route::Metrics,
+        "/lupinledge/metrics" => Route::MethodNotAllowed("GET"),
         "/lupinledge/config" => match *method {
-            Method::PUT => Asked::Put,
-            Method::GET => Asked::Ready(Command::GetConfig),
-            _ => Asked::NoSuchMethod("GET, PUT"),
+            Method::PUT => Route::PutConfig,
+            Method::GET => Route::NoBody(Command::GetConfig),
+            _ => Route::MethodNotAllowed("GET, PUT"),
         },
         _ => {
-            let Some(zone) = path.strip_prefix("/lupinledge/evacuation/") else { return Asked::Nothing };
-            match unescape(zone) {
-                Some(z) if z.is_empty() || z.contains('/') || z.len() > ZONE_MOST => Asked::Nothing,
-                Some(zone) if method == Method::POST => Asked::Ready(Command::Evacuate { zone }),
-                Some(zone) if method == Method::DELETE => Asked::Ready(Command::Restore { zone }),
-                Some(_) => Asked::NoSuchMethod("POST, DELETE"),
-                None => Asked::Malformed("zone"),
+            let Some(zone) = path.strip_prefix("/lupinledge/evacuation/") else { return Route::NotFound };
+            match percent_decode(zone) {
+                Some(zone) if zone.is_empty() || zone.contains('/') || zone.len() > MAX_ZONE_BYTES => {
+                    Route::NotFound
+                }
+                Some(zone) if method == Method::POST => Route::NoBody(Command::Evacuate { zone }),
+                Some(zone) if method == Method::DELETE => Route::NoBody(Command::Restore { zone }),
+                Some(_) => Route::MethodNotAllowed("POST, DELETE"),
+                None => Route::Malformed("zone"),
             }
         }
     }
 }
 
 /// Percent signs decoded; `None` where that can't be.
-pub fn unescape(text: &str) -> Option<String> {
+pub fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = text.bytes();
-    let mut plain = Vec::with_capacity(text.len());
+    let mut decoded = Vec::with_capacity(text.len());
     while let Some(b) = bytes.next() {
-        plain.push(match b {
+        decoded.push(match b {
             b'%' => {
                 let mut digit = || bytes.next().and_then(|d| char::from(d).to_digit(16));
                 (digit()? * 16 + digit()?) as u8
@@ -131,16 +133,16 @@
             _ => b,
         });
     }
-    String::from_utf8(plain).ok()
+    String::from_utf8(decoded).ok()
 }
 
 /// The value of a name in a query; the outer `None` stands for a query that can't be read.
-pub fn of_query(query: &str, name: &str) -> Option<Option<String>> {
+pub fn query_value(query: &str, name: &str) -> Option<Option<String>> {
     let mut found = None;
     for pair in query.split('&').filter(|p| !p.is_empty()) {
         let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
-        if unescape(key)? == name && found.is_none() {
-            found = Some(unescape(&value.replace('+', " "))?);
+        if percent_decode(key)? == name && found.is_none() {
+            found = Some(percent_decode(&value.replace('+', " "))?);
         }
     }
     Some(found)
--- a/control-plane/src/command/tests.rs
+++ b/control-plane/src/command/tests.rs
@@ -2,24 +2,24 @@
 
 #[test]
 fn request_lines_become_commands() {
-    assert_eq!(asked(&Method::PUT, "/lupinledge/config"), Asked::Put);
-    assert_eq!(asked(&Method::GET, "/lupinledge/config"), Asked::Ready(Command::GetConfig));
-    assert_eq!(asked(&Method::PATCH, "/lupinledge/config"), Asked::NoSuchMethod("GET, PUT"));
+    assert_eq!(route(&Method::PUT, "/lupinledge/config"), Route::PutConfig);
+    assert_eq!(route(&Method::GET, "/lupinledge/config"), Route::NoBody(Command::GetConfig));
+    assert_eq!(route(&Method::PATCH, "/lupinledge/config"), Route::MethodNotAllowed("GET, PUT"));
     let zone = "harju kadaka".to_string();
     let path = "/lupinledge/evacuation/harju%20kadaka";
-    assert_eq!(asked(&Method::POST, path), Asked::Ready(Command::Evacuate { zone: zone.clone() }));
-    assert_eq!(asked(&Method::DELETE, path), Asked::Ready(Command::Restore { zone }));
-    assert_eq!(asked(&Method::POST, "/lupinledge/evacuation/%f"), Asked::Malformed("zone"));
-    assert_eq!(asked(&Method::POST, "/lupinledge/evacuation/%ff"), Asked::Malformed("zone"));
-    assert_eq!(asked(&Method::POST, "/lupinledge/evacuation/"), Asked::Nothing);
-    assert_eq!(asked(&Method::GET, "/lupinledge/nodes"), Asked::Nodes);
-    assert_eq!(asked(&Method::GET, "/other"), Asked::Nothing);
+    assert_eq!(route(&Method::POST, path), Route::NoBody(Command::Evacuate { zone: zone.clone() }));
+    assert_eq!(route(&Method::DELETE, path), Route::NoBody(Command::Restore { zone }));
+    assert_eq!(route(&Method::POST, "/lupinledge/evacuation/%f"), Route::Malformed("zone"));
+    assert_eq!(route(&Method::POST, "/lupinledge/evacuation/%ff"), Route::Malformed("zone"));
+    assert_eq!(route(&Method::POST, "/lupinledge/evacuation/"), Route::NotFound);
+    assert_eq!(route(&Method::GET, "/lupinledge/nodes"), Route::Nodes);
+    assert_eq!(route(&Method::GET, "/other"), Route::NotFound);
 }
 
 #[test]
 fn queries_are_read_or_refused() {
-    assert_eq!(of_query("name=a.b&region=h%61rju", "region"), Some(Some("harju".into())));
-    assert_eq!(of_query("name=a.b", "region"), Some(None));
-    assert_eq!(of_query("name=%zz&region=x", "name"), None);
-    assert_eq!(of_query("", "name"), Some(None));
+    assert_eq!(query_value("name=a.b&region=h%61rju", "region"), Some(Some("harju".into())));
+    assert_eq!(query_value("name=a.b", "region"), Some(None));
+    assert_eq!(query_value("name=%zz&region=x", "name"), None);
+    assert_eq!(query_value("", "name"), Some(None));
 }
--- /dev/null
+++ b/control-plane/src/control_plane.rs
@@ -0,0 +1,354 @@
+//! The whole control plane of one machine: its parts, and what comes in for each.
+
+use crate::clock::Clock;
+use crate::command::{Command, Reply};
+use crate::consensus_driver::ConsensusDriver;
+use crate::counter_service::CounterService;
+use crate::directory::Directory;
+use crate::nodes;
+use crate::operations::{Operations, StartParameters};
+use crate::refusals::Refusals;
+use crate::server_list::ServerListPoller;
+use eyre::{eyre, WrapErr};
+use lupinledge_config::settings::CloudApi;
+use lupinledge_config::turns::{Caller, Turns};
+use lupinledge_config::{Document, Homes, Print, Settings, Tables};
+use lupinledge_consensus::{Ballot, Node};
+use lupinledge_gossip::{metrics, seeds_of, Gossip, Host, Source, Update};
+use lupinledge_membership::{Card, Member, Standing};
+use lupinledge_messaging::list::ServerList;
+use lupinledge_messaging::{decode, WireMessage};
+use lupinledge_storage::{DataDir, FolderLock, OpenedStore, Store, Stored};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::sleep;
+
+/// What clients may keep an answer of the directory for.
+const DIRECTORY_TTL_S: f64 = 2.0;
+/// A process that is about to end may have the data folder for as long: its `grace_s`, and some.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(10);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// The holder's clock is looked at so often, in turns of the upkeep.
+const CLOCK_SYNC_ROUNDS: u64 = 10;
+
+pub struct ControlPlane {
+    pub settings: RefCell<Rc<Settings>>,
+    pub clock: Rc<Clock>,
+    pub consensus: Rc<ConsensusDriver>,
+    pub server_list: Rc<ServerListPoller>,
+    pub leaving: Cell<bool>,
+    /// The newest version that was acknowledged from here.
+    pub acknowledged_version: Cell<u64>,
+    pub refusals: Refusals,
+    /// Index and prints of the document that is held.
+    fingerprints: Cell<(u64, Print)>,
+    /// Changes that wait or run, and who waits for them.
+    pub change_queue: RefCell<Turns<Command>>,
+    pub waiting_callers: RefCell<BTreeMap<Caller, oneshot::Sender<Reply>>>,
+    gossip: Rc<Gossip>,
+    directory: Directory,
+    /// The homes of hosts, and of which document.
+    host_homes: RefCell<(Option<Ballot>, Homes)>,
+    counters: Rc<CounterService>,
+    operations: Rc<Operations>,
+    _lock: FolderLock,
+}
+
+fn cloud_api_settings(settings: &Settings) -> eyre::Result<CloudApi> {
+    settings.cloud_api.clone().ok_or_else(|| eyre!("`cloud_api`: missing"))
+}
+
+impl ControlPlane {
+    /// Reads the disk, and starts all parts.
+    pub async fn start(settings: Settings) -> eyre::Result<Rc<ControlPlane>> {
+        let clock = Rc::new(Clock::start(settings.node()));
+        let folder = settings.data_dir.clone().ok_or_else(|| eyre!("`data_dir`: the core needs a disk"))?;
+        let platform = cloud_api_settings(&settings)?;
+        let owner = format!("{} (process {})", settings.ip, std::process::id());
+        let lock = FolderLock::acquire(folder.clone(), owner, LOCK_TIMEOUT).await.wrap_err("`data_dir`")?;
+        let OpenedStore { store, content, results } = Store::open(DataDir(folder.clone()))?;
+        let stored = content.await.wrap_err("`data_dir`")?;
+        let empty = !matches!(stored, Stored::State(_));
+
+        let seeds = seeds_of(&settings);
+        let seed = clock.incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(clock.me);
+        let tolerate = settings.tolerate.machines as usize;
+        let consensus_settings = lupinledge_consensus::Settings {
+            me: clock.me,
+            seeds,
+            bootstrap: settings.bootstrap,
+            seed,
+            tolerate,
+        };
+        let consensus = ConsensusDriver::start(clock.clone(), consensus_settings, stored, store)
+            .wrap_err("`data_dir`")?;
+        let empty = empty || consensus.is_learning();
+        let parameters = StartParameters {
+            folder,
+            limits: settings.limits.clone(),
+            seed,
+            learns: consensus.is_learning(),
+        };
+        let operations = Operations::start(clock.clone(), parameters).await.wrap_err("`data_dir`")?;
+        let card = Card {
+            core: true,
+            region: settings.region.clone(),
+            zone: settings.zone.clone(),
+            client_address: None,
+            control_address: settings.listen.control,
+            ready: false,
+            leaving: false,
+            drift: None,
+            load: 0,
+        };
+        let gossip = Gossip::open(&settings, card, false).wrap_err("`port_range`")?;
+        let server_list = ServerListPoller::start(consensus.clone(), platform.address, platform.rate_per_s);
+        let counters = CounterService::new(clock.clone(), consensus.clone(), settings.zones.clone());
+
+        let port = settings.peer_port();
+        let control_plane = Rc::new(ControlPlane {
+            settings: RefCell::new(Rc::new(settings)),
+            clock,
+            consensus: consensus.clone(),
+            server_list,
+            leaving: Cell::new(false),
+            acknowledged_version: Cell::new(0),
+            refusals: Refusals::default(),
+            fingerprints: Cell::default(),
+            change_queue: RefCell::default(),
+            waiting_callers: RefCell::default(),
+            gossip: gossip.clone(),
+            directory: Directory::default(),
+            host_homes: RefCell::default(),
+            counters,
+            operations: operations.clone(),
+            _lock: lock,
+        });
+        let host: Rc<dyn Host> = control_plane.clone();
+        gossip.set_host(Rc::downgrade(&host));
+        control_plane.counters.run(gossip.clone());
+        tokio::task::spawn_local(gossip.clone().run());
+        operations.run(gossip.post().clone());
+        let on_commit = move |index, value: &_| operations.committed(index, value);
+        consensus.run(gossip.post().clone(), results, Box::new(on_commit));
+        tokio::task::spawn_local(control_plane.clone().publish_updates());
+        tokio::task::spawn_local(control_plane.clone().maintain());
+        tracing::info!(event = "started", node = %control_plane.settings.borrow().ip, port, empty);
+        Ok(control_plane)
+    }
+
+    /// Makes what was agreed on, and the list that was read here, news for the others.
+    async fn publish_updates(self: Rc<ControlPlane>) {
+        loop {
+            tokio::select! {
+                _ = self.consensus.updated.notified() => {}
+                _ = self.server_list.updated.notified() => {}
+            }
+            let list = self.server_list.list();
+            let newer = self.gossip.with_store(|store| list.number > store.digest().list);
+            let committed_document =
+                self.consensus.committed_document().filter(|a| a.ballot > Ballot::default());
+            let update = Update {
+                epoch: self.consensus.last_known_leader().map(|(leader, epoch)| (epoch, leader)),
+                state: committed_document.map(|a| ((a.ballot.epoch, a.ballot.index), a.edge_bytes.clone())),
+                list: newer.then(|| (list.number, Rc::from(list.encode()))),
+            };
+            // what a former holder had to tell was told by it; gaps are found by digests
+            let leading_epoch = self.consensus.leading_epoch().is_some();
+            self.gossip.publish(update, if leading_epoch { Source::Origin } else { Source::Settled });
+            self.publish_fingerprint();
+            let ready = self.gossip.with_store(|store| store.newest().state.is_some());
+            self.gossip.set_card(|card| card.ready = ready);
+        }
+    }
+
+    /// Tells the others what the document says that is held here, in short.
+    fn publish_fingerprint(&self) {
+        let held = self.gossip.with_store(|store| store.newest().state.clone());
+        let Some(((_, index), bytes)) = held.filter(|h| self.fingerprints.get().0 != h.0 .1) else { return };
+        let zones = self.settings.borrow().zones.clone();
+        let tables = decode::<Document>(&bytes).ok().and_then(|d| Tables::new(&d, &zones).ok());
+        if let Some(tables) = tables {
+            self.fingerprints.set((index, tables.print()));
+            self.gossip.set_fingerprint(index, tables.print().folded());
+        }
+    }
+
+    /// All processes that are known, and whether they do what the document says that is held here.
+    pub fn nodes(&self) -> serde_json::Value {
+        let (index, fingerprints) = self.fingerprints.get();
+        let own = self.gossip.with_store(|store| store.digest());
+        let now = self.gossip.now();
+        let nodes = self.gossip.with_membership(|membership| {
+            membership
+                .members()
+                .map(|member| nodes::node_row(now, member, own, fingerprints))
+                .collect::<Vec<_>>()
+        });
+        let leader = self
+            .consensus
+            .leading_epoch()
+            .map(|_| self.clock.me)
+            .or_else(|| self.consensus.redirect_target());
+        let leader = leader.map(|node| std::net::Ipv4Addr::from(node).to_string());
+        let parts = nodes::named_parts(&fingerprints.parts());
+        serde_json::json!({"index": index, "parts": parts, "holder": leader, "nodes": nodes})
+    }
+
+    /// The figures of this process as text.
+    pub fn metrics(&self) -> String {
+        let (committed_document, list) = (self.consensus.committed_document(), self.server_list.list());
+        let (ballot, version, serial) = committed_document
+            .map_or_else(Default::default, |a| (a.ballot, a.document.version, a.document.serial));
+        metrics::render(|line| {
+            line("configuration.version", version);
+            line("configuration.acknowledged", self.acknowledged_version.get());
+            line("orders.refused", self.refusals.count());
+            line("document.serial", serial);
+            line("document.epoch", ballot.epoch);
+            line("document.index", ballot.index);
+            line("core.leads", u64::from(self.consensus.leading_epoch().is_some()));
+            line("core.member", u64::from(self.consensus.is_member()));
+            line("core.settled", u64::from(self.consensus.is_settled()));
+            line("core.members", self.consensus.members().len() as u64);
+            line("changes.callers", self.waiting_callers.borrow().len() as u64);
+            line("servers.list_epoch", list.number.0);
+            line("servers.list_number", list.number.1);
+            line("servers.listed", list.rows.len() as u64);
+            line("servers.unreadable", self.server_list.unreadable_rows.get());
+            self.operations.write_metrics(line);
+            self.gossip.write_metrics(line);
+        })
+    }
+
+    /// Whom others name as the holder where this process is cut off from it: of no earlier epoch than it knows, and alive.
+    pub fn gossiped_leader(&self) -> Option<Node> {
+        let (epoch, node) = self.gossip.with_store(|store| store.epoch());
+        let known = self.consensus.last_known_leader().map_or(0, |(_, epoch)| epoch);
+        let alive = |m: &Member| m.card.core && m.standing == Standing::Alive;
+        let reachable = node != self.clock.me
+            && self.gossip.with_membership(|membership| membership.member(node).is_some_and(alive));
+        (reachable && epoch >= known && self.consensus.is_isolated_from(node)).then_some(node)
+    }
+
+    fn is_leader(&self, node: Node) -> bool {
+        self.consensus.leader().is_some_and(|(leader, _)| leader == node)
+    }
+
+    /// What has to be looked after now and then.
+    async fn maintain(self: Rc<ControlPlane>) {
+        let (mut synced_leader, mut rounds) = (None, 0_u64);
+        loop {
+            if self.consensus.leading_epoch().is_some() {
+                self.clock.mark_authoritative();
+            }
+            let leader = self.consensus.leader().filter(|(node, _)| *node != self.clock.me);
+            if leader.is_some() && (synced_leader != leader || rounds % CLOCK_SYNC_ROUNDS == 0) {
+                synced_leader = leader;
+                leader.into_iter().for_each(|(node, _)| {
+                    self.gossip
+                        .post()
+                        .send_datagram(node, &WireMessage::ClockRequest { sent: self.clock.start_request() })
+                });
+            }
+            let mut cores = seeds_of(&self.settings.borrow());
+            // where both sides of a cut start anew under seeds of their own side, only the agreement leads across it
+            self.gossip.set_seeds(cores.iter().copied().chain(self.consensus.members()).collect());
+            if !self.consensus.is_member() || self.consensus.leader().is_none() {
+                self.gossip.with_membership(|membership| {
+                    cores.extend(membership.members().filter(|m| m.card.core).map(|m| m.node))
+                });
+                self.consensus.set_hints(&cores);
+            }
+            rounds += 1;
+            sleep(MAINTENANCE_INTERVAL).await;
+        }
+    }
+
+    /// Goes by other settings from here on. Sockets stay: addresses do not change while a process runs.
+    pub fn apply_settings(&self, settings: Settings) -> eyre::Result<()> {
+        let platform = cloud_api_settings(&settings)?;
+        self.server_list.set_platform(platform.address, platform.rate_per_s);
+        self.gossip.apply_settings(&settings);
+        self.consensus.set_hints(&seeds_of(&settings));
+        let listen = self.settings.borrow().listen.clone();
+        *self.settings.borrow_mut() = Rc::new(Settings { listen, ..settings });
+        Ok(())
+    }
+
+    /// Where clients of a region may go that ask for a host.
+    pub fn gateway_addresses(&self, region: &str, host: &str) -> Vec<SocketAddr> {
+        if let Some(committed_document) =
+            self.consensus.committed_document().filter(|a| self.host_homes.borrow().0 != Some(a.ballot))
+        {
+            *self.host_homes.borrow_mut() =
+                (Some(committed_document.ballot), Homes::new(&committed_document.document));
+        }
+        let host_homes = self.host_homes.borrow();
+        self.gossip.with_membership(|membership| {
+            self.directory.gateway_addresses(membership.members(), region, host_homes.1.of(host))
+        })
+    }
+
+    /// For how long an answer of the directory is good.
+    pub fn directory_ttl_s(&self) -> f64 {
+        DIRECTORY_TTL_S.min(self.settings.borrow().bounds.ttl_max_s)
+    }
+
+    /// From here on no new command is taken, and the others know why.
+    pub fn leave(&self) {
+        self.leaving.set(true);
+        self.gossip.set_card(|card| card.leaving = true);
+    }
+
+    /// Nothing goes out any more.
+    pub fn shut_down(&self) {
+        self.consensus.shut_down();
+        let counts = self.gossip.post().counts();
+        let (sent, cast, dropped) = (counts.sent.get(), counts.datagrams.get(), counts.dropped.get());
+        let (news, unreadable) = (self.gossip.update_bytes_sent(), self.server_list.unreadable_rows.get());
+        tracing::info!(event = "ended", sent, cast, dropped, news, unreadable);
+        self.gossip.post().close();
+    }
+}
+
+impl Host for ControlPlane {
+    /// Documents come by agreement, and epochs with it.
+    fn on_update(&self, update: Update) {
+        let Some((number, bytes)) = update.list.filter(|l| l.0 > self.server_list.list().number) else {
+            return;
+        };
+        match ServerList::decode(&bytes).filter(|l| l.number == number) {
+            Some(list) => self.server_list.receive(list),
+            None => tracing::warn!(event = "list_spoilt"),
+        }
+    }
+
+    fn on_message(&self, from: Node, message: WireMessage) {
+        match message {
+            WireMessage::Consensus(msg) => self.consensus.handle_message(from, msg),
+            WireMessage::CounterSums { tag, incarnation, calls } => {
+                self.counters.apply_sums(self.gossip.post(), (from, incarnation), tag, &calls)
+            }
+            WireMessage::CounterReport { incarnation, told, epoch, part } => {
+                self.counters.receive_handover((from, incarnation), epoch, &told, part)
+            }
+            WireMessage::Operation(message) => self.operations.handle_message(from, message),
+            WireMessage::ClockRequest { sent } if self.consensus.leading_epoch().is_some() => {
+                self.gossip
+                    .post()
+                    .send_datagram(from, &WireMessage::ClockReply { sent, hive: self.clock.cluster_time() });
+            }
+            WireMessage::ClockReply { sent, hive } if self.is_leader(from) => self.clock.adopt(sent, hive),
+            _ => {}
+        }
+    }
+
+    fn on_contact(&self, from: Node) {
+        self.counters.record_contact(from);
+    }
+}
--- a/control-plane/src/directory/tests.rs
+++ b/control-plane/src/directory/tests.rs
@@ -23,24 +23,27 @@
 #[test]
 fn who_takes_clients() {
     let mut all: Vec<Member> = (1..=8).map(|n| edge(n, if n <= 3 { "near" } else { "far" })).collect();
-    let told = |all: &[Member], region: &str| {
-        let fronts = Directory::default().fronts(all.iter(), region, None);
+    let selected = |all: &[Member], region: &str| {
+        let gateway_addresses = Directory::default().gateway_addresses(all.iter(), region, None);
         let last = |f: &SocketAddr| f.ip().to_string().rsplit('.').next().map(|n| n.parse::<u8>().unwrap());
-        fronts.iter().filter_map(last).collect::<Vec<_>>()
+        gateway_addresses.iter().filter_map(last).collect::<Vec<_>>()
     };
-    assert_eq!(told(&all, "near"), [1, 2, 3]);
-    assert_eq!(told(&all, "elsewhere"), [1, 2, 3, 4, 5, 6, 7, 8]);
+    assert_eq!(selected(&all, "near"), [1, 2, 3]);
+    assert_eq!(selected(&all, "elsewhere"), [1, 2, 3, 4, 5, 6, 7, 8]);
     (all[0].card.leaving, all[3].card.ready, all[4].card.core) = (true, false, true);
     (all[5].standing, all[6].standing, all[7].card.client_address) =
         (Standing::Gone, Standing::Suspect, None);
-    assert_eq!(told(&all, "near"), [2, 3]);
+    assert_eq!(selected(&all, "near"), [2, 3]);
     all[1].standing = Standing::Suspect;
-    assert_eq!(told(&all, "near"), [3], "one near is too few, and none of the others is sound");
+    assert_eq!(selected(&all, "near"), [3], "one near is too few, and none of the others is sound");
     all[2].standing = Standing::Suspect;
-    assert_eq!(told(&all, "near"), [2, 3], "suspects are better than none");
+    assert_eq!(selected(&all, "near"), [2, 3], "suspects are better than none");
     let many: Vec<Member> = (1..=100).map(|n| edge(n, "near")).collect();
-    let d = Directory::default();
-    let both = [d.fronts(many.iter(), "near", None), d.fronts(many.iter(), "near", None)];
+    let directory = Directory::default();
+    let both = [
+        directory.gateway_addresses(many.iter(), "near", None),
+        directory.gateway_addresses(many.iter(), "near", None),
+    ];
     assert!(both.iter().all(|b| b.len() == 64) && both[0][63] != both[1][63] && both[0][0] != both[1][0]);
 }
 
@@ -51,19 +54,19 @@
     let regions = ["near", "near", "home", "home", "away", "away"];
     let mut all: Vec<Member> = regions.iter().zip(1..).map(|(region, n)| edge(n, region)).collect();
     let homes = BTreeSet::from(["near".to_string(), "home".to_string()]);
-    let told = |all: &[Member], region: &str| {
-        let fronts = Directory::default().fronts(all.iter(), region, Some(&homes));
-        fronts.iter().map(|f| f.ip().to_string()).collect::<Vec<_>>()
+    let selected = |all: &[Member], region: &str| {
+        let gateway_addresses = Directory::default().gateway_addresses(all.iter(), region, Some(&homes));
+        gateway_addresses.iter().map(|f| f.ip().to_string()).collect::<Vec<_>>()
     };
     let ips = |ns: &[u8]| ns.iter().map(|n| format!("10.0.0.{n}")).collect::<Vec<_>>();
-    assert_eq!(told(&all, "near"), ips(&[1, 2]));
+    assert_eq!(selected(&all, "near"), ips(&[1, 2]));
     all[0].card.leaving = true;
-    assert_eq!(told(&all, "near"), ips(&[2, 3, 4]));
-    assert_eq!(told(&all, "away"), ips(&[5, 6]));
+    assert_eq!(selected(&all, "near"), ips(&[2, 3, 4]));
+    assert_eq!(selected(&all, "away"), ips(&[5, 6]));
     all[4].card.ready = false;
-    assert_eq!(told(&all, "away"), ips(&[2, 3, 4, 6]));
+    assert_eq!(selected(&all, "away"), ips(&[2, 3, 4, 6]));
     for at in [1, 2, 3] {
         all[at].card.ready = false;
     }
-    assert_eq!(told(&all, "near"), ips(&[6]), "one away from home is better than none");
+    assert_eq!(selected(&all, "near"), ips(&[6]), "one away from home is better than none");
 }
--- /dev/null
+++ b/control-plane/src/executor.rs
@@ -0,0 +1,213 @@
+//! Runs commands: only where the duty is held, one change at a time, each settled before the next is judged.
+
+use crate::command::{Command, Reply};
+use crate::consensus_driver::CommittedDocument;
+use crate::control_plane::ControlPlane;
+use lupinledge_config::turns::Caller;
+use lupinledge_config::{Answer, Document, Judged, Kind};
+use lupinledge_consensus::Outcome;
+use lupinledge_invariants::{check, Invariant};
+use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::{sleep, timeout};
+
+/// Callers go elsewhere after a second of silence, after more with a large body: before that they are told to come
+/// back. What was begun goes on.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
+/// And so much more for each byte of a body, as a link of 2 Mbit/s takes for it.
+const TIMEOUT_PER_BYTE: Duration = Duration::from_micros(4);
+/// So long a holder may take to be found.
+const LEADER_LOOKUP_TRIES: usize = 14;
+const LEADER_LOOKUP_PAUSE: Duration = Duration::from_millis(50);
+
+/// A caller that waits; however it ceases to, its place is given back.
+struct CallerGuard(Rc<ControlPlane>, Caller);
+
+impl Drop for CallerGuard {
+    fn drop(&mut self) {
+        self.0.change_queue.borrow_mut().gone(self.1);
+        self.0.waiting_callers.borrow_mut().remove(&self.1);
+    }
+}
+
+impl ControlPlane {
+    /// What becomes of a command, as far as that is known before its caller goes elsewhere.
+    pub async fn execute(self: Rc<ControlPlane>, command: Command) -> Reply {
+        let bytes = command.body().map_or(0, <[u8]>::len);
+        let wait = ANSWER_TIMEOUT + TIMEOUT_PER_BYTE * u32::try_from(bytes).unwrap_or(u32::MAX);
+        let change_name = command.change_name();
+        let reply = timeout(wait, self.clone().process(command)).await.unwrap_or(Reply::Unavailable);
+        if let (Some(order), Reply::Refused { kind, text }) = (change_name, &reply) {
+            self.record_refusal(order, *kind, text);
+        }
+        reply
+    }
+
+    /// Tells of an order that was refused for good; one that may be sent again is no more than late.
+    pub fn record_refusal(&self, order: &str, kind: Kind, text: &str) {
+        if kind.status() < 500 {
+            let in_force = self
+                .consensus
+                .committed_document()
+                .map_or(0, |committed_document| committed_document.document.version);
+            self.refusals.record(self.clock.now() as u64, order, kind, text, in_force);
+        }
+    }
+
+    async fn process(self: Rc<ControlPlane>, command: Command) -> Reply {
+        if self.leaving.get() {
+            return Reply::Unavailable;
+        }
+        if let Some(redirect) = self.check_leadership().await {
+            return redirect;
+        }
+        if command == Command::GetConfig {
+            return match self.evaluate(&command) {
+                Ok((committed_document, epoch, Judged::Said(answer))) => {
+                    self.confirm_answer(&command, committed_document, epoch, answer).await
+                }
+                Ok(_) => Reply::Unavailable,
+                Err(redirect) => redirect,
+            };
+        }
+        let arrived = self.change_queue.borrow_mut().arrive(command.clone(), command.body());
+        let Some(caller) = arrived else {
+            return Reply::Refused { kind: Kind::Overloaded, text: "too many changes wait".into() };
+        };
+        let _guard = CallerGuard(self.clone(), caller);
+        let (done, reply) = oneshot::channel();
+        self.waiting_callers.borrow_mut().insert(caller, done);
+        self.run_queue();
+        reply.await.unwrap_or(Reply::Unavailable)
+    }
+
+    /// Runs what waits, unless that is being done: also where the callers have gone, since half of a change is none.
+    fn run_queue(self: &Rc<ControlPlane>) {
+        let Some(command) = self.change_queue.borrow_mut().begin() else { return };
+        let control_plane = self.clone();
+        tokio::task::spawn_local(async move {
+            let mut next = Some(command);
+            while let Some(command) = next {
+                control_plane.apply(command).await;
+                next = control_plane.change_queue.borrow_mut().begin();
+            }
+        });
+    }
+
+    /// Judges the change whose turn it is and brings it about. What is only to be said doesn't hold up the next one.
+    async fn apply(self: &Rc<ControlPlane>, command: Command) {
+        let reply = match self.evaluate(&command) {
+            Err(redirect) => redirect,
+            Ok((_, _, Judged::Now(answer))) => answer.into(),
+            Ok((_, _, Judged::Take(document))) => self.propose_document(&command, document).await,
+            Ok((committed_document, epoch, Judged::Said(answer))) => {
+                let (control_plane, waiting_callers) = (self.clone(), self.change_queue.borrow_mut().end());
+                if !waiting_callers.is_empty() {
+                    tokio::task::spawn_local(async move {
+                        let reply =
+                            control_plane.confirm_answer(&command, committed_document, epoch, answer).await;
+                        control_plane.send_replies(waiting_callers, reply);
+                    });
+                }
+                return;
+            }
+        };
+        let waiting_callers = self.change_queue.borrow_mut().end();
+        self.send_replies(waiting_callers, reply);
+    }
+
+    fn send_replies(&self, waiting_callers: Vec<Caller>, reply: Reply) {
+        for caller in waiting_callers {
+            let done = self.waiting_callers.borrow_mut().remove(&caller);
+            done.into_iter().for_each(|done| drop(done.send(reply.clone())));
+        }
+    }
+
+    /// `None` where this process speaks for the whole; else what to say.
+    async fn check_leadership(&self) -> Option<Reply> {
+        for _ in 0..LEADER_LOOKUP_TRIES {
+            if self.consensus.leading_epoch().is_some() {
+                return None;
+            }
+            if let Some(redirect) = self.redirect() {
+                return Some(redirect);
+            }
+            sleep(LEADER_LOOKUP_PAUSE).await;
+        }
+        Some(Reply::Unavailable)
+    }
+
+    /// The holder, if it is another process, by its own word of a moment ago. A member that hears no majority goes by
+    /// what edge nodes tell. Along a chain of redirects the epoch grows, so that there is no loop.
+    fn redirect(&self) -> Option<Reply> {
+        let leader = self.consensus.redirect_target().or_else(|| self.gossiped_leader())?;
+        let port = self.settings.borrow().listen.control?.port();
+        Some(Reply::Redirect(SocketAddr::from((Ipv4Addr::from(leader), port))))
+    }
+
+    /// What a command comes to on top of the document that is committed here, in which epoch; else whom to ask.
+    fn evaluate(&self, command: &Command) -> Result<(Rc<CommittedDocument>, u64, Judged), Reply> {
+        let (Some(epoch), Some(committed_document)) =
+            (self.consensus.leading_epoch(), self.consensus.committed_document())
+        else {
+            return Err(self.redirect().unwrap_or(Reply::Unavailable));
+        };
+        let evaluated = self.evaluate_on(&committed_document, command);
+        Ok((committed_document, epoch, evaluated))
+    }
+
+    fn evaluate_on(&self, committed_document: &CommittedDocument, command: &Command) -> Judged {
+        committed_document.document.judge(command.order(), |zone| self.settings.borrow().has_zone(zone))
+    }
+
+    /// Says an answer once the whole stands by it.
+    async fn confirm_answer(
+        &self,
+        command: &Command,
+        committed_document: Rc<CommittedDocument>,
+        epoch: u64,
+        answer: Answer,
+    ) -> Reply {
+        let confirmed =
+            self.consensus.confirm_committed().await && self.consensus.leading_epoch() == Some(epoch);
+        if confirmed && *command == Command::GetConfig {
+            let (newest, read) = (
+                self.acknowledged_version.get(),
+                self.consensus.committed_document().map_or(0, |a| a.document.version),
+            );
+            check(Invariant::ReadNotStale, read >= newest, || {
+                format!("version {read}, {newest} acknowledged")
+            });
+        }
+        match self.consensus.committed_document().filter(|_| confirmed) {
+            Some(current) if current.ballot == committed_document.ballot => answer.into(),
+            // what is committed by now holds all that was acknowledged before
+            Some(current) => match self.evaluate_on(&current, command) {
+                Judged::Said(answer) => answer.into(),
+                Judged::Now(_) | Judged::Take(_) => Reply::Unavailable,
+            },
+            None => self.redirect().unwrap_or(Reply::Unavailable),
+        }
+    }
+
+    /// Makes a document the whole's.
+    async fn propose_document(&self, command: &Command, document: Document) -> Reply {
+        let Ok(body) = rmp_serde::to_vec(&document) else { return Reply::Unavailable };
+        match self.consensus.propose(body).await {
+            Some(Outcome::Committed(ballot)) => {
+                let (version, serial) = (document.version, document.serial);
+                tracing::info!(event = "taken", version, serial, epoch = ballot.epoch, index = ballot.index);
+                self.acknowledged_version.set(self.acknowledged_version.get().max(version));
+                if matches!(command, Command::Restore { .. }) {
+                    self.server_list.read_now();
+                }
+                Reply::Done
+            }
+            Some(Outcome::NotLeader) => self.redirect().unwrap_or(Reply::Unavailable),
+            // it may come into force yet
+            _ => Reply::Unavailable,
+        }
+    }
+}
--- a/control-plane/src/nodes/tests.rs
+++ b/control-plane/src/nodes/tests.rs
@@ -5,8 +5,8 @@
 /// part that differs.
 #[test]
 fn who_goes_by_what() {
-    let intent = Print { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
-    let own = Digest { state: (3, 7), fingerprint: intent.folded(), ..Digest::default() };
+    let expected = Print { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
+    let own = Digest { state: (3, 7), fingerprint: expected.folded(), ..Digest::default() };
     let member = |node, index, fingerprint, drift: Option<DriftReport>| {
         let (region, zone, ready) = ("r".to_string(), "z".to_string(), drift.is_none());
         let (drift, load) = (drift.map(Box::new), 0);
@@ -23,7 +23,7 @@
             digest,
         }
     };
-    let mut fingerprints = intent.parts();
+    let mut fingerprints = expected.parts();
     fingerprints[1] = 9;
     let out = DriftReport { index: 7, fingerprints, part: 1, judged_by: 0, recent_count: 2, since: 50 };
     let all = [
@@ -33,11 +33,11 @@
         member(4, 7, 0, None),
         member(5, 7, own.fingerprint, Some(out)),
     ];
-    let rows: Vec<Value> = all.iter().map(|m| row(10.0, m, own, intent)).collect();
+    let rows: Vec<Value> = all.iter().map(|m| node_row(10.0, m, own, expected)).collect();
     let rules: Vec<_> = rows.iter().map(|r| r["rules"].as_str().unwrap()).collect();
     assert_eq!(rules, ["matching", "differs", "behind", "untold", "out"]);
     assert_eq!(rows[4]["out"]["differing"], json!(["tenants"]));
-    let text = table(&json!({"index": 7, "parts": parts(&intent.parts()), "nodes": rows}));
+    let text = format_nodes(&json!({"index": 7, "parts": named_parts(&expected.parts()), "nodes": rows}));
     let last = text.lines().last().unwrap().split_whitespace().collect::<Vec<_>>();
     assert_eq!(last[..5], ["0.0.0.5", "edge", "z", "alive", "false"]);
     assert_eq!(last[8..], ["50", "2", "own", "tenants", "tenants"]);
--- a/control-plane/src/operations.rs
+++ b/control-plane/src/operations.rs
@@ -25,18 +25,18 @@
 /// An entry that the journal did not take is offered again after so long.
 const RETRY: Duration = Duration::from_millis(50);
 /// Wake-ups are moved forward only by more than this, seconds.
-const SOON: f64 = 0.002;
+const WAKE_TOLERANCE_S: f64 = 0.002;
 
 /// How the voter stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
-    Learns,
-    NoMember,
-    Votes,
+enum VotingState {
+    Learning,
+    NotMember,
+    Voting,
 }
 
 /// What the voter starts from.
-pub struct Beginning {
+pub struct StartParameters {
     pub folder: PathBuf,
     pub limits: Limits,
     /// Must differ from start to start.
@@ -52,9 +52,9 @@
     recorder: Recorder,
     /// Numbers up to which the journal is on disk; taken by [`Operations::run`].
     saved: RefCell<Option<UnboundedReceiver<u64>>>,
-    post: OnceCell<Rc<Transport>>,
-    standing: Cell<Option<Standing>>,
-    due: Cell<f64>,
+    transport: OnceCell<Rc<Transport>>,
+    voting_state: Cell<Option<VotingState>>,
+    wake_at: Cell<f64>,
     wake: Notify,
 }
 
@@ -63,36 +63,36 @@
     ///
     /// The agreement may save a state only after that: an empty journal beside a state of the agreement then always
     /// means that this machine has never voted on operations, and may found them.
-    pub async fn start(clock: Rc<Clock>, beginning: Beginning) -> eyre::Result<Rc<Operations>> {
-        let Beginning { folder, limits, seed, learns } = beginning;
-        let bounds = Bounds::of(&limits);
+    pub async fn start(clock: Rc<Clock>, parameters: StartParameters) -> eyre::Result<Rc<Operations>> {
+        let StartParameters { folder, limits, seed, learns } = parameters;
+        let bounds = Bounds::from_limits(&limits);
         let OpenedJournal { journal, replayed, saved } = Journal::open(folder, bounds.journal())?;
         let replayed = replayed.await.wrap_err("the journal's thread ended")?;
         let empty = replayed.entries.is_empty() && !replayed.damaged;
         let founder = empty && !learns;
         let (me, max_records, max_answer_bytes) = (clock.me, bounds.records, bounds.answer_bytes);
         let settings = Settings { me, seed, founder, max_records, max_answer_bytes };
-        let mut out = Vec::new();
-        let voter = Voter::new(clock.now(), settings, entries(replayed, learns), &mut out);
+        let mut actions = Vec::new();
+        let voter = Voter::new(clock.now(), settings, entries(replayed, learns), &mut actions);
         let operations = Rc::new(Operations {
             clock,
             voter: RefCell::new(voter),
             recorder: Recorder::new(journal, bounds.journal_bytes),
             saved: RefCell::new(Some(saved)),
-            post: OnceCell::new(),
-            standing: Cell::new(None),
-            due: Cell::new(0.0),
+            transport: OnceCell::new(),
+            voting_state: Cell::new(None),
+            wake_at: Cell::new(0.0),
             wake: Notify::new(),
         });
-        operations.carry_out(out);
+        operations.carry_out(actions);
         if empty {
-            operations.first_saved().await?;
+            operations.wait_first_save().await?;
         }
         Ok(operations)
     }
 
     /// Waits until all that was appended so far is on disk.
-    async fn first_saved(&self) -> eyre::Result<()> {
+    async fn wait_first_save(&self) -> eyre::Result<()> {
         let mut saved = self.saved.borrow_mut().take().ok_or_else(|| eyre!("started twice"))?;
         let appended = self.voter.borrow().appended();
         let mut number = 0;
@@ -108,15 +108,15 @@
     }
 
     /// From here on messages go out, and what is due is done.
-    pub fn run(self: &Rc<Operations>, post: Rc<Transport>) {
-        let _ = self.post.set(post);
+    pub fn run(self: &Rc<Operations>, transport: Rc<Transport>) {
+        let _ = self.transport.set(transport);
         if let Some(saved) = self.saved.borrow_mut().take() {
-            tokio::task::spawn_local(self.clone().hear_journal(saved));
+            tokio::task::spawn_local(self.clone().watch_journal(saved));
         }
         tokio::task::spawn_local(self.clone().tick());
     }
 
-    async fn hear_journal(self: Rc<Operations>, mut saved: UnboundedReceiver<u64>) {
+    async fn watch_journal(self: Rc<Operations>, mut saved: UnboundedReceiver<u64>) {
         while let Some(number) = saved.recv().await {
             self.saved(number);
         }
@@ -124,15 +124,15 @@
 
     async fn tick(self: Rc<Operations>) {
         loop {
-            let wait = (self.due.get() - self.clock.now()).clamp(0.001, 1.0);
+            let wait = (self.wake_at.get() - self.clock.now()).clamp(0.001, 1.0);
             let mut wait = Duration::from_secs_f64(wait);
-            if self.recorder.behind() {
+            if self.recorder.has_backlog() {
                 wait = wait.min(RETRY);
             }
             tokio::select! {
                 _ = sleep(wait) => {
                     self.recorder.retry();
-                    self.turn(|voter, now, out| voter.tick(now, out));
+                    self.drive(|voter, now, actions| voter.tick(now, actions));
                 }
                 _ = self.wake.notified() => {}
             }
@@ -141,22 +141,22 @@
 
     fn saved(&self, number: u64) {
         self.recorder.retry();
-        self.turn(|voter, now, out| voter.on_saved(now, number, out));
+        self.drive(|voter, now, actions| voter.on_saved(now, number, actions));
     }
 
     /// A message of a gateway or of another voter.
-    pub fn heard(&self, from: Node, message: Message) {
-        self.turn(|voter, now, out| voter.on_message(now, from, message, out));
+    pub fn handle_message(&self, from: Node, message: Message) {
+        self.drive(|voter, now, actions| voter.on_message(now, from, message, actions));
     }
 
     /// The agreement has committed this value under that index.
     pub fn committed(&self, index: u64, value: &Value) {
         let Value { members, outgoing, .. } = value;
-        self.turn(|voter, now, out| voter.set_members(now, index, members, outgoing, out));
+        self.drive(|voter, now, actions| voter.set_members(now, index, members, outgoing, actions));
     }
 
     /// Figures of the voter.
-    pub fn figures(&self, line: &mut metrics::MetricSink) {
+    pub fn write_metrics(&self, line: &mut metrics::MetricSink) {
         let voter = self.voter.borrow();
         line("operations.records", voter.records() as u64);
         line("operations.answer_bytes", voter.answer_bytes() as u64);
@@ -164,22 +164,22 @@
         line("operations.votes", u64::from(voter.can_vote()));
     }
 
-    fn turn(&self, step: impl FnOnce(&mut Voter, f64, &mut Vec<Action>)) {
-        let mut out = Vec::new();
+    fn drive(&self, step: impl FnOnce(&mut Voter, f64, &mut Vec<Action>)) {
+        let mut actions = Vec::new();
         let mut voter = self.voter.borrow_mut();
         voter.set_room(self.recorder.has_room());
-        step(&mut voter, self.clock.now(), &mut out);
+        step(&mut voter, self.clock.now(), &mut actions);
         drop(voter);
-        self.carry_out(out);
+        self.carry_out(actions);
     }
 
-    fn carry_out(&self, out: Vec<Action>) {
+    fn carry_out(&self, actions: Vec<Action>) {
         let mut head_changed = false;
-        for order in out {
-            match order {
+        for action in actions {
+            match action {
                 Action::Send(to, message) => {
-                    if let Some(post) = self.post.get() {
-                        post.send(to, &WireMessage::Operation(message));
+                    if let Some(transport) = self.transport.get() {
+                        transport.send(to, &WireMessage::Operation(message));
                     }
                 }
                 Action::Append { number, entry, keep_s, urgent } => {
@@ -189,36 +189,36 @@
             }
         }
         // after the entries of this turn: the journal may drop those that the head stands for
-        if self.standing_changed() || head_changed {
+        if self.update_voting_state() || head_changed {
             if let Some(head) = self.voter.borrow().head() {
                 self.recorder.set_head(&head);
             }
         }
-        self.wake_in_time();
+        self.update_wake();
     }
 
     /// Logs how the voter stands, if that has changed.
-    fn standing_changed(&self) -> bool {
+    fn update_voting_state(&self) -> bool {
         let voter = self.voter.borrow();
-        let standing = match () {
-            _ if voter.is_learning() => Standing::Learns,
-            _ if voter.can_vote() => Standing::Votes,
-            _ => Standing::NoMember,
+        let voting_state = match () {
+            _ if voter.is_learning() => VotingState::Learning,
+            _ if voter.can_vote() => VotingState::Voting,
+            _ => VotingState::NotMember,
         };
-        let changed = self.standing.replace(Some(standing)) != Some(standing);
+        let changed = self.voting_state.replace(Some(voting_state)) != Some(voting_state);
         let records = voter.records();
-        match standing {
+        match voting_state {
             _ if !changed => {}
-            Standing::Learns => tracing::info!(event = "operations_learning", records),
-            Standing::Votes => tracing::info!(event = "operations_voting", records),
-            Standing::NoMember => tracing::info!(event = "operations_no_member", records),
+            VotingState::Learning => tracing::info!(event = "operations_learning", records),
+            VotingState::Voting => tracing::info!(event = "operations_voting", records),
+            VotingState::NotMember => tracing::info!(event = "operations_no_member", records),
         }
         changed
     }
 
-    fn wake_in_time(&self) {
-        let due = self.voter.borrow().next_wake();
-        if due < self.due.replace(due) - SOON {
+    fn update_wake(&self) {
+        let wake_at = self.voter.borrow().next_wake();
+        if wake_at < self.wake_at.replace(wake_at) - WAKE_TOLERANCE_S {
             self.wake.notify_one();
         }
     }
--- a/control-plane/src/operations/bounds.rs
+++ b/control-plane/src/operations/bounds.rs
@@ -12,7 +12,7 @@
 /// Share of the disk for the journal.
 const JOURNAL_SHARE: f64 = 1.0 / 3.0;
 /// Size of the journal where no size of the disk is told, megabytes.
-const JOURNAL_MB: f64 = 64.0;
+const DEFAULT_JOURNAL_MB: f64 = 64.0;
 const SEGMENT_BYTES: u64 = 4 << 20;
 const SEGMENT_SECONDS: f64 = 10.0;
 const MEGABYTE: f64 = 1e6;
@@ -27,9 +27,9 @@
 
 impl Bounds {
     /// The shares of these limits.
-    pub(super) fn of(limits: &Limits) -> Bounds {
+    pub(super) fn from_limits(limits: &Limits) -> Bounds {
         let memory = limits.memory_mb * MEGABYTE;
-        let journal = if limits.disk_mb > 0.0 { limits.disk_mb * JOURNAL_SHARE } else { JOURNAL_MB };
+        let journal = if limits.disk_mb > 0.0 { limits.disk_mb * JOURNAL_SHARE } else { DEFAULT_JOURNAL_MB };
         Bounds {
             records: (memory * RECORDS_SHARE / RECORD_BYTES) as usize,
             answer_bytes: (memory * ANSWERS_SHARE) as usize,
--- a/control-plane/src/operations/recorder.rs
+++ b/control-plane/src/operations/recorder.rs
@@ -11,7 +11,7 @@
 struct Waiting {
     number: u64,
     entry: Vec<u8>,
-    keep: Option<f64>,
+    keep_s: Option<f64>,
     urgent: bool,
 }
 
@@ -25,17 +25,17 @@
 
 impl Recorder {
     /// `bytes_most`: the bound of the journal.
-    pub(super) fn new(journal: Journal, bytes_most: u64) -> Recorder {
-        let full_bytes = (bytes_most as f64 * FULL_SHARE) as u64;
+    pub(super) fn new(journal: Journal, max_bytes: u64) -> Recorder {
+        let full_bytes = (max_bytes as f64 * FULL_SHARE) as u64;
         Recorder { journal, full_bytes, waiting: RefCell::default() }
     }
 
     /// Journals an entry; numbers rise by one.
-    pub(super) fn append(&self, number: u64, entry: &Entry, keep: Option<f64>, urgent: bool) {
-        let entry = encoded(entry);
+    pub(super) fn append(&self, number: u64, entry: &Entry, keep_s: Option<f64>, urgent: bool) {
+        let entry = encode(entry);
         let mut waiting = self.waiting.borrow_mut();
-        if !waiting.is_empty() || !self.journal.append(number, entry.clone(), keep, urgent) {
-            waiting.push_back(Waiting { number, entry, keep, urgent });
+        if !waiting.is_empty() || !self.journal.append(number, entry.clone(), keep_s, urgent) {
+            waiting.push_back(Waiting { number, entry, keep_s, urgent });
         }
     }
 
@@ -43,7 +43,7 @@
     pub(super) fn retry(&self) {
         let mut waiting = self.waiting.borrow_mut();
         while let Some(first) = waiting.front() {
-            if !self.journal.append(first.number, first.entry.clone(), first.keep, first.urgent) {
+            if !self.journal.append(first.number, first.entry.clone(), first.keep_s, first.urgent) {
                 break;
             }
             waiting.pop_front();
@@ -51,18 +51,18 @@
     }
 
     /// Whether there are entries that the journal did not take yet.
-    pub(super) fn behind(&self) -> bool {
+    pub(super) fn has_backlog(&self) -> bool {
         !self.waiting.borrow().is_empty()
     }
 
     /// Whether further claims may be taken.
     pub(super) fn has_room(&self) -> bool {
-        !self.behind() && self.journal.bytes() < self.full_bytes
+        !self.has_backlog() && self.journal.bytes() < self.full_bytes
     }
 
     /// What each new segment of the journal begins with.
     pub(super) fn set_head(&self, entries: &[Entry]) {
-        self.journal.set_head(entries.iter().map(encoded).collect());
+        self.journal.set_head(entries.iter().map(encode).collect());
     }
 
     /// Bytes on disk.
@@ -72,6 +72,6 @@
 }
 
 /// Writing into memory does not fail; what can't be read back makes the voter learn at the next start.
-fn encoded(entry: &Entry) -> Vec<u8> {
+fn encode(entry: &Entry) -> Vec<u8> {
     rmp_serde::to_vec(entry).unwrap_or_default()
 }
--- a/control-plane/src/platform.rs
+++ b/control-plane/src/platform.rs
@@ -14,13 +14,13 @@
 use tokio::time::timeout;
 
 /// A call that takes longer is given up, with its connection.
-const SLOW: Duration = Duration::from_secs(1);
-const PAGE_MOST: usize = 4 << 20;
-const TOKEN_MOST: usize = 1024;
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_PAGE_BYTES: usize = 4 << 20;
+const MAX_TOKEN_BYTES: usize = 1024;
 
 /// Why a call brought nothing.
 #[derive(Debug)]
-pub enum Fault {
+pub enum PlatformError {
     Slow,
     Unreachable,
     Status(#[allow(dead_code)] u16),
@@ -40,79 +40,80 @@
     pub next: Option<String>,
 }
 
-pub struct Platform {
+pub struct PlatformClient {
     pub address: SocketAddr,
-    link: Option<SendRequest<Empty<Bytes>>>,
+    connection: Option<SendRequest<Empty<Bytes>>>,
 }
 
-impl Platform {
-    pub fn new(address: SocketAddr) -> Platform {
-        Platform { address, link: None }
+impl PlatformClient {
+    pub fn new(address: SocketAddr) -> PlatformClient {
+        PlatformClient { address, connection: None }
     }
 
     /// A reading is over: the next one has a connection of its own, which is opened now.
-    pub async fn renew(&mut self) {
-        self.link = None;
-        self.link = timeout(SLOW, self.dial()).await.ok().and_then(Result::ok);
+    pub async fn reconnect(&mut self) {
+        self.connection = None;
+        self.connection = timeout(CALL_TIMEOUT, self.connect()).await.ok().and_then(Result::ok);
     }
 
     /// The page that a token stands for; the first without one.
-    pub async fn page(&mut self, token: Option<&str>) -> Result<Page, Fault> {
+    pub async fn page(&mut self, token: Option<&str>) -> Result<Page, PlatformError> {
         let mut path = "/instances".to_string();
         if let Some(token) = token {
             path.push_str("?page_token=");
-            escape(token, &mut path);
+            percent_encode(token, &mut path);
         }
-        let kept = self.link.is_some();
-        match timeout(SLOW, self.call(&path)).await.unwrap_or(Err(Fault::Slow)) {
+        let reused = self.connection.is_some();
+        match timeout(CALL_TIMEOUT, self.call(&path)).await.unwrap_or(Err(PlatformError::Slow)) {
             // the kept connection may have been closed while it was idle
-            Err(Fault::Unreachable) if kept => {
-                self.link = None;
-                timeout(SLOW, self.call(&path)).await.unwrap_or(Err(Fault::Slow))
+            Err(PlatformError::Unreachable) if reused => {
+                self.connection = None;
+                timeout(CALL_TIMEOUT, self.call(&path)).await.unwrap_or(Err(PlatformError::Slow))
             }
-            end => end,
+            result => result,
         }
     }
 
-    async fn call(&mut self, path: &str) -> Result<Page, Fault> {
+    async fn call(&mut self, path: &str) -> Result<Page, PlatformError> {
         // taken out: whatever breaks off midway ends the connection
-        let mut link = match self.link.take().filter(|l| !l.is_closed()) {
-            Some(link) => link,
-            None => self.dial().await?,
+        let mut connection = match self.connection.take().filter(|l| !l.is_closed()) {
+            Some(connection) => connection,
+            None => self.connect().await?,
         };
-        link.ready().await.map_err(|_| Fault::Unreachable)?;
-        let req = Request::get(path).header(HOST, self.address.to_string()).body(Empty::new());
-        let req = req.map_err(|_| Fault::Unreadable)?;
-        let answer = link.send_request(req).await.map_err(|_| Fault::Unreachable)?;
+        connection.ready().await.map_err(|_| PlatformError::Unreachable)?;
+        let request = Request::get(path).header(HOST, self.address.to_string()).body(Empty::new());
+        let request = request.map_err(|_| PlatformError::Unreadable)?;
+        let answer = connection.send_request(request).await.map_err(|_| PlatformError::Unreachable)?;
         let status = answer.status();
-        let body = Limited::new(answer.into_body(), PAGE_MOST).collect().await;
-        let body = body.map_err(|_| Fault::Unreadable)?.to_bytes();
-        self.link = Some(link);
+        let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES).collect().await;
+        let body = body.map_err(|_| PlatformError::Unreadable)?.to_bytes();
+        self.connection = Some(connection);
         if status != StatusCode::OK {
-            return Err(Fault::Status(status.as_u16()));
+            return Err(PlatformError::Status(status.as_u16()));
         }
-        let page: Page = serde_json::from_slice(&body).map_err(|_| Fault::Unreadable)?;
-        let fits = page.next.as_ref().is_none_or(|t| t.len() <= TOKEN_MOST);
-        fits.then_some(page).ok_or(Fault::Unreadable)
+        let page: Page = serde_json::from_slice(&body).map_err(|_| PlatformError::Unreadable)?;
+        let fits = page.next.as_ref().is_none_or(|t| t.len() <= MAX_TOKEN_BYTES);
+        fits.then_some(page).ok_or(PlatformError::Unreadable)
     }
 
-    async fn dial(&self) -> Result<SendRequest<Empty<Bytes>>, Fault> {
-        let stream = TcpStream::connect(self.address).await.map_err(|_| Fault::Unreachable)?;
+    async fn connect(&self) -> Result<SendRequest<Empty<Bytes>>, PlatformError> {
+        let stream = TcpStream::connect(self.address).await.map_err(|_| PlatformError::Unreachable)?;
         let _ = stream.set_nodelay(true);
-        let (link, conn) = http1::handshake(TokioIo::new(stream)).await.map_err(|_| Fault::Unreachable)?;
+        let (connection, conn) =
+            http1::handshake(TokioIo::new(stream)).await.map_err(|_| PlatformError::Unreachable)?;
         tokio::task::spawn_local(async move {
             let _ = conn.await;
         });
-        Ok(link)
+        Ok(connection)
     }
 }
 
-fn escape(text: &str, to: &mut String) {
+fn percent_encode(text: &str, out: &mut String) {
     for b in text.bytes() {
         if b.is_ascii_alphanumeric() || b"-._~".contains(&b) {
-            to.push(char::from(b));
+            out.push(char::from(b));
         } else {
-            to.push_str(&format!("%{b:02X}"));
+            out.push_str(&format!("%{b:02X}"));
         }
     }
 }
--- a/control-plane/src/refusals.rs
+++ b/control-plane/src/refusals.rs
@@ -15,7 +15,7 @@
     count: Cell<u64>,
     /// The current second, and the lines in it.
     lines: Cell<(u64, u32)>,
-    untold: Cell<u64>,
+    suppressed: Cell<u64>,
 }
 
 impl Refusals {
@@ -23,12 +23,12 @@
     /// of the configuration that goes on, 0 for none.
     pub fn record(&self, now_s: u64, order: &str, kind: Kind, reason: &str, in_force: u64) {
         self.count.set(self.count.get() + 1);
-        if !self.has_room(now_s) {
-            self.untold.set(self.untold.get() + 1);
+        if !self.may_log(now_s) {
+            self.suppressed.set(self.suppressed.get() + 1);
             return;
         }
-        let text = bounded(reason);
-        let untold = self.untold.take();
+        let text = truncated(reason);
+        let untold = self.suppressed.take();
         tracing::warn!(event = "refused", order, kind = kind.name(), text, in_force, untold);
     }
 
@@ -37,7 +37,7 @@
         self.count.get()
     }
 
-    fn has_room(&self, now_s: u64) -> bool {
+    fn may_log(&self, now_s: u64) -> bool {
         let (second, lines) = self.lines.get();
         let lines = if second == now_s { lines } else { 0 };
         self.lines.set((now_s, lines + 1));
@@ -46,7 +46,7 @@
 }
 
 /// The text, cut off behind [`REASON_CHARACTERS`].
-fn bounded(text: &str) -> String {
+fn truncated(text: &str) -> String {
     match text.char_indices().nth(REASON_CHARACTERS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text.to_string(),
--- a/control-plane/src/refusals/tests.rs
+++ b/control-plane/src/refusals/tests.rs
@@ -2,10 +2,10 @@
 
 #[test]
 fn a_reason_is_cut_between_characters() {
-    assert_eq!(bounded("short"), "short");
+    assert_eq!(truncated("short"), "short");
     let exact = "é".repeat(REASON_CHARACTERS);
-    assert_eq!(bounded(&exact), exact);
-    assert_eq!(bounded(&format!("{exact}x")), format!("{exact}..."));
+    assert_eq!(truncated(&exact), exact);
+    assert_eq!(truncated(&format!("{exact}x")), format!("{exact}..."));
 }
 
 #[test]
@@ -13,7 +13,7 @@
     let refusals = Refusals::default();
     let record = |second| refusals.record(second, "configuration", Kind::Invalid, "version", 0);
     (0..10).for_each(|_| record(1));
-    assert_eq!((refusals.count(), refusals.untold.get()), (10, 6));
+    assert_eq!((refusals.count(), refusals.suppressed.get()), (10, 6));
     record(2);
-    assert_eq!((refusals.count(), refusals.untold.get()), (11, 0));
+    assert_eq!((refusals.count(), refusals.suppressed.get()), (11, 0));
 }
--- /dev/null
+++ b/control-plane/src/server_list.rs
@@ -0,0 +1,210 @@
+//! The platform's list of servers: asked for by the duty holder alone.
+
+use crate::consensus_driver::ConsensusDriver;
+use crate::platform::{PlatformClient, PlatformError};
+use lupinledge_messaging::list::{ListedServer, ServerList};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::{sleep, timeout, Instant};
+
+/// From one reading of the list to the next, longer for one of many pages.
+const READ_INTERVAL_S: f64 = 0.7;
+const INTERVAL_PER_PAGE_S: f64 = 0.05;
+const MAX_READ_INTERVAL_S: f64 = 1.2;
+const MAX_ROWS: usize = 20_000;
+const MAX_PAGES: usize = 1_000;
+const MAX_TEXT_BYTES: usize = 200;
+const MAX_SLOTS: f64 = 100_000.0;
+const MAX_WARMUP_S: f64 = 86_400.0;
+/// A warm-up that is this much longer than it should be by now has begun anew.
+const WARMUP_RESTART_S: f32 = 0.5;
+const MIN_RETRY_S: f64 = 0.1;
+const MAX_RETRY_S: f64 = 1.6;
+/// Calls that follow on each other are so far apart.
+const MIN_REREAD_GAP: Duration = Duration::from_millis(60);
+
+/// The newest list, and the loop that reads it.
+pub struct ServerListPoller {
+    consensus: Rc<ConsensusDriver>,
+    list: RefCell<Rc<ServerList>>,
+    /// When the warm-ups of the list were as they say.
+    read_at: Cell<Instant>,
+    /// Told when there is a newer list.
+    pub updated: Notify,
+    /// Read at once.
+    read_request: Notify,
+    /// Where the platform is, and how many calls a second it takes.
+    platform: Cell<(SocketAddr, f64)>,
+    pub unreadable_rows: Cell<u64>,
+}
+
+impl ServerListPoller {
+    pub fn start(
+        consensus: Rc<ConsensusDriver>,
+        address: SocketAddr,
+        rate_per_s: f64,
+    ) -> Rc<ServerListPoller> {
+        let poller = Rc::new(ServerListPoller {
+            consensus,
+            list: RefCell::default(),
+            read_at: Cell::new(Instant::now()),
+            updated: Notify::new(),
+            read_request: Notify::new(),
+            platform: Cell::new((address, rate_per_s)),
+            unreadable_rows: Cell::new(0),
+        });
+        tokio::task::spawn_local(poller.clone().run(PlatformClient::new(address)));
+        poller
+    }
+
+    /// The newest list that is known here.
+    pub fn list(&self) -> Rc<ServerList> {
+        self.list.borrow().clone()
+    }
+
+    /// Servers may have changed: read at once.
+    pub fn read_now(&self) {
+        self.read_request.notify_one();
+    }
+
+    /// Takes a list that another one read, if it is newer.
+    pub fn receive(&self, list: ServerList) {
+        if list.number > self.list.borrow().number && list.rows.len() <= MAX_ROWS {
+            *self.list.borrow_mut() = Rc::new(list);
+            self.read_at.set(Instant::now());
+            self.updated.notify_one();
+        }
+    }
+
+    /// The platform is there from here on, and takes so many calls a second.
+    pub fn set_platform(&self, address: SocketAddr, rate_per_s: f64) {
+        if self.platform.replace((address, rate_per_s)).0 != address {
+            self.read_request.notify_one();
+        }
+    }
+
+    async fn run(self: Rc<ServerListPoller>, mut platform: PlatformClient) {
+        let (mut retry_s, mut readable) = (MIN_RETRY_S, true);
+        loop {
+            if self.consensus.leading_epoch().is_none() {
+                self.consensus.leadership_changed().await;
+                continue;
+            }
+            let (address, rate_per_s) = self.platform.get();
+            if platform.address != address {
+                platform = PlatformClient::new(address);
+            }
+            // half of what is allowed: a former holder may still be at it
+            let seconds_per_page = 2.0 / rate_per_s.max(0.1);
+            let started = Instant::now();
+            let read = self.read(&mut platform, seconds_per_page).await;
+            let wait = match read {
+                Ok((rows, pages)) => {
+                    if !std::mem::replace(&mut readable, true) {
+                        tracing::info!(event = "list_back", rows = rows.len());
+                    }
+                    retry_s = MIN_RETRY_S;
+                    self.publish(rows, started);
+                    let interval_s =
+                        (READ_INTERVAL_S + INTERVAL_PER_PAGE_S * (pages - 1) as f64).min(MAX_READ_INTERVAL_S);
+                    (interval_s - started.elapsed().as_secs_f64()).max(seconds_per_page * pages as f64)
+                }
+                Err(error) => {
+                    if std::mem::replace(&mut readable, false) {
+                        tracing::warn!(event = "list_unread", fault = ?error);
+                    }
+                    let wait = retry_s.max(seconds_per_page);
+                    retry_s = (retry_s * 2.0).min(MAX_RETRY_S);
+                    wait
+                }
+            };
+            let wait = Duration::from_secs_f64(wait);
+            let (requested, ()) =
+                tokio::join!(timeout(wait, self.read_request.notified()), platform.reconnect());
+            if requested.is_ok() {
+                sleep(MIN_REREAD_GAP.max(Duration::from_secs_f64(seconds_per_page))).await;
+            }
+        }
+    }
+
+    /// The whole list, page by page, and how many pages it had.
+    async fn read(
+        &self,
+        platform: &mut PlatformClient,
+        seconds_per_page: f64,
+    ) -> Result<(Vec<ListedServer>, usize), PlatformError> {
+        let (mut rows, mut token) = (BTreeMap::new(), None::<String>);
+        for pages in 1..=MAX_PAGES {
+            let page = platform.page(token.as_deref()).await?;
+            for row in page.rows {
+                match parse_row(row) {
+                    Some(row) if rows.len() < MAX_ROWS => drop(rows.insert(row.id.clone(), row)),
+                    _ => self.unreadable_rows.set(self.unreadable_rows.get() + 1),
+                }
+            }
+            match page.next {
+                Some(next) if token.as_ref() == Some(&next) => return Err(PlatformError::Repeated),
+                Some(next) => token = Some(next),
+                None => return Ok((rows.into_values().collect(), pages)),
+            }
+            if pages % 8 == 0 {
+                sleep(Duration::from_secs_f64(seconds_per_page * 8.0)).await;
+            }
+        }
+        Err(PlatformError::Endless)
+    }
+
+    /// Makes what was read the newest list, if it tells anything new.
+    fn publish(&self, rows: Vec<ListedServer>, started: Instant) {
+        let Some(epoch) = self.consensus.leading_epoch() else { return };
+        let current = self.list();
+        let elapsed_s = started.saturating_duration_since(self.read_at.get()).as_secs_f32();
+        let unchanged = current.rows.len() == rows.len()
+            && current.rows.iter().zip(&rows).all(|(listed, row)| is_same_server(listed, row, elapsed_s));
+        // a platform that forgot everything is in trouble itself
+        if unchanged || (rows.is_empty() && !current.rows.is_empty()) {
+            return;
+        }
+        let number = match current.number {
+            (list_epoch, n) if list_epoch == epoch => (epoch, n + 1),
+            (list_epoch, _) if list_epoch < epoch => (epoch, 1),
+            _ => return,
+        };
+        *self.list.borrow_mut() = Rc::new(ServerList { number, rows });
+        self.read_at.set(started);
+        self.updated.notify_one();
+    }
+}
+
+fn is_same_server(current: &ListedServer, read: &ListedServer, elapsed_s: f32) -> bool {
+    let expected_left_s = (current.warmup_left_s - elapsed_s).max(0.0);
+    read.warmup_left_s <= expected_left_s + WARMUP_RESTART_S
+        && ListedServer { warmup_left_s: current.warmup_left_s, ..read.clone() } == *current
+}
+
+/// A row as the platform tells it; what it lacks makes it unreadable, not the page.
+fn parse_row(row: serde_json::Value) -> Option<ListedServer> {
+    let text = |name: &str| {
+        let text = row.get(name)?.as_str()?;
+        (!text.is_empty() && text.len() <= MAX_TEXT_BYTES).then(|| text.to_string())
+    };
+    let number = |name: &str| row.get(name).and_then(serde_json::Value::as_f64).filter(|n| *n >= 0.0);
+    // it goes into a header
+    let id = text("id").filter(|id| id.bytes().all(|b| b.is_ascii_graphic()))?;
+    Some(ListedServer {
+        id,
+        service: text("service")?,
+        address: text("address")?.parse().ok()?,
+        zone: text("zone")?,
+        slots: number("slots").filter(|s| (1.0..=MAX_SLOTS).contains(s))? as u32,
+        draining: row.get("state").and_then(|s| s.as_str()) == Some("draining"),
+        warmup_left_s: number("warmup_left_s").unwrap_or(0.0).min(MAX_WARMUP_S) as f32,
+    })
+}
+
+#[cfg(test)]
+mod tests;
