--- a/control-plane/src/clock.rs
+++ b/control-plane/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time: this process's steady clock, and the hive's, which all processes can tell.
+//! The monotonic clock of this process, and the cluster time that all processes share.
 
 use lupinledge_consensus::Node;
 use lupinledge_messaging::clock::SentRequests;
@@ -6,18 +6,21 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
+/// The clocks of this process, and its identity.
 pub struct Clock {
     pub me: Node,
-    /// Greater at each start, as long as the time of day does not go back.
+    /// Increases with each start, provided that the wall clock does not go backwards.
     pub incarnation: u64,
     start: Instant,
-    /// What the hive's clock shows beyond the own one.
+    /// Cluster time minus monotonic time, seconds.
     cluster_offset: Cell<f64>,
+    /// Whether this process has ever led; from then on its cluster time is not adjusted.
     authoritative: Cell<bool>,
     sent_requests: RefCell<SentRequests>,
 }
 
 impl Clock {
+    /// Starts the monotonic clock; the cluster time begins at the wall clock.
     pub fn start(me: Node) -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let (start, cluster_offset) = (Instant::now(), Cell::new(unix.as_secs_f64()));
@@ -31,29 +34,30 @@
         }
     }
 
-    /// Seconds of the steady clock since the start.
+    /// Monotonic seconds since the start.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// What the hive's clock shows.
+    /// The cluster time, seconds.
     pub fn cluster_time(&self) -> f64 {
         self.now() + self.cluster_offset.get()
     }
 
-    /// From here on the others take the time from this process.
+    /// Makes this process the source of the cluster time: the other processes adopt it from now on.
     pub fn mark_authoritative(&self) {
         self.authoritative.set(true);
     }
 
-    /// What to ask a holder's clock with.
+    /// The send time to put into a clock request to the leader; it is remembered until the reply.
     pub fn start_request(&self) -> f64 {
         let now = self.now();
         self.sent_requests.borrow_mut().add(now);
         now
     }
 
-    /// Goes by a holder's clock from here on, as long as this process has not led itself.
+    /// Sets the cluster time from the leader's reply, unless this process has led itself. Ignored if the request is
+    /// unknown or the round trip took more than a second.
     pub fn adopt(&self, sent: f64, cluster_time: f64) {
         let round_trip = self.now() - sent;
         if !self.authoritative.get()
--- a/control-plane/src/command.rs
+++ b/control-plane/src/command.rs
@@ -1,11 +1,11 @@
-//! Calls of the operator, decoded into commands that are run elsewhere, and what comes back.
+//! Operator requests decoded into commands, their replies, and the routing of request lines.
 
 use bytes::Bytes;
 use hyper::Method;
 use lupinledge_config::{Answer, Kind, Order};
 use std::net::SocketAddr;
 
-/// What the operator asks for.
+/// A command of the operator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     PutConfig { body: Bytes },
@@ -15,7 +15,7 @@
 }
 
 impl Command {
-    /// The configuration, if it puts one.
+    /// The configuration of a `PutConfig`, else `None`.
     pub fn body(&self) -> Option<&[u8]> {
         match self {
             Command::PutConfig { body } => Some(body),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// What it changes, as it is named in the log; none for a question.
+    /// The kind of change as the log names it; `None` for a read.
     pub fn change_name(&self) -> Option<&'static str> {
         match self {
             Command::PutConfig { .. } => Some("configuration"),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// As an order on a document.
+    /// The corresponding order on a configuration document.
     pub fn order(&self) -> Order<'_> {
         match self {
             Command::PutConfig { body } => Order::Put(body),
@@ -54,40 +54,44 @@
     }
 }
 
-/// What becomes of a command.
+/// The result of a command.
 #[derive(Clone, Debug)]
 pub enum Reply {
     Done,
     Config(Bytes),
-    /// Refused; the text names the field that is at fault.
+    /// Refused; the text names the invalid field.
     Refused {
         kind: Kind,
         text: String,
     },
-    /// Another process speaks for the whole.
+    /// Another process is the leader; its control address.
     Redirect(SocketAddr),
-    /// Nobody here can tell now; not the same as a refusal: it may have been taken.
+    /// The outcome is unknown here. Unlike a refusal, the change may still have been committed.
     Unavailable,
 }
 
-/// A path and method that stand for a command, before any body was read.
+/// The meaning of a method and path, before the body is read.
 #[derive(Debug, PartialEq)]
 pub enum Route {
     PutConfig,
+    /// A command that is complete without a body.
     NoBody(Command),
     Resolve,
     Nodes,
     Core,
     FoundCore,
     Metrics,
+    /// The path exists, but not with this method; the methods that it allows.
     MethodNotAllowed(&'static str),
+    /// The part of the request that can not be decoded.
     Malformed(&'static str),
     NotFound,
 }
 
+/// Longest zone name in a path.
 const MAX_ZONE_BYTES: usize = 128;
 
-/// What a request line asks for.
+/// Routes a request line.
 pub fn route(method: &Method, path: &str) -> Route {
     match path {
         "/lupinledge/resolve" if method == Method::GET => Route::Resolve,
@@ -120,7 +124,7 @@
     }
 }
 
-/// Percent signs decoded; `None` where that can't be.
+/// Decodes percent escapes; `None` if one is invalid or the result is not UTF-8.
 pub fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = text.bytes();
     let mut decoded = Vec::with_capacity(text.len());
@@ -136,7 +140,7 @@
     String::from_utf8(decoded).ok()
 }
 
-/// The value of a name in a query; the outer `None` stands for a query that can't be read.
+/// The first value of a name in a query; the outer `None` means that the query is malformed.
 pub fn query_value(query: &str, name: &str) -> Option<Option<String>> {
     let mut found = None;
     for pair in query.split('&').filter(|p| !p.is_empty()) {
--- a/control-plane/src/command/tests.rs
+++ b/control-plane/src/command/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn request_lines_become_commands() {
+fn request_lines_are_routed() {
     assert_eq!(route(&Method::PUT, "/lupinledge/config"), Route::PutConfig);
     assert_eq!(route(&Method::GET, "/lupinledge/config"), Route::NoBody(Command::GetConfig));
     assert_eq!(route(&Method::PATCH, "/lupinledge/config"), Route::MethodNotAllowed("GET, PUT"));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn queries_are_read_or_refused() {
+fn query_values_are_decoded_or_rejected() {
     assert_eq!(query_value("name=a.b&region=h%61rju", "region"), Some(Some("harju".into())));
     assert_eq!(query_value("name=a.b", "region"), Some(None));
     assert_eq!(query_value("name=%zz&region=x", "name"), None);
--- a/control-plane/src/consensus_driver.rs
+++ b/control-plane/src/consensus_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the agreement of the core: carries its words, its saves and its outcomes.
+//! Drives the consensus replica of this core member: its messages, saves, timers and outcomes.
 
 use crate::clock::Clock;
 use lupinledge_config::Document;
@@ -17,11 +17,12 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, timeout};
 
+/// Interval at which [`ConsensusDriver::leave`] checks for the removal.
 const LEAVE_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Wake-ups are moved forward only by more than this.
+/// The timer is reset only for a wake-up that is earlier by more than this.
 const WAKE_TOLERANCE_S: f64 = 0.002;
 
-/// A committed document, decoded, and the bytes of it that the edge is told.
+/// A committed document, decoded, and its encoding for the edge nodes (without the part that only the core needs).
 pub struct CommittedDocument {
     pub ballot: Ballot,
     pub document: Document,
@@ -43,15 +44,17 @@
     }
 }
 
-/// Told each committed value with its index; the same index may come again with the same value.
+/// Called with each committed value and its index; the same index may repeat with the same value.
 pub type OnCommit = Box<dyn Fn(u64, &Value)>;
 
+/// The consensus replica of this process with its storage, transport and timer.
 pub struct ConsensusDriver {
     clock: Rc<Clock>,
     replica: RefCell<Replica>,
     store: Store,
     transport: OnceCell<Rc<Transport>>,
     on_commit: OnceCell<OnCommit>,
+    /// Submitted requests by ticket, until their outcome is known.
     pending: RefCell<BTreeMap<u64, oneshot::Sender<Outcome>>>,
     last_ticket: Cell<u64>,
     committed_document: RefCell<Option<Rc<CommittedDocument>>>,
@@ -59,26 +62,28 @@
     known_leader: Cell<Option<(Node, u64)>>,
     logged_membership: Cell<Option<bool>>,
     logged_members: RefCell<Vec<Node>>,
+    /// When the replica wants its next tick, on the monotonic clock.
     wake_at: Cell<f64>,
     wake: Notify,
+    /// Notified when this process starts or stops leading, and at shutdown.
     leadership_notify: Notify,
-    /// Told when a document was committed, or an epoch has another holder.
+    /// Notified when a document is committed or the known leader changes.
     pub updated: Notify,
     stopped: Cell<bool>,
 }
 
 impl ConsensusDriver {
-    /// Begins from what the disk held.
+    /// Starts the replica from the stored state.
     pub fn start(
         clock: Rc<Clock>,
         settings: Settings,
         stored: Stored,
         store: Store,
     ) -> eyre::Result<Rc<ConsensusDriver>> {
-        // what was there once is not there for the first time
+        // a corrupt state shows that this is not the first start of the machine
         let bootstrap = settings.bootstrap && stored != Stored::Corrupt;
         let settings = Settings { bootstrap, ..settings };
-        // a state that can't be read is no empty disk: to go on without it could lose what was acknowledged
+        // an undecodable state is an error, not an empty disk: starting without it could lose acknowledged changes
         let persisted: Option<PersistentState> = match stored {
             Stored::State(state) => Some(rmp_serde::from_slice(&state)?),
             Stored::Empty | Stored::Corrupt => None,
@@ -109,7 +114,7 @@
         }))
     }
 
-    /// From here on words go out, and what is due is done.
+    /// Starts sending messages and handling timers and save results.
     pub fn run(
         self: &Rc<ConsensusDriver>,
         transport: Rc<Transport>,
@@ -136,10 +141,12 @@
         });
     }
 
+    /// Handles a consensus message of another member.
     pub fn handle_message(&self, from: Node, msg: Msg) {
         self.drive(|replica, now, outputs| replica.handle_message(now, from, msg, outputs));
     }
 
+    /// Runs one step of the replica, carries out its outputs and publishes changes of leadership and membership.
     fn drive(&self, step: impl FnOnce(&mut Replica, f64, &mut Vec<Output>)) {
         if self.stopped.get() {
             return;
@@ -162,7 +169,7 @@
                 }
                 Output::Save(ticket, persisted) => match rmp_serde::to_vec(&persisted) {
                     Ok(state) => self.store.save(ticket, state),
-                    Err(e) => tracing::error!(event = "unsaved", fault = %e),
+                    Err(error) => tracing::error!(event = "unsaved", fault = %error),
                 },
                 Output::Committed(ballot, value) => {
                     if let Some(on_commit) = self.on_commit.get() {
@@ -205,7 +212,7 @@
         }
     }
 
-    /// The log says who counts, at each change of it.
+    /// Logs the members when they change.
     fn log_members(&self) {
         let replica = self.replica.borrow();
         let members = replica.members();
@@ -216,8 +223,9 @@
         }
     }
 
+    /// Takes over a committed document; returns whether it is newer than the current one.
     fn apply_committed(&self, ballot: Ballot, body: &[u8]) -> bool {
-        if self.committed_document.borrow().as_ref().is_some_and(|a| a.ballot >= ballot) {
+        if self.committed_document.borrow().as_ref().is_some_and(|current| current.ballot >= ballot) {
             return false;
         }
         match CommittedDocument::decode(ballot, body) {
@@ -226,28 +234,28 @@
                     .committed_document
                     .borrow()
                     .as_ref()
-                    .map_or((0, 0), |a| version_and_serial(&a.document));
+                    .map_or((0, 0), |current| version_and_serial(&current.document));
                 let new = version_and_serial(&committed_document.document);
                 let forward = new.0 >= old.0 && new.1 >= old.1;
                 check(Invariant::CommitMonotonic, forward, || format!("{new:?} after {old:?}"));
                 *self.committed_document.borrow_mut() = Some(Rc::new(committed_document));
                 true
             }
-            Err(e) => {
-                tracing::error!(event = "document_unread", fault = %e);
-                // nothing may be judged on top of an older one
+            Err(error) => {
+                tracing::error!(event = "document_unread", fault = %error);
+                // changes must not be evaluated against an older document
                 *self.committed_document.borrow_mut() = None;
                 false
             }
         }
     }
 
-    /// The newest committed document that is known here.
+    /// The newest committed document on this member.
     pub fn committed_document(&self) -> Option<Rc<CommittedDocument>> {
         self.committed_document.borrow().clone()
     }
 
-    /// The epoch in which this process may speak for the whole.
+    /// The epoch in which this process leads, `None` if it does not.
     pub fn leading_epoch(&self) -> Option<u64> {
         if self.stopped.get() {
             return None;
@@ -255,48 +263,48 @@
         self.replica.borrow().leading_epoch(self.clock.now())
     }
 
-    /// Who holds the duty, as far as is known at the moment.
+    /// The current leader and its epoch, as far as known.
     pub fn leader(&self) -> Option<(Node, u64)> {
         self.replica.borrow().leader(self.clock.now())
     }
 
-    /// Where callers are to be sent, by what was heard of the holder itself.
+    /// The member to redirect callers to, based on recent messages of the leader itself.
     pub fn redirect_target(&self) -> Option<Node> {
         self.replica.borrow().redirect_target(self.clock.now())
     }
 
-    /// Whether neither a majority of the members nor that one was heard lately.
+    /// Whether there were recent messages from neither a majority of the members nor this node.
     pub fn is_isolated_from(&self, node: Node) -> bool {
         self.replica.borrow().is_isolated_from(self.clock.now(), node)
     }
 
-    /// The newest epoch and holder heard of, whether it is still there or not.
+    /// The leader of the newest known epoch, even if it is unreachable by now.
     pub fn last_known_leader(&self) -> Option<(Node, u64)> {
         self.known_leader.get()
     }
 
-    /// Whether this process counts, and knows what it has to know for that.
+    /// Whether this process is a member and has learnt the state that it needs to vote.
     pub fn is_member(&self) -> bool {
         let replica = self.replica.borrow();
         !replica.is_learning() && replica.members().contains(&self.own_node())
     }
 
-    /// Whether this process has no state that counts, and learns it from the others.
+    /// Whether this process has no valid state and is learning it from the other members.
     pub fn is_learning(&self) -> bool {
         self.replica.borrow().is_learning()
     }
 
-    /// Whether what this process knows of the members is committed, with no change of them under way.
+    /// Whether the member list is committed, with no membership change in progress.
     pub fn is_settled(&self) -> bool {
         self.replica.borrow().is_settled()
     }
 
-    /// What this member holds.
+    /// The status of the replica.
     pub fn status(&self) -> lupinledge_consensus::ReplicaStatus {
         self.replica.borrow().status(self.clock.now())
     }
 
-    /// Founds the core anew from this member's state, see [`Replica::force_new_cluster`].
+    /// Forms a new cluster from this member's state, see [`Replica::force_new_cluster`].
     pub fn force_new_cluster(&self, newest: Ballot) -> Result<(), NewClusterError> {
         let mut result = Ok(());
         self.drive(|replica, now, outputs| {
@@ -306,36 +314,39 @@
         result
     }
 
-    /// Other machines of the core, known from elsewhere.
+    /// Sets other core machines that were discovered outside of consensus.
     pub fn set_hints(&self, nodes: &[Node]) {
         self.replica.borrow_mut().set_hints(nodes);
     }
 
+    /// The current members.
     pub fn members(&self) -> Vec<Node> {
         self.replica.borrow().members().to_vec()
     }
 
+    /// The own node id.
     fn own_node(&self) -> Node {
         self.clock.me
     }
 
-    /// Until this process begins or ceases to lead.
+    /// Waits until this process starts or stops leading.
     pub async fn leadership_changed(&self) {
         self.leadership_notify.notified().await;
     }
 
-    /// Makes a document the whole's, if this process leads.
+    /// Proposes a document, if this process leads.
     pub async fn propose(&self, body: Vec<u8>) -> Option<Outcome> {
         self.submit(|replica, now, ticket, outputs| replica.propose(now, ticket, body, outputs)).await
     }
 
-    /// Whether what is committed here is what the whole has committed.
+    /// Confirms with a majority that the newest committed document here is the newest of the cluster.
     pub async fn confirm_committed(&self) -> bool {
         let outcome =
             self.submit(|replica, now, ticket, outputs| replica.read_barrier(now, ticket, outputs)).await;
         matches!(outcome, Some(Outcome::Confirmed))
     }
 
+    /// Starts a request on the replica and waits for its outcome.
     async fn submit(&self, step: impl FnOnce(&mut Replica, f64, u64, &mut Vec<Output>)) -> Option<Outcome> {
         if self.stopped.get() {
             return None;
@@ -345,11 +356,12 @@
         let (done, outcome) = oneshot::channel();
         self.pending.borrow_mut().insert(ticket, done);
         self.drive(|replica, now, outputs| step(replica, now, ticket, outputs));
-        // however long it takes: nothing may be judged on top of what is not settled, in or out
+        // without a time limit: no change may be evaluated until the previous one is committed or rejected
         outcome.await.ok()
     }
 
-    /// Says that this process leaves; ends when it doesn't count any more, or needn't be struck, or after `most`.
+    /// Asks for the removal of this process from the members; returns once it is removed, or needs no removal, or after
+    /// `max_wait`.
     pub async fn leave(&self, max_wait: Duration) {
         self.drive(|replica, now, outputs| replica.leave(now, outputs));
         let left = async {
@@ -361,7 +373,7 @@
         tracing::info!(event = "left", in_time = removed_in_time, counts = self.is_member());
     }
 
-    /// Nothing goes out any more. The others are told if the duty is free by that.
+    /// Stops all sending. A leader resigns first, so that the other members need not wait for a timeout.
     pub fn shut_down(&self) {
         if let (Some(epoch), Some(transport)) = (self.leading_epoch(), self.transport.get()) {
             let next = self.replica.borrow().successor();
@@ -376,12 +388,12 @@
     }
 }
 
-/// Neither of these ever goes back.
+/// Version and serial, neither of which ever decreases.
 fn version_and_serial(document: &Document) -> (u64, u64) {
     (document.version, document.serial)
 }
 
-/// What is said again and again: a datagram is enough, and a link that hangs must not hold it up.
+/// Whether a message is repeated periodically: a datagram suffices, and a stalled connection must not delay it.
 fn is_periodic(msg: &Msg) -> bool {
     matches!(
         msg,
--- a/control-plane/src/control_plane.rs
+++ b/control-plane/src/control_plane.rs
@@ -1,4 +1,4 @@
-//! The whole control plane of one machine: its parts, and what comes in for each.
+//! The control plane of one machine: its components, and the dispatch of messages to them.
 
 use crate::clock::Clock;
 use crate::command::{Command, Reply};
@@ -27,46 +27,54 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-/// What clients may keep an answer of the directory for.
+/// How long clients may cache a directory answer, seconds.
 const DIRECTORY_TTL_S: f64 = 2.0;
-/// A process that is about to end may have the data folder for as long: its `grace_s`, and some.
+/// How long a stopping process may still hold the lock of the data folder: its `grace_s` and a margin.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval of [`ControlPlane::maintain`].
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
-/// The holder's clock is looked at so often, in turns of the upkeep.
+/// The leader's clock is requested once in this many maintenance rounds.
 const CLOCK_SYNC_ROUNDS: u64 = 10;
 
+/// The components of the control plane on one machine.
 pub struct ControlPlane {
     pub settings: RefCell<Rc<Settings>>,
     pub clock: Rc<Clock>,
     pub consensus: Rc<ConsensusDriver>,
-    pub server_list: Rc<ServerListPoller>,
+    pub servers: Rc<ServerListPoller>,
+    /// Set once this process is shutting down and takes no more commands.
     pub leaving: Cell<bool>,
-    /// The newest version that was acknowledged from here.
+    /// The newest configuration version that this process has acknowledged.
     pub acknowledged_version: Cell<u64>,
     pub refusals: Refusals,
-    /// Index and prints of the document that is held.
+    /// Index and fingerprints of the newest document here.
     fingerprints: Cell<(u64, Print)>,
-    /// Changes that wait or run, and who waits for them.
+    /// Changes that wait or run, and the callers that wait for them.
     pub change_queue: RefCell<Turns<Command>>,
+    /// Reply channels of the waiting callers.
     pub waiting_callers: RefCell<BTreeMap<Caller, oneshot::Sender<Reply>>>,
     gossip: Rc<Gossip>,
     directory: Directory,
-    /// The homes of hosts, and of which document.
+    /// The home regions of hosts, and the ballot of the document that they are from.
     host_homes: RefCell<(Option<Ballot>, Homes)>,
     counters: Rc<CounterService>,
     operations: Rc<Operations>,
     _lock: FolderLock,
 }
 
+/// The platform settings, which the control plane requires.
 fn cloud_api_settings(settings: &Settings) -> eyre::Result<CloudApi> {
     settings.cloud_api.clone().ok_or_else(|| eyre!("`cloud_api`: missing"))
 }
 
 impl ControlPlane {
-    /// Reads the disk, and starts all parts.
+    /// Loads the stored state and starts all components.
     pub async fn start(settings: Settings) -> eyre::Result<Rc<ControlPlane>> {
         let clock = Rc::new(Clock::start(settings.node()));
-        let folder = settings.data_dir.clone().ok_or_else(|| eyre!("`data_dir`: the core needs a disk"))?;
+        let folder = settings
+            .data_dir
+            .clone()
+            .ok_or_else(|| eyre!("`data_dir`: missing, required on core machines"))?;
         let platform = cloud_api_settings(&settings)?;
         let owner = format!("{} (process {})", settings.ip, std::process::id());
         let lock = FolderLock::acquire(folder.clone(), owner, LOCK_TIMEOUT).await.wrap_err("`data_dir`")?;
@@ -106,7 +114,7 @@
             load: 0,
         };
         let gossip = Gossip::open(&settings, card, false).wrap_err("`port_range`")?;
-        let server_list = ServerListPoller::start(consensus.clone(), platform.address, platform.rate_per_s);
+        let servers = ServerListPoller::start(consensus.clone(), platform.address, platform.rate_per_s);
         let counters = CounterService::new(clock.clone(), consensus.clone(), settings.zones.clone());
 
         let port = settings.peer_port();
@@ -114,7 +122,7 @@
             settings: RefCell::new(Rc::new(settings)),
             clock,
             consensus: consensus.clone(),
-            server_list,
+            servers,
             leaving: Cell::new(false),
             acknowledged_version: Cell::new(0),
             refusals: Refusals::default(),
@@ -141,32 +149,34 @@
         Ok(control_plane)
     }
 
-    /// Makes what was agreed on, and the list that was read here, news for the others.
+    /// Publishes committed documents, leader changes and newer server lists over gossip.
     async fn publish_updates(self: Rc<ControlPlane>) {
         loop {
             tokio::select! {
                 _ = self.consensus.updated.notified() => {}
-                _ = self.server_list.updated.notified() => {}
+                _ = self.servers.updated.notified() => {}
             }
-            let list = self.server_list.list();
+            let list = self.servers.list();
             let newer = self.gossip.with_store(|store| list.number > store.digest().list);
             let committed_document =
-                self.consensus.committed_document().filter(|a| a.ballot > Ballot::default());
+                self.consensus.committed_document().filter(|committed| committed.ballot > Ballot::default());
             let update = Update {
                 epoch: self.consensus.last_known_leader().map(|(leader, epoch)| (epoch, leader)),
-                state: committed_document.map(|a| ((a.ballot.epoch, a.ballot.index), a.edge_bytes.clone())),
+                state: committed_document.map(|committed| {
+                    ((committed.ballot.epoch, committed.ballot.index), committed.edge_bytes.clone())
+                }),
                 list: newer.then(|| (list.number, Rc::from(list.encode()))),
             };
-            // what a former holder had to tell was told by it; gaps are found by digests
-            let leading_epoch = self.consensus.leading_epoch().is_some();
-            self.gossip.publish(update, if leading_epoch { Source::Origin } else { Source::Settled });
+            // documents of a former leader were published by that leader; digests reveal gaps
+            let leads = self.consensus.leading_epoch().is_some();
+            self.gossip.publish(update, if leads { Source::Origin } else { Source::Settled });
             self.publish_fingerprint();
             let ready = self.gossip.with_store(|store| store.newest().state.is_some());
             self.gossip.set_card(|card| card.ready = ready);
         }
     }
 
-    /// Tells the others what the document says that is held here, in short.
+    /// Publishes the fingerprint of the newest document here, if its index has changed.
     fn publish_fingerprint(&self) {
         let held = self.gossip.with_store(|store| store.newest().state.clone());
         let Some(((_, index), bytes)) = held.filter(|h| self.fingerprints.get().0 != h.0 .1) else { return };
@@ -178,7 +188,7 @@
         }
     }
 
-    /// All processes that are known, and whether they do what the document says that is held here.
+    /// All known processes, and how their rules compare with the newest document here, as JSON.
     pub fn nodes(&self) -> serde_json::Value {
         let (index, fingerprints) = self.fingerprints.get();
         let own = self.gossip.with_store(|store| store.digest());
@@ -199,11 +209,12 @@
         serde_json::json!({"index": index, "parts": parts, "holder": leader, "nodes": nodes})
     }
 
-    /// The figures of this process as text.
+    /// The metrics of this process as text.
     pub fn metrics(&self) -> String {
-        let (committed_document, list) = (self.consensus.committed_document(), self.server_list.list());
-        let (ballot, version, serial) = committed_document
-            .map_or_else(Default::default, |a| (a.ballot, a.document.version, a.document.serial));
+        let (committed_document, list) = (self.consensus.committed_document(), self.servers.list());
+        let (ballot, version, serial) = committed_document.map_or_else(Default::default, |committed| {
+            (committed.ballot, committed.document.version, committed.document.serial)
+        });
         metrics::render(|line| {
             line("configuration.version", version);
             line("configuration.acknowledged", self.acknowledged_version.get());
@@ -219,27 +230,29 @@
             line("servers.list_epoch", list.number.0);
             line("servers.list_number", list.number.1);
             line("servers.listed", list.rows.len() as u64);
-            line("servers.unreadable", self.server_list.unreadable_rows.get());
+            line("servers.unreadable", self.servers.unreadable_rows.get());
             self.operations.write_metrics(line);
             self.gossip.write_metrics(line);
         })
     }
 
-    /// Whom others name as the holder where this process is cut off from it: of no earlier epoch than it knows, and alive.
+    /// The leader according to gossip, provided that it is alive, its epoch is not older than the newest known here,
+    /// and this process receives no consensus messages from it or a majority.
     pub fn gossiped_leader(&self) -> Option<Node> {
         let (epoch, node) = self.gossip.with_store(|store| store.epoch());
         let known = self.consensus.last_known_leader().map_or(0, |(_, epoch)| epoch);
-        let alive = |m: &Member| m.card.core && m.standing == Standing::Alive;
+        let alive = |member: &Member| member.card.core && member.standing == Standing::Alive;
         let reachable = node != self.clock.me
             && self.gossip.with_membership(|membership| membership.member(node).is_some_and(alive));
         (reachable && epoch >= known && self.consensus.is_isolated_from(node)).then_some(node)
     }
 
+    /// Whether a node is the current leader.
     fn is_leader(&self, node: Node) -> bool {
         self.consensus.leader().is_some_and(|(leader, _)| leader == node)
     }
 
-    /// What has to be looked after now and then.
+    /// Periodically synchronizes the clock and updates the gossip seeds and consensus hints.
     async fn maintain(self: Rc<ControlPlane>) {
         let (mut synced_leader, mut rounds) = (None, 0_u64);
         loop {
@@ -256,7 +269,8 @@
                 });
             }
             let mut cores = seeds_of(&self.settings.borrow());
-            // where both sides of a cut start anew under seeds of their own side, only the agreement leads across it
+            // if both sides of a partition restart with seeds of their own side only, just the consensus members link
+            // them
             self.gossip.set_seeds(cores.iter().copied().chain(self.consensus.members()).collect());
             if !self.consensus.is_member() || self.consensus.leader().is_none() {
                 self.gossip.with_membership(|membership| {
@@ -269,10 +283,10 @@
         }
     }
 
-    /// Goes by other settings from here on. Sockets stay: addresses do not change while a process runs.
+    /// Applies changed settings. The listening addresses are kept, as they do not change while a process runs.
     pub fn apply_settings(&self, settings: Settings) -> eyre::Result<()> {
         let platform = cloud_api_settings(&settings)?;
-        self.server_list.set_platform(platform.address, platform.rate_per_s);
+        self.servers.set_platform(platform.address, platform.rate_per_s);
         self.gossip.apply_settings(&settings);
         self.consensus.set_hints(&seeds_of(&settings));
         let listen = self.settings.borrow().listen.clone();
@@ -280,10 +294,12 @@
         Ok(())
     }
 
-    /// Where clients of a region may go that ask for a host.
+    /// Gateway addresses for clients of a region that resolve a host.
     pub fn gateway_addresses(&self, region: &str, host: &str) -> Vec<SocketAddr> {
-        if let Some(committed_document) =
-            self.consensus.committed_document().filter(|a| self.host_homes.borrow().0 != Some(a.ballot))
+        if let Some(committed_document) = self
+            .consensus
+            .committed_document()
+            .filter(|committed| self.host_homes.borrow().0 != Some(committed.ballot))
         {
             *self.host_homes.borrow_mut() =
                 (Some(committed_document.ballot), Homes::new(&committed_document.document));
@@ -294,36 +310,34 @@
         })
     }
 
-    /// For how long an answer of the directory is good.
+    /// How long a directory answer is valid, seconds.
     pub fn directory_ttl_s(&self) -> f64 {
         DIRECTORY_TTL_S.min(self.settings.borrow().bounds.ttl_max_s)
     }
 
-    /// From here on no new command is taken, and the others know why.
+    /// Stops accepting commands, and announces over gossip that this process is leaving.
     pub fn leave(&self) {
         self.leaving.set(true);
         self.gossip.set_card(|card| card.leaving = true);
     }
 
-    /// Nothing goes out any more.
+    /// Stops all sending.
     pub fn shut_down(&self) {
         self.consensus.shut_down();
         let counts = self.gossip.post().counts();
         let (sent, cast, dropped) = (counts.sent.get(), counts.datagrams.get(), counts.dropped.get());
-        let (news, unreadable) = (self.gossip.update_bytes_sent(), self.server_list.unreadable_rows.get());
+        let (news, unreadable) = (self.gossip.update_bytes_sent(), self.servers.unreadable_rows.get());
         tracing::info!(event = "ended", sent, cast, dropped, news, unreadable);
         self.gossip.post().close();
     }
 }
 
 impl Host for ControlPlane {
-    /// Documents come by agreement, and epochs with it.
+    /// Takes over server lists only; documents and epochs arrive through consensus.
     fn on_update(&self, update: Update) {
-        let Some((number, bytes)) = update.list.filter(|l| l.0 > self.server_list.list().number) else {
-            return;
-        };
-        match ServerList::decode(&bytes).filter(|l| l.number == number) {
-            Some(list) => self.server_list.receive(list),
+        let Some((number, data)) = update.list.filter(|l| l.0 > self.servers.list().number) else { return };
+        match ServerList::decode(&data).filter(|list| list.number == number) {
+            Some(list) => self.servers.receive(list),
             None => tracing::warn!(event = "list_spoilt"),
         }
     }
--- a/control-plane/src/counter_service.rs
+++ b/control-plane/src/counter_service.rs
@@ -1,5 +1,5 @@
-//! The counters of the holder. A new one is told by the gateways what they had told the one before, and answers as
-//! soon as that is whole: when all that are alive have told, or after so long.
+//! The shared counters that the leader holds. A new holder collects what the gateways had reported to the previous one,
+//! and answers calls once all live gateways have reported, or after a time limit.
 
 use crate::clock::Clock;
 use crate::consensus_driver::ConsensusDriver;
@@ -20,27 +20,31 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
+/// Entries of one message that are read at most.
 const MAX_CALLS: usize = 4096;
+/// Interval at which a holder with complete counters checks the gateways.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// While the counters are not whole, those that have not told are asked again so often.
+/// Interval at which missing gateways are asked again while the counters are incomplete.
 const COLLECT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A total as it goes over the network.
+/// A total in its wire format.
 fn name_total(total: Total) -> NameTotal {
     NameTotal(to_fixed(total.counted), total.level.map(to_fixed))
 }
 
+/// Runs the counter holder while this process leads.
 pub struct CounterService {
     clock: Rc<Clock>,
     consensus: Rc<ConsensusDriver>,
-    /// Those of the epoch that was won last.
+    /// The counters of the epoch that this process led last.
     holder: RefCell<CounterHolder>,
     zones: BTreeMap<String, String>,
-    /// Up to which document the rates were taken over.
+    /// The ballot of the document whose quotas are applied.
     rates_ballot: Cell<Option<lupinledge_consensus::Ballot>>,
 }
 
 impl CounterService {
+    /// A service without counters, until this process leads.
     pub fn new(
         clock: Rc<Clock>,
         consensus: Rc<ConsensusDriver>,
@@ -55,14 +59,14 @@
         })
     }
 
-    /// From here on silences are looked for: a pause of this process is none of the others'.
+    /// Starts checking for silent gateways; a pause of this process does not count as silence of the gateways.
     pub fn run(self: &Rc<CounterService>, gossip: Rc<Gossip>) {
         let service = self.clone();
         tokio::task::spawn_local(async move {
             loop {
-                let whole = service.poll_holder(&gossip);
+                let complete = service.poll_holder(&gossip);
                 let _ = timeout(
-                    if whole { POLL_INTERVAL } else { COLLECT_INTERVAL },
+                    if complete { POLL_INTERVAL } else { COLLECT_INTERVAL },
                     service.consensus.leadership_changed(),
                 )
                 .await;
@@ -70,7 +74,7 @@
         });
     }
 
-    /// Looks after the counters; returns whether they are whole, or another's.
+    /// Polls the holder once; returns `false` while the counters are incomplete.
     fn poll_holder(&self, gossip: &Gossip) -> bool {
         let Some(epoch) = self.consensus.leading_epoch() else { return true };
         self.start_epoch(epoch);
@@ -103,14 +107,14 @@
         true
     }
 
-    /// Any word of another process.
+    /// Notes that there was a message from another process.
     pub fn record_contact(&self, from: Node) {
         if let Some(counters) = self.holder.borrow_mut().counters() {
             counters.record_contact(self.clock.now(), from);
         }
     }
 
-    /// What a gateway told the holder before this one.
+    /// Takes a part of what a gateway had reported to the previous holder.
     pub fn receive_handover(
         &self,
         from: Incarnation,
@@ -136,7 +140,8 @@
         self.holder.borrow_mut().receive_handover(self.clock.now(), epoch, from, &part);
     }
 
-    /// Takes sums, and answers with the totals as soon as they are whole; without the duty, with none.
+    /// Applies the sums of a gateway, and answers with the totals once the counters are complete. If this process does
+    /// not lead, the answer has no totals.
     pub fn apply_sums(&self, transport: &Transport, from: Incarnation, tag: u64, calls: &[(u64, i64, u16)]) {
         let Some(epoch) = self.consensus.leading_epoch() else {
             return transport.send(from.0, &WireMessage::Totals { tag, round: 0, totals: Vec::new() });
@@ -150,15 +155,17 @@
         }
     }
 
-    /// Turns to an epoch, with the quotas of the newest document.
+    /// Starts the counters of an epoch if they are not running, with the quotas of the newest document.
     fn start_epoch(&self, epoch: u64) {
         let mut holder = self.holder.borrow_mut();
         if holder.start_epoch(self.clock.now(), epoch) {
             self.rates_ballot.set(None);
         }
         let Some(counters) = holder.counters() else { return };
-        if let Some(committed_document) =
-            self.consensus.committed_document().filter(|a| self.rates_ballot.get() != Some(a.ballot))
+        if let Some(committed_document) = self
+            .consensus
+            .committed_document()
+            .filter(|committed| self.rates_ballot.get() != Some(committed.ballot))
         {
             self.rates_ballot.set(Some(committed_document.ballot));
             if let Ok(tables) = Tables::new(&committed_document.document, &self.zones) {
--- a/control-plane/src/directory/tests.rs
+++ b/control-plane/src/directory/tests.rs
@@ -19,9 +19,10 @@
     Member { node: u32::from(n), incarnation: 1, card, standing, since: 0.0, last_received: 0.0, digest }
 }
 
-/// Clients are told who takes them: alive, ready, not leaving, near if there are two; of many, others each time.
+/// Selected gateways are alive, ready and not leaving, in the client's region if it has two; with more than fit into
+/// one answer, successive answers differ.
 #[test]
-fn who_takes_clients() {
+fn gateways_that_take_clients_are_selected() {
     let mut all: Vec<Member> = (1..=8).map(|n| edge(n, if n <= 3 { "near" } else { "far" })).collect();
     let selected = |all: &[Member], region: &str| {
         let gateway_addresses = Directory::default().gateway_addresses(all.iter(), region, None);
@@ -35,9 +36,9 @@
         (Standing::Gone, Standing::Suspect, None);
     assert_eq!(selected(&all, "near"), [2, 3]);
     all[1].standing = Standing::Suspect;
-    assert_eq!(selected(&all, "near"), [3], "one near is too few, and none of the others is sound");
+    assert_eq!(selected(&all, "near"), [3], "one gateway in the region is too few, but no other is alive");
     all[2].standing = Standing::Suspect;
-    assert_eq!(selected(&all, "near"), [2, 3], "suspects are better than none");
+    assert_eq!(selected(&all, "near"), [2, 3], "suspected gateways are used if none is alive");
     let many: Vec<Member> = (1..=100).map(|n| edge(n, "near")).collect();
     let directory = Directory::default();
     let both = [
@@ -47,10 +48,10 @@
     assert!(both.iter().all(|b| b.len() == 64) && both[0][63] != both[1][63] && both[0][0] != both[1][0]);
 }
 
-/// With one left in its region, clients of a host with homes are sent to homes besides, and nowhere else while any is
-/// there.
+/// With a single gateway left in the region, clients of a host with home regions also get the gateways of these, and
+/// others only if there is none.
 #[test]
-fn clients_stay_with_the_homes_of_a_host() {
+fn clients_get_gateways_in_the_home_regions_of_a_host() {
     let regions = ["near", "near", "home", "home", "away", "away"];
     let mut all: Vec<Member> = regions.iter().zip(1..).map(|(region, n)| edge(n, region)).collect();
     let homes = BTreeSet::from(["near".to_string(), "home".to_string()]);
@@ -68,5 +69,9 @@
     for at in [1, 2, 3] {
         all[at].card.ready = false;
     }
-    assert_eq!(selected(&all, "near"), ips(&[6]), "one away from home is better than none");
+    assert_eq!(
+        selected(&all, "near"),
+        ips(&[6]),
+        "a gateway outside the home regions is used if there is no other"
+    );
 }
--- a/control-plane/src/executor.rs
+++ b/control-plane/src/executor.rs
@@ -1,4 +1,4 @@
-//! Runs commands: only where the duty is held, one change at a time, each settled before the next is judged.
+//! Executes commands on the leader: one change at a time, each committed or rejected before the next is evaluated.
 
 use crate::command::{Command, Reply};
 use crate::consensus_driver::CommittedDocument;
@@ -13,16 +13,17 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// Callers go elsewhere after a second of silence, after more with a large body: before that they are told to come
-/// back. What was begun goes on.
+/// Callers try another process after a second without an answer, later with a large body; before that they get a retry
+/// answer. The command that was started continues.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
-/// And so much more for each byte of a body, as a link of 2 Mbit/s takes for it.
+/// Additional time for each byte of a body: its transfer time at 2 Mbit/s.
 const TIMEOUT_PER_BYTE: Duration = Duration::from_micros(4);
-/// So long a holder may take to be found.
+/// How often an unknown leader is looked up again before the caller is told to retry.
 const LEADER_LOOKUP_TRIES: usize = 14;
+/// Time between two lookups of the leader.
 const LEADER_LOOKUP_PAUSE: Duration = Duration::from_millis(50);
 
-/// A caller that waits; however it ceases to, its place is given back.
+/// Frees the place of a waiting caller when dropped, however the wait ends.
 struct CallerGuard(Rc<ControlPlane>, Caller);
 
 impl Drop for CallerGuard {
@@ -33,7 +34,7 @@
 }
 
 impl ControlPlane {
-    /// What becomes of a command, as far as that is known before its caller goes elsewhere.
+    /// Executes a command; the reply comes before the caller times out, even if the outcome is still unknown.
     pub async fn execute(self: Rc<ControlPlane>, command: Command) -> Reply {
         let bytes = command.body().map_or(0, <[u8]>::len);
         let wait = ANSWER_TIMEOUT + TIMEOUT_PER_BYTE * u32::try_from(bytes).unwrap_or(u32::MAX);
@@ -45,7 +46,7 @@
         reply
     }
 
-    /// Tells of an order that was refused for good; one that may be sent again is no more than late.
+    /// Records an order that was refused permanently; temporary refusals (status 5xx) are not recorded.
     pub fn record_refusal(&self, order: &str, kind: Kind, text: &str) {
         if kind.status() < 500 {
             let in_force = self
@@ -56,6 +57,7 @@
         }
     }
 
+    /// Executes a command without a time limit.
     async fn process(self: Rc<ControlPlane>, command: Command) -> Reply {
         if self.leaving.get() {
             return Reply::Unavailable;
@@ -74,7 +76,7 @@
         }
         let arrived = self.change_queue.borrow_mut().arrive(command.clone(), command.body());
         let Some(caller) = arrived else {
-            return Reply::Refused { kind: Kind::Overloaded, text: "too many changes wait".into() };
+            return Reply::Refused { kind: Kind::Overloaded, text: "too many changes are waiting".into() };
         };
         let _guard = CallerGuard(self.clone(), caller);
         let (done, reply) = oneshot::channel();
@@ -83,7 +85,8 @@
         reply.await.unwrap_or(Reply::Unavailable)
     }
 
-    /// Runs what waits, unless that is being done: also where the callers have gone, since half of a change is none.
+    /// Starts working through the waiting changes, unless that is in progress. Continues even if the callers are gone,
+    /// as a change must not be left half done.
     fn run_queue(self: &Rc<ControlPlane>) {
         let Some(command) = self.change_queue.borrow_mut().begin() else { return };
         let control_plane = self.clone();
@@ -96,7 +99,8 @@
         });
     }
 
-    /// Judges the change whose turn it is and brings it about. What is only to be said doesn't hold up the next one.
+    /// Evaluates and commits the next change. If it only needs a confirmed answer, that does not delay the following
+    /// change.
     async fn apply(self: &Rc<ControlPlane>, command: Command) {
         let reply = match self.evaluate(&command) {
             Err(redirect) => redirect,
@@ -118,6 +122,7 @@
         self.send_replies(waiting_callers, reply);
     }
 
+    /// Sends a reply to the callers that still wait.
     fn send_replies(&self, waiting_callers: Vec<Caller>, reply: Reply) {
         for caller in waiting_callers {
             let done = self.waiting_callers.borrow_mut().remove(&caller);
@@ -125,7 +130,7 @@
         }
     }
 
-    /// `None` where this process speaks for the whole; else what to say.
+    /// `None` if this process leads, else the reply for the caller.
     async fn check_leadership(&self) -> Option<Reply> {
         for _ in 0..LEADER_LOOKUP_TRIES {
             if self.consensus.leading_epoch().is_some() {
@@ -139,15 +144,17 @@
         Some(Reply::Unavailable)
     }
 
-    /// The holder, if it is another process, by its own word of a moment ago. A member that hears no majority goes by
-    /// what edge nodes tell. Along a chain of redirects the epoch grows, so that there is no loop.
+    /// A redirect to the leader, if that is another process, based on recent messages of the leader itself. A member
+    /// that is cut off from the majority relies on what edge nodes gossip. The epoch increases along a chain of
+    /// redirects, so that there is no loop.
     fn redirect(&self) -> Option<Reply> {
         let leader = self.consensus.redirect_target().or_else(|| self.gossiped_leader())?;
         let port = self.settings.borrow().listen.control?.port();
         Some(Reply::Redirect(SocketAddr::from((Ipv4Addr::from(leader), port))))
     }
 
-    /// What a command comes to on top of the document that is committed here, in which epoch; else whom to ask.
+    /// Evaluates a command against the committed document here; also returns that document and the epoch. The error is
+    /// the reply if this process does not lead.
     fn evaluate(&self, command: &Command) -> Result<(Rc<CommittedDocument>, u64, Judged), Reply> {
         let (Some(epoch), Some(committed_document)) =
             (self.consensus.leading_epoch(), self.consensus.committed_document())
@@ -162,7 +169,7 @@
         committed_document.document.judge(command.order(), |zone| self.settings.borrow().has_zone(zone))
     }
 
-    /// Says an answer once the whole stands by it.
+    /// Returns an answer once a majority has confirmed that it is not outdated.
     async fn confirm_answer(
         &self,
         command: &Command,
@@ -175,7 +182,7 @@
         if confirmed && *command == Command::GetConfig {
             let (newest, read) = (
                 self.acknowledged_version.get(),
-                self.consensus.committed_document().map_or(0, |a| a.document.version),
+                self.consensus.committed_document().map_or(0, |committed| committed.document.version),
             );
             check(Invariant::ReadNotStale, read >= newest, || {
                 format!("version {read}, {newest} acknowledged")
@@ -183,7 +190,7 @@
         }
         match self.consensus.committed_document().filter(|_| confirmed) {
             Some(current) if current.ballot == committed_document.ballot => answer.into(),
-            // what is committed by now holds all that was acknowledged before
+            // the document that is committed by now includes all changes acknowledged before
             Some(current) => match self.evaluate_on(&current, command) {
                 Judged::Said(answer) => answer.into(),
                 Judged::Now(_) | Judged::Take(_) => Reply::Unavailable,
@@ -192,7 +199,7 @@
         }
     }
 
-    /// Makes a document the whole's.
+    /// Proposes the changed document and waits for the outcome.
     async fn propose_document(&self, command: &Command, document: Document) -> Reply {
         let Ok(body) = rmp_serde::to_vec(&document) else { return Reply::Unavailable };
         match self.consensus.propose(body).await {
@@ -201,12 +208,12 @@
                 tracing::info!(event = "taken", version, serial, epoch = ballot.epoch, index = ballot.index);
                 self.acknowledged_version.set(self.acknowledged_version.get().max(version));
                 if matches!(command, Command::Restore { .. }) {
-                    self.server_list.read_now();
+                    self.servers.read_now();
                 }
                 Reply::Done
             }
             Some(Outcome::NotLeader) => self.redirect().unwrap_or(Reply::Unavailable),
-            // it may come into force yet
+            // it may still be committed
             _ => Reply::Unavailable,
         }
     }
--- a/control-plane/src/http_server.rs
+++ b/control-plane/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side: calls of the operator and of clients that ask where to go.
+//! The HTTP server for operator requests and for the directory that clients resolve hosts with.
 
 use crate::command::{query_value, route, Command, Reply, Route};
 use crate::control_plane::ControlPlane;
@@ -27,55 +27,64 @@
 use tokio::time::{sleep, timeout, Instant};
 use tower::Service;
 
+/// Most open connections.
 const MAX_CONNECTIONS: usize = 256;
+/// Largest request body, 16 MiB.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Bodies that are read at once: each may hold its largest size in memory.
+/// Bodies that are read concurrently; each may occupy up to [`MAX_BODY_BYTES`] of memory.
 const MAX_CONCURRENT_BODIES: usize = 3;
+/// Time for the first request on a connection, and for a graceful shutdown.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time to receive a whole body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time to receive a request head, also on an idle connection.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 type HttpResponse = Response<Full<Bytes>>;
 
-/// All connections, and what their calls are answered by.
+/// The open connections, and the control plane that answers their requests.
 pub struct HttpServer {
     control_plane: Rc<ControlPlane>,
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
     connections_opened: Cell<u64>,
     body_permits: Semaphore,
     closing: Cell<bool>,
-    /// The directory had nobody to name when it was asked last.
+    /// Whether the last directory request found no gateway; a change is logged.
     directory_empty: Cell<bool>,
 }
 
+/// The state of one client connection.
 struct Connection {
+    /// A request is being answered.
     busy: Cell<bool>,
+    /// There has been a request.
     used: Cell<bool>,
+    /// When the last request ended, or the connection was opened.
     idle_since: Cell<Instant>,
     stop: Notify,
 }
 
-/// Binds all that the role serves to the outside.
+/// Binds the listeners of the control and directory addresses.
 pub fn bind(listen: &Listen) -> eyre::Result<Vec<TcpListener>> {
-    let named = [("control", listen.control), ("directory", listen.directory)];
+    let addresses = [("control", listen.control), ("directory", listen.directory)];
     let shared_address = listen.control == listen.directory;
-    let named = named
+    let addresses = addresses
         .into_iter()
         .take(if shared_address { 1 } else { 2 })
         .filter_map(|(name, address)| Some((name, address?)));
-    let bound = |address: SocketAddr| {
+    let bind_listener = |address: SocketAddr| {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(512)
     };
-    named
-        .map(|(name, address)| bound(address).wrap_err_with(|| format!("`listen.{name}`: {address}")))
+    addresses
+        .map(|(name, address)| bind_listener(address).wrap_err_with(|| format!("`listen.{name}`: {address}")))
         .collect()
 }
 
 impl HttpServer {
-    /// Serves what comes in at these.
+    /// Starts serving the connections of these listeners.
     pub fn open(control_plane: Rc<ControlPlane>, listeners: Vec<TcpListener>) -> Rc<HttpServer> {
         let server = Rc::new(HttpServer {
             control_plane,
@@ -91,6 +100,7 @@
         server
     }
 
+    /// Accepts connections in a loop.
     async fn accept(self: Rc<HttpServer>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -99,13 +109,13 @@
                     self.evict_idle();
                     self.serve(stream);
                 }
-                // descriptors may lack for a moment
+                // file descriptors may be exhausted for a moment
                 Err(_) => sleep(Duration::from_millis(50)).await,
             }
         }
     }
 
-    /// With too many connections, the one that was idle for longest ends.
+    /// At the connection limit, closes the connection that has been idle longest, or the oldest if all are busy.
     fn evict_idle(&self) {
         let connections = self.connections.borrow();
         if connections.len() >= MAX_CONNECTIONS {
@@ -119,6 +129,7 @@
         }
     }
 
+    /// Serves one connection in a task of its own.
     fn serve(self: &Rc<HttpServer>, stream: TcpStream) {
         let id = self.connections_opened.replace(self.connections_opened.get() + 1);
         let connection = Rc::new(Connection {
@@ -156,7 +167,7 @@
         });
     }
 
-    /// From here on each answer is the last of its connection; ends when none is busy.
+    /// Closes each connection after its current response; returns when all requests are answered.
     pub async fn close(&self) {
         self.closing.set(true);
         self.connections.borrow().values().for_each(|connection| connection.stop.notify_one());
@@ -165,6 +176,7 @@
         }
     }
 
+    /// Answers one request.
     async fn respond(&self, request: Request<Incoming>) -> HttpResponse {
         let (head, body) = request.into_parts();
         let path = head.uri.path();
@@ -178,25 +190,26 @@
             Route::PutConfig => match self.read_body(body).await {
                 Ok(body) => Command::PutConfig { body },
                 Err(mut rejected) => {
-                    // what is left of a body that nobody reads must not be taken for the next call
+                    // the unread rest of the body must not be parsed as the next request
                     rejected.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                     return rejected;
                 }
             },
             Route::MethodNotAllowed(allow) => {
-                let mut response = refusal(Kind::NoSuchMethod, "not for this path");
+                let mut response = refusal(Kind::NoSuchMethod, "method not allowed for this path");
                 response.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
                 return response;
             }
             Route::Malformed(field) => return refusal(Kind::Malformed, field),
-            Route::NotFound => return refusal(Kind::NoSuchPath, "nothing is here"),
+            Route::NotFound => return refusal(Kind::NoSuchPath, "no such path"),
         };
         reply_response(self.control_plane.clone().execute(command).await, path)
     }
 
+    /// Reads a whole request body; the error is the response.
     async fn read_body(&self, body: Incoming) -> Result<Bytes, HttpResponse> {
         let too_large = || {
-            let text = "body: over 16 MB";
+            let text = "body: larger than 16 MB";
             self.control_plane.record_refusal("configuration", Kind::TooLarge, text);
             refusal(Kind::TooLarge, text)
         };
@@ -207,12 +220,12 @@
         match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
-            Ok(Err(_)) => Err(refusal(Kind::Malformed, "body: broken off")),
-            Err(_) => Err(error_response(StatusCode::REQUEST_TIMEOUT, "late", "body: not whole in time")),
+            Ok(Err(_)) => Err(refusal(Kind::Malformed, "body: incomplete")),
+            Err(_) => Err(error_response(StatusCode::REQUEST_TIMEOUT, "late", "body: not received in time")),
         }
     }
 
-    /// Founds the core anew from the state that is named.
+    /// Forms a new core from the state that the query names.
     fn force_new_cluster(&self, query: &str) -> HttpResponse {
         let newest = query_value(query, "newest").flatten();
         let Some(newest) = newest.as_deref().and_then(parse_state) else {
@@ -224,7 +237,7 @@
         }
     }
 
-    /// Where a client may go.
+    /// Answers a directory request with the gateway addresses for the client.
     fn resolve(&self, query: &str) -> HttpResponse {
         let (Some(region), Some(_), Some(name)) =
             (query_value(query, "region"), query_value(query, "zone"), query_value(query, "name"))
@@ -246,7 +259,7 @@
     }
 }
 
-/// The service of one connection.
+/// The request handler of one connection.
 #[derive(Clone)]
 struct ConnectionService {
     server: Rc<HttpServer>,
@@ -277,7 +290,7 @@
     }
 }
 
-/// Marks a connection as used while it holds a call.
+/// Marks a connection as busy until dropped.
 struct BusyGuard(Rc<Connection>);
 
 impl Drop for BusyGuard {
@@ -287,7 +300,7 @@
     }
 }
 
-/// What a reply of a command is on the wire.
+/// The HTTP response for the reply of a command.
 fn reply_response(reply: Reply, path: &str) -> HttpResponse {
     match reply {
         Reply::Done => json(StatusCode::OK, serde_json::json!({"ok": true})),
@@ -310,6 +323,7 @@
     }
 }
 
+/// A response with a JSON body.
 fn json(status: StatusCode, body: serde_json::Value) -> HttpResponse {
     let mut response = Response::new(Full::from(body.to_string()));
     *response.status_mut() = status;
@@ -317,11 +331,12 @@
     response
 }
 
+/// An error response with this status and kind.
 fn error_response(status: StatusCode, kind: &str, text: &str) -> HttpResponse {
     json(status, serde_json::json!({"error": kind, "text": text}))
 }
 
-/// A refusal, by the table of error kinds.
+/// An error response with the status of its kind.
 fn refusal(kind: Kind, text: &str) -> HttpResponse {
     let status = StatusCode::from_u16(kind.status()).unwrap_or(StatusCode::BAD_REQUEST);
     let mut response = error_response(status, kind.name(), text);
@@ -331,6 +346,7 @@
     response
 }
 
+/// The response if this process has no answer at the moment; the caller should retry.
 fn unavailable() -> HttpResponse {
-    refusal(Kind::Unsettled, "nobody here can tell now")
+    refusal(Kind::Unsettled, "the outcome is not known here at the moment")
 }
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -1,4 +1,5 @@
-//! The control plane: agreement of the core, configurations, the list of servers, counters, the directory.
+//! The control plane of lupinledge: consensus of the core, configurations, the server list, shared counters, votes on
+//! operation keys, and the directory for clients.
 
 mod clock;
 mod command;
@@ -27,36 +28,36 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::timeout;
 
-/// What is under way at SIGTERM has so long to end.
+/// Time that requests in progress get to complete after SIGTERM.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// To be struck from the members, where it is to be, takes two rounds of a majority; the platform's `grace_s` bears
-/// this and the calls' end.
+/// Upper bound on waiting for the own removal from the member list, which takes two majority round trips if one is due.
+/// The platform's `grace_s` must cover this and [`CLOSE_TIMEOUT`].
 const REMOVAL_TIMEOUT: Duration = Duration::from_secs(3);
 
 const COMMANDS: [SubCommand; 3] = [
     SubCommand {
         name: "nodes",
         arguments: "ADDRESS",
-        what: "lists all nodes with the rules they go by",
+        what: "lists all nodes and the state of their rules",
         run: nodes::nodes_command,
     },
     SubCommand {
         name: "core",
         arguments: "ADDRESS...",
-        what: "lists what each of these members of the core holds",
+        what: "lists the state of each of these core members",
         run: recovery::core_command,
     },
     SubCommand {
         name: "found",
         arguments: "EPOCH.INDEX ADDRESS [ADDRESS...]",
-        what: "founds the core anew from that state at the first of these, after losses beyond what is borne",
+        what: "forms a new core from that state at the first address, after a permanent loss of the majority",
         run: recovery::found_command,
     },
 ];
 
 fn main() -> ExitCode {
     let (name, version) = ("lupinledge-hive", env!("CARGO_PKG_VERSION"));
-    let what = "the control plane of lupinledge, on the machines of the core";
+    let what = "the control plane of lupinledge, run on each core machine";
     cli::main(Program { name, version, what, commands: &COMMANDS }, run)
 }
 
@@ -70,7 +71,7 @@
         let (mut terminate, mut interrupt) =
             (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
         let hangup = signal(SignalKind::hangup())?;
-        // bound first: a disk that stalls keeps callers waiting, but not out
+        // the listeners are bound first: while the disk stalls, callers wait instead of being refused
         let listeners = http_server::bind(&settings.listen)?;
         let starting = async {
             let control_plane = ControlPlane::start(settings).await?;
@@ -92,7 +93,7 @@
             _ = stopped.as_mut() => return Ok(()),
         };
         stopped.await;
-        // serving goes on meanwhile: a holder hands its duty over as it is struck
+        // requests are still served meanwhile; a leader hands leadership over as it is removed
         control_plane.consensus.leave(REMOVAL_TIMEOUT).await;
         control_plane.leave();
         let _ = timeout(CLOSE_TIMEOUT, http_server.close()).await;
--- a/control-plane/src/nodes/tests.rs
+++ b/control-plane/src/nodes/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use lupinledge_membership::{Card, DriftReport};
 
-/// A node that does what the document says, one that does not, one that is behind, and one that is out with the
-/// part that differs.
+/// Rows for a node whose rules match the document, one whose rules differ, one with an older document, one without a
+/// fingerprint, and one that is out of service with the part that differs.
 #[test]
-fn who_goes_by_what() {
+fn rows_show_how_the_rules_of_a_node_compare() {
     let expected = Print { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
     let own = Digest { state: (3, 7), fingerprint: expected.folded(), ..Digest::default() };
     let member = |node, index, fingerprint, drift: Option<DriftReport>| {
--- a/control-plane/src/operations.rs
+++ b/control-plane/src/operations.rs
@@ -1,4 +1,4 @@
-//! Drives this machine's voter on operations that run once per key: its messages, its journal and its timer.
+//! Drives the voter of this machine for operations that run once per key: its messages, journal and timer.
 
 mod bounds;
 mod recorder;
@@ -22,12 +22,12 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-/// An entry that the journal did not take is offered again after so long.
+/// Interval at which entries that the journal did not accept are offered again.
 const RETRY: Duration = Duration::from_millis(50);
-/// Wake-ups are moved forward only by more than this, seconds.
+/// The timer is reset only for a wake-up that is earlier by more than this, seconds.
 const WAKE_TOLERANCE_S: f64 = 0.002;
 
-/// How the voter stands.
+/// The state of the voter, as it is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum VotingState {
     Learning,
@@ -35,13 +35,14 @@
     Voting,
 }
 
-/// What the voter starts from.
+/// What the voter is started with.
 pub struct StartParameters {
     pub folder: PathBuf,
     pub limits: Limits,
-    /// Must differ from start to start.
+    /// Must differ at each start.
     pub seed: u64,
-    /// The agreement's state of this machine is lost or another machine's, so that its votes of before are not known.
+    /// The consensus state of this machine is lost or belongs to another machine, so that its earlier votes are
+    /// unknown.
     pub learns: bool,
 }
 
@@ -50,7 +51,7 @@
     clock: Rc<Clock>,
     voter: RefCell<Voter>,
     recorder: Recorder,
-    /// Numbers up to which the journal is on disk; taken by [`Operations::run`].
+    /// Reports of the journal, each the entry number up to which it is on disk; taken by [`Operations::run`].
     saved: RefCell<Option<UnboundedReceiver<u64>>>,
     transport: OnceCell<Rc<Transport>>,
     voting_state: Cell<Option<VotingState>>,
@@ -59,15 +60,16 @@
 }
 
 impl Operations {
-    /// Reads the journal and starts the voter. Ends once an empty journal has got its first entries on disk.
+    /// Reads the journal and starts the voter. If the journal is empty, returns only once its first entries are on
+    /// disk.
     ///
-    /// The agreement may save a state only after that: an empty journal beside a state of the agreement then always
-    /// means that this machine has never voted on operations, and may found them.
+    /// Consensus may save a state only after that: an empty journal next to a consensus state then always means that
+    /// this machine has never voted on operations, and may be a founder.
     pub async fn start(clock: Rc<Clock>, parameters: StartParameters) -> eyre::Result<Rc<Operations>> {
         let StartParameters { folder, limits, seed, learns } = parameters;
         let bounds = Bounds::from_limits(&limits);
         let OpenedJournal { journal, replayed, saved } = Journal::open(folder, bounds.journal())?;
-        let replayed = replayed.await.wrap_err("the journal's thread ended")?;
+        let replayed = replayed.await.wrap_err("the journal thread has ended")?;
         let empty = replayed.entries.is_empty() && !replayed.damaged;
         let founder = empty && !learns;
         let (me, max_records, max_answer_bytes) = (clock.me, bounds.records, bounds.answer_bytes);
@@ -91,14 +93,15 @@
         Ok(operations)
     }
 
-    /// Waits until all that was appended so far is on disk.
+    /// Waits until all entries appended so far are on disk.
     async fn wait_first_save(&self) -> eyre::Result<()> {
-        let mut saved = self.saved.borrow_mut().take().ok_or_else(|| eyre!("started twice"))?;
+        let mut saved =
+            self.saved.borrow_mut().take().ok_or_else(|| eyre!("the operations voter was started twice"))?;
         let appended = self.voter.borrow().appended();
         let mut number = 0;
         while number < appended {
             match timeout(RETRY, saved.recv()).await {
-                Ok(told) => number = told.ok_or_else(|| eyre!("the journal's thread ended"))?,
+                Ok(report) => number = report.ok_or_else(|| eyre!("the journal thread has ended"))?,
                 Err(_) => self.recorder.retry(),
             }
         }
@@ -107,7 +110,7 @@
         Ok(())
     }
 
-    /// From here on messages go out, and what is due is done.
+    /// Starts sending messages, and handling timers and reports of the journal.
     pub fn run(self: &Rc<Operations>, transport: Rc<Transport>) {
         let _ = self.transport.set(transport);
         if let Some(saved) = self.saved.borrow_mut().take() {
@@ -116,12 +119,14 @@
         tokio::task::spawn_local(self.clone().tick());
     }
 
+    /// Passes the reports of the journal to the voter.
     async fn watch_journal(self: Rc<Operations>, mut saved: UnboundedReceiver<u64>) {
         while let Some(number) = saved.recv().await {
             self.saved(number);
         }
     }
 
+    /// Runs the timer of the voter, and retries entries that the journal did not accept.
     async fn tick(self: Rc<Operations>) {
         loop {
             let wait = (self.wake_at.get() - self.clock.now()).clamp(0.001, 1.0);
@@ -139,23 +144,24 @@
         }
     }
 
+    /// The journal is on disk up to this entry number.
     fn saved(&self, number: u64) {
         self.recorder.retry();
         self.drive(|voter, now, actions| voter.on_saved(now, number, actions));
     }
 
-    /// A message of a gateway or of another voter.
+    /// Handles a message of a gateway or of another voter.
     pub fn handle_message(&self, from: Node, message: Message) {
         self.drive(|voter, now, actions| voter.on_message(now, from, message, actions));
     }
 
-    /// The agreement has committed this value under that index.
+    /// Consensus has committed this value with this index; takes over its members as voters.
     pub fn committed(&self, index: u64, value: &Value) {
         let Value { members, outgoing, .. } = value;
         self.drive(|voter, now, actions| voter.set_members(now, index, members, outgoing, actions));
     }
 
-    /// Figures of the voter.
+    /// Writes the metrics of the voter.
     pub fn write_metrics(&self, line: &mut metrics::MetricSink) {
         let voter = self.voter.borrow();
         line("operations.records", voter.records() as u64);
@@ -164,6 +170,7 @@
         line("operations.votes", u64::from(voter.can_vote()));
     }
 
+    /// Runs one step of the voter and carries out its actions.
     fn drive(&self, step: impl FnOnce(&mut Voter, f64, &mut Vec<Action>)) {
         let mut actions = Vec::new();
         let mut voter = self.voter.borrow_mut();
@@ -188,7 +195,7 @@
                 }
             }
         }
-        // after the entries of this turn: the journal may drop those that the head stands for
+        // after the entries of this step: the journal may drop the entries that the head replaces
         if self.update_voting_state() || head_changed {
             if let Some(head) = self.voter.borrow().head() {
                 self.recorder.set_head(&head);
@@ -197,7 +204,7 @@
         self.update_wake();
     }
 
-    /// Logs how the voter stands, if that has changed.
+    /// Logs the state of the voter if it has changed; returns whether it has.
     fn update_voting_state(&self) -> bool {
         let voter = self.voter.borrow();
         let voting_state = match () {
@@ -216,6 +223,7 @@
         changed
     }
 
+    /// Wakes the timer if the next tick is due earlier than before.
     fn update_wake(&self) {
         let wake_at = self.voter.borrow().next_wake();
         if wake_at < self.wake_at.replace(wake_at) - WAKE_TOLERANCE_S {
@@ -224,7 +232,7 @@
     }
 }
 
-/// What the voter takes over. One that has to learn gets no word of its earlier readiness.
+/// The entries that the voter restores. `Ready` entries are left out if it has to learn.
 fn entries(replayed: Replayed, learns: bool) -> Vec<Entry> {
     let Replayed { entries, damaged } = replayed;
     let all = entries.len();
--- a/control-plane/src/operations/bounds.rs
+++ b/control-plane/src/operations/bounds.rs
@@ -1,23 +1,25 @@
-//! How much the voter may take of this machine.
+//! Bounds on the memory and disk use of the voter.
 
 use lupinledge_config::settings::Limits;
 use lupinledge_storage::JournalBounds;
 
 /// Share of the memory for records.
 const RECORDS_SHARE: f64 = 0.10;
-/// Memory of one record with its indexes, bytes.
+/// Memory of one record with its index entries, bytes.
 const RECORD_BYTES: f64 = 150.0;
 /// Share of the memory for answers.
 const ANSWERS_SHARE: f64 = 0.15;
 /// Share of the disk for the journal.
 const JOURNAL_SHARE: f64 = 1.0 / 3.0;
-/// Size of the journal where no size of the disk is told, megabytes.
+/// Size of the journal if the settings give no disk size, megabytes.
 const DEFAULT_JOURNAL_MB: f64 = 64.0;
+/// Size at which a segment of the journal is closed.
 const SEGMENT_BYTES: u64 = 4 << 20;
+/// Age at which a segment of the journal is closed.
 const SEGMENT_SECONDS: f64 = 10.0;
 const MEGABYTE: f64 = 1e6;
 
-/// The most of each that is held.
+/// The bounds of the voter.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bounds {
     pub(super) records: usize,
@@ -26,7 +28,7 @@
 }
 
 impl Bounds {
-    /// The shares of these limits.
+    /// Derives the bounds from the limits of the machine.
     pub(super) fn from_limits(limits: &Limits) -> Bounds {
         let memory = limits.memory_mb * MEGABYTE;
         let journal = if limits.disk_mb > 0.0 { limits.disk_mb * JOURNAL_SHARE } else { DEFAULT_JOURNAL_MB };
@@ -37,6 +39,7 @@
         }
     }
 
+    /// The bounds of the journal.
     pub(super) fn journal(&self) -> JournalBounds {
         JournalBounds {
             segment_bytes: SEGMENT_BYTES,
--- a/control-plane/src/operations/recorder.rs
+++ b/control-plane/src/operations/recorder.rs
@@ -1,13 +1,15 @@
-//! Hands the voter's entries to the journal, in order, also when it takes none for a while.
+//! Passes the voter's entries to the journal in order, and queues them while the journal accepts none.
 
 use lupinledge_operations::Entry;
 use lupinledge_storage::Journal;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
-/// With this share of the journal in use no further claims are taken; the rest is for what follows from those taken.
+/// With this share of the journal in use, no further claims are accepted; the rest is reserved for the entries that
+/// follow from accepted claims.
 const FULL_SHARE: f64 = 7.0 / 8.0;
 
+/// An entry that the journal has not accepted yet.
 struct Waiting {
     number: u64,
     entry: Vec<u8>,
@@ -15,22 +17,22 @@
     urgent: bool,
 }
 
-/// The journal, and the entries that it did not take yet.
+/// The journal, and the entries that it has not accepted yet.
 pub(super) struct Recorder {
     journal: Journal,
     full_bytes: u64,
-    /// Bounded by the voter, which without room appends only what its records and the members give rise to.
+    /// Bounded by the voter, which without room appends only entries for its existing records and for the members.
     waiting: RefCell<VecDeque<Waiting>>,
 }
 
 impl Recorder {
-    /// `bytes_most`: the bound of the journal.
+    /// A recorder for a journal that is limited to `max_bytes`.
     pub(super) fn new(journal: Journal, max_bytes: u64) -> Recorder {
         let full_bytes = (max_bytes as f64 * FULL_SHARE) as u64;
         Recorder { journal, full_bytes, waiting: RefCell::default() }
     }
 
-    /// Journals an entry; numbers rise by one.
+    /// Appends an entry; numbers increase by one.
     pub(super) fn append(&self, number: u64, entry: &Entry, keep_s: Option<f64>, urgent: bool) {
         let entry = encode(entry);
         let mut waiting = self.waiting.borrow_mut();
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Offers the journal again what it did not take.
+    /// Offers the queued entries to the journal again.
     pub(super) fn retry(&self) {
         let mut waiting = self.waiting.borrow_mut();
         while let Some(first) = waiting.front() {
@@ -50,28 +52,29 @@
         }
     }
 
-    /// Whether there are entries that the journal did not take yet.
+    /// Whether there are entries that the journal has not accepted yet.
     pub(super) fn has_backlog(&self) -> bool {
         !self.waiting.borrow().is_empty()
     }
 
-    /// Whether further claims may be taken.
+    /// Whether further claims may be accepted.
     pub(super) fn has_room(&self) -> bool {
         !self.has_backlog() && self.journal.bytes() < self.full_bytes
     }
 
-    /// What each new segment of the journal begins with.
+    /// Sets the entries that each new segment of the journal begins with.
     pub(super) fn set_head(&self, entries: &[Entry]) {
         self.journal.set_head(entries.iter().map(encode).collect());
     }
 
-    /// Bytes on disk.
+    /// Size of the journal on disk, bytes.
     pub(super) fn bytes(&self) -> u64 {
         self.journal.bytes()
     }
 }
 
-/// Writing into memory does not fail; what can't be read back makes the voter learn at the next start.
+/// Encodes an entry. Encoding into memory does not fail; an entry that can not be decoded makes the voter learn at the
+/// next start.
 fn encode(entry: &Entry) -> Vec<u8> {
     rmp_serde::to_vec(entry).unwrap_or_default()
 }
--- a/control-plane/src/operator_client.rs
+++ b/control-plane/src/operator_client.rs
@@ -1,4 +1,4 @@
-//! What operators ask members of the core for by the command line, beside configurations.
+//! The HTTP client and the table output of the operator commands.
 
 use eyre::{ensure, eyre, WrapErr};
 use serde_json::Value;
@@ -6,10 +6,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// Time to connect, and for each read.
 const TIMEOUT: Duration = Duration::from_secs(5);
+/// The rest of a longer answer is cut off.
 const MAX_ANSWER_BYTES: u64 = 16 << 20;
 
-/// Calls a control address; the answer's status and body.
+/// Sends a request to a control address; returns the status and body of the answer.
 pub fn call(at: &str, method: &str, path: &str) -> eyre::Result<(u16, String)> {
     let address = at.parse::<SocketAddr>().wrap_err("ADDRESS")?;
     let mut stream = TcpStream::connect_timeout(&address, TIMEOUT).wrap_err_with(|| at.to_string())?;
@@ -19,19 +21,19 @@
     stream.write_all(head.as_bytes())?;
     let mut text = String::new();
     stream.take(MAX_ANSWER_BYTES).read_to_string(&mut text)?;
-    let (head, body) = text.split_once("\r\n\r\n").ok_or_else(|| eyre!("{at}: no answer"))?;
+    let (head, body) = text.split_once("\r\n\r\n").ok_or_else(|| eyre!("{at}: no complete HTTP answer"))?;
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    Ok((status.ok_or_else(|| eyre!("{at}: no status"))?, body.to_string()))
+    Ok((status.ok_or_else(|| eyre!("{at}: no HTTP status"))?, body.to_string()))
 }
 
-/// The same, for an answer that is an object.
+/// Sends a GET request and parses the JSON answer.
 pub fn get_json(at: &str, path: &str) -> eyre::Result<Value> {
     let (status, body) = call(at, "GET", path)?;
     ensure!(status == 200, "{at}: {status} {body}");
     serde_json::from_str(&body).wrap_err("answer")
 }
 
-/// Rows as columns of equal width.
+/// Aligns rows in columns.
 pub fn format_table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |i: usize| rows.iter().filter_map(|row| row.get(i)).map(String::len).max().unwrap_or(0);
@@ -43,7 +45,7 @@
     rows.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// A value as it stands in a table.
+/// A JSON value as a table cell.
 pub fn format_cell(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/control-plane/src/platform.rs
+++ b/control-plane/src/platform.rs
@@ -1,5 +1,6 @@
-//! Calls to the platform. Its answers bear no id, so each reading of the list has a connection of its own: what comes too
-//! much in one is never read in the next. The connection for the next reading is opened ahead of it.
+//! The client for the platform's API. Its answers carry no id, so each read of the list has a connection of its own:
+//! surplus answers of one read can not be taken for answers of the next. The connection for the next read is opened in
+//! advance.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -13,25 +14,27 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A call that takes longer is given up, with its connection.
+/// Time limit of a call, after which it is aborted and its connection closed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest page.
 const MAX_PAGE_BYTES: usize = 4 << 20;
+/// Longest page token.
 const MAX_TOKEN_BYTES: usize = 1024;
 
-/// Why a call brought nothing.
+/// Reason for a failed read. The log shows the variant names.
 #[derive(Debug)]
 pub enum PlatformError {
     Slow,
     Unreachable,
     Status(#[allow(dead_code)] u16),
     Unreadable,
-    /// A page came again instead of the one after it.
+    /// A page links to itself.
     Repeated,
-    /// The pages never end.
+    /// There were more pages than the limit.
     Endless,
 }
 
-/// Some rows, and where the next are.
+/// A page of the list, and the token of the next page.
 #[derive(Deserialize)]
 pub struct Page {
     #[serde(rename = "instances")]
@@ -40,23 +43,25 @@
     pub next: Option<String>,
 }
 
+/// A client for the platform at one address.
 pub struct PlatformClient {
     pub address: SocketAddr,
     connection: Option<SendRequest<Empty<Bytes>>>,
 }
 
 impl PlatformClient {
+    /// A client that is not connected yet.
     pub fn new(address: SocketAddr) -> PlatformClient {
         PlatformClient { address, connection: None }
     }
 
-    /// A reading is over: the next one has a connection of its own, which is opened now.
+    /// Ends a read of the list, and opens the connection for the next one.
     pub async fn reconnect(&mut self) {
         self.connection = None;
         self.connection = timeout(CALL_TIMEOUT, self.connect()).await.ok().and_then(Result::ok);
     }
 
-    /// The page that a token stands for; the first without one.
+    /// Requests the page with this token, or the first page.
     pub async fn page(&mut self, token: Option<&str>) -> Result<Page, PlatformError> {
         let mut path = "/instances".to_string();
         if let Some(token) = token {
@@ -65,7 +70,7 @@
         }
         let reused = self.connection.is_some();
         match timeout(CALL_TIMEOUT, self.call(&path)).await.unwrap_or(Err(PlatformError::Slow)) {
-            // the kept connection may have been closed while it was idle
+            // the reused connection may have been closed while it was idle
             Err(PlatformError::Unreachable) if reused => {
                 self.connection = None;
                 timeout(CALL_TIMEOUT, self.call(&path)).await.unwrap_or(Err(PlatformError::Slow))
@@ -74,9 +79,10 @@
         }
     }
 
+    /// Requests a page over the open connection, or over a new one.
     async fn call(&mut self, path: &str) -> Result<Page, PlatformError> {
-        // taken out: whatever breaks off midway ends the connection
-        let mut connection = match self.connection.take().filter(|l| !l.is_closed()) {
+        // taken out, so that the connection is dropped if the call is aborted
+        let mut connection = match self.connection.take().filter(|connection| !connection.is_closed()) {
             Some(connection) => connection,
             None => self.connect().await?,
         };
@@ -92,22 +98,24 @@
             return Err(PlatformError::Status(status.as_u16()));
         }
         let page: Page = serde_json::from_slice(&body).map_err(|_| PlatformError::Unreadable)?;
-        let fits = page.next.as_ref().is_none_or(|t| t.len() <= MAX_TOKEN_BYTES);
+        let fits = page.next.as_ref().is_none_or(|token| token.len() <= MAX_TOKEN_BYTES);
         fits.then_some(page).ok_or(PlatformError::Unreadable)
     }
 
+    /// Opens a connection and runs it in a task of its own.
     async fn connect(&self) -> Result<SendRequest<Empty<Bytes>>, PlatformError> {
         let stream = TcpStream::connect(self.address).await.map_err(|_| PlatformError::Unreachable)?;
         let _ = stream.set_nodelay(true);
-        let (connection, conn) =
+        let (connection, io_task) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|_| PlatformError::Unreachable)?;
         tokio::task::spawn_local(async move {
-            let _ = conn.await;
+            let _ = io_task.await;
         });
         Ok(connection)
     }
 }
 
+/// Appends `text` with all but the unreserved characters percent-encoded.
 fn percent_encode(text: &str, out: &mut String) {
     for b in text.bytes() {
         if b.is_ascii_alphanumeric() || b"-._~".contains(&b) {
--- a/control-plane/src/recovery.rs
+++ b/control-plane/src/recovery.rs
@@ -1,5 +1,5 @@
-//! The way out where more was lost than is borne: what each member of the core holds, and founding the core anew from one
-//! of those that are left.
+//! Disaster recovery after a permanent loss of the majority: shows the state of each core member, and forms a new core
+//! from one of the remaining members.
 
 use crate::control_plane::ControlPlane;
 use crate::operator_client::{call, format_cell, format_table, get_json};
@@ -8,25 +8,27 @@
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
 
+/// Path for the state of a member.
 const CORE_PATH: &str = "/lupinledge/core";
-/// Where the core is founded anew.
+/// Path for forming a new core.
 pub const FOUND_PATH: &str = "/lupinledge/core/found";
+/// Columns of the `core` command.
 const COLUMNS: [&str; 9] =
     ["node", "cluster", "newest", "committed", "version", "promised", "members", "outgoing", "standing"];
 
-/// `EPOCH.INDEX`, as operators read and write it.
+/// A state as `EPOCH.INDEX`, the form that operators read and write.
 pub fn format_state(ballot: Ballot) -> String {
     format!("{}.{}", ballot.epoch, ballot.index)
 }
 
-/// The state that was named so.
+/// Parses `EPOCH.INDEX`.
 pub fn parse_state(text: &str) -> Option<Ballot> {
     let (epoch, index) = text.split_once('.')?;
     Some(Ballot { epoch: epoch.parse().ok()?, index: index.parse().ok()? })
 }
 
 impl ControlPlane {
-    /// What this member of the core holds.
+    /// The state of this core member, as JSON.
     pub fn core_status(&self) -> Value {
         let status = self.consensus.status();
         let addresses = |nodes: &[Node]| -> Vec<String> {
@@ -47,12 +49,12 @@
         })
     }
 
-    /// Founds the core anew from what this member holds; the error says why not.
+    /// Forms a new core from the state of this member; the error gives the reason if that is refused.
     ///
-    /// The electorate of operations follows by the index of the value, which rises: from then on this member alone counts,
-    /// and the incarnations of the others end, so that they learn before they count again. Keys that only others had
-    /// granted are free again. Two old members that come back together may carry claims of gateways that know only the
-    /// old electorate, until they hear of the new one.
+    /// The electorate for operation keys follows through the index of the committed value, which increases: this member
+    /// is then the only voter, and the incarnations of the other members end, so that they learn before they vote
+    /// again. Keys that only other members had granted are free again. Two old members that return together may grant
+    /// claims of gateways that have only the old electorate, until they receive the new one.
     pub fn force_new_cluster(&self, newest: Ballot) -> Result<(), String> {
         let result = self.consensus.force_new_cluster(newest);
         match result {
@@ -63,7 +65,7 @@
     }
 }
 
-/// `core ADDRESS...`: what each member holds.
+/// `core ADDRESS...`: prints the state of each member.
 pub fn core_command(addresses: &[String]) -> eyre::Result<String> {
     ensure!(!addresses.is_empty(), "core: ADDRESS missing");
     let mut rows = vec![COLUMNS.map(String::from).to_vec()];
@@ -76,23 +78,28 @@
     Ok(format_table(&rows) + "\n")
 }
 
-/// `found EPOCH.INDEX ADDRESS [ADDRESS...]`: the first of these founds the core anew from that state, which must be the
-/// newest of all that answer; the others are looked at alone.
+/// `found EPOCH.INDEX ADDRESS [ADDRESS...]`: forms a new core from that state at the first address. The state must be
+/// the newest of all members that answer; the other addresses are only queried.
 pub fn found_command(arguments: &[String]) -> eyre::Result<String> {
     let [newest, founder, others @ ..] = arguments else {
         bail!("found: EPOCH.INDEX and ADDRESS are needed")
     };
-    let addresses = parse_state(newest).ok_or_else(|| eyre!("found: `{newest}` is no EPOCH.INDEX"))?;
+    let named_state =
+        parse_state(newest).ok_or_else(|| eyre!("found: `{newest}` is not of the form EPOCH.INDEX"))?;
     let answer = get_json(founder, CORE_PATH)?;
     let state = |answer: &Value| answer["newest"].as_str().and_then(parse_state).unwrap_or_default();
-    ensure!(state(&answer) == addresses, "{founder}: its newest state is {}", format_cell(&answer["newest"]));
+    ensure!(
+        state(&answer) == named_state,
+        "{founder}: its newest state is {}",
+        format_cell(&answer["newest"])
+    );
     let answering: Vec<Value> = others.iter().filter_map(|at| get_json(at, CORE_PATH).ok()).collect();
     let mut voters = vec![answer["node"].clone()];
     for other in answering.iter().filter(|other| other["standing"] != "learns") {
-        let newer = state(other) > addresses;
+        let newer = state(other) > named_state;
         ensure!(
             !newer,
-            "{} holds a newer state, {}",
+            "{} has a newer state, {}",
             format_cell(&other["node"]),
             format_cell(&other["newest"])
         );
@@ -108,5 +115,5 @@
     let (status, body) = call(founder, "POST", &format!("{FOUND_PATH}?newest={newest}"))?;
     ensure!(status == 200, "{founder}: {status} {body}");
     let at = founder.parse::<SocketAddr>().wrap_err("ADDRESS")?;
-    Ok(format!("founded anew from {newest} at {at}\n"))
+    Ok(format!("formed a new core from {newest} at {at}\n"))
 }
--- a/control-plane/src/refusals.rs
+++ b/control-plane/src/refusals.rs
@@ -1,26 +1,27 @@
-//! Orders of the operator that were refused: for each a line in the log with the reason, and their number. Who asked may
-//! keep no record of the answer, and without a first configuration no gateway serves.
+//! Refused orders of the operator: logged with the reason, and counted. The caller may keep no record of the answer,
+//! and without a first configuration no gateway serves.
 
 use lupinledge_config::Kind;
 use std::cell::Cell;
 
-/// Characters of a reason that are written at most: it quotes what was sent.
+/// Longest reason in the log, in characters; a reason quotes parts of the request.
 const REASON_CHARACTERS: usize = 300;
-/// Lines a second: a refused order may be sent again and again.
+/// Most log lines per second, as a refused order may be repeated.
 const LINES_PER_SECOND: u32 = 4;
 
-/// See the module.
+/// Counts and logs refused orders, see the module.
 #[derive(Default)]
 pub struct Refusals {
     count: Cell<u64>,
-    /// The current second, and the lines in it.
+    /// The current second, and the number of lines in it.
     lines: Cell<(u64, u32)>,
+    /// Refusals since the last line that were counted but not logged.
     suppressed: Cell<u64>,
 }
 
 impl Refusals {
-    /// Counts a refusal, and writes a line for it unless enough were written this second. `in_force` is the version
-    /// of the configuration that goes on, 0 for none.
+    /// Counts a refusal, and logs it unless the limit of lines for this second is reached. `in_force` is the version
+    /// of the configuration that stays in force, 0 for none.
     pub fn record(&self, now_s: u64, order: &str, kind: Kind, reason: &str, in_force: u64) {
         self.count.set(self.count.get() + 1);
         if !self.may_log(now_s) {
@@ -32,11 +33,12 @@
         tracing::warn!(event = "refused", order, kind = kind.name(), text, in_force, untold);
     }
 
-    /// Orders that were refused since the start of the process.
+    /// Refused orders since the start of the process.
     pub fn count(&self) -> u64 {
         self.count.get()
     }
 
+    /// Counts a line in this second; returns whether it is within the limit.
     fn may_log(&self, now_s: u64) -> bool {
         let (second, lines) = self.lines.get();
         let lines = if second == now_s { lines } else { 0 };
@@ -45,7 +47,7 @@
     }
 }
 
-/// The text, cut off behind [`REASON_CHARACTERS`].
+/// The text, truncated after [`REASON_CHARACTERS`].
 fn truncated(text: &str) -> String {
     match text.char_indices().nth(REASON_CHARACTERS) {
         Some((end, _)) => format!("{}...", &text[..end]),
--- a/control-plane/src/refusals/tests.rs
+++ b/control-plane/src/refusals/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_reason_is_cut_between_characters() {
+fn a_reason_is_truncated_between_characters() {
     assert_eq!(truncated("short"), "short");
     let exact = "é".repeat(REASON_CHARACTERS);
     assert_eq!(truncated(&exact), exact);
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn all_are_counted_and_a_few_a_second_are_told() {
+fn all_refusals_are_counted_and_a_few_per_second_logged() {
     let refusals = Refusals::default();
     let record = |second| refusals.record(second, "configuration", Kind::Invalid, "version", 0);
     (0..10).for_each(|_| record(1));
--- a/control-plane/src/server_list.rs
+++ b/control-plane/src/server_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of servers: asked for by the duty holder alone.
+//! The list of servers, which only the leader reads from the platform.
 
 use crate::consensus_driver::ConsensusDriver;
 use crate::platform::{PlatformClient, PlatformError};
@@ -11,38 +11,49 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, Instant};
 
-/// From one reading of the list to the next, longer for one of many pages.
+/// Time between the starts of two reads of the list, seconds; longer for a list of many pages.
 const READ_INTERVAL_S: f64 = 0.7;
+/// Added to [`READ_INTERVAL_S`] for each page after the first, seconds.
 const INTERVAL_PER_PAGE_S: f64 = 0.05;
+/// Upper bound on the interval, seconds.
 const MAX_READ_INTERVAL_S: f64 = 1.2;
+/// Most servers of a list.
 const MAX_ROWS: usize = 20_000;
+/// Most pages of a list.
 const MAX_PAGES: usize = 1_000;
+/// Longest text field of a row.
 const MAX_TEXT_BYTES: usize = 200;
+/// Most slots of a server.
 const MAX_SLOTS: f64 = 100_000.0;
+/// Longest warm-up, seconds; longer ones are reduced to this.
 const MAX_WARMUP_S: f64 = 86_400.0;
-/// A warm-up that is this much longer than it should be by now has begun anew.
+/// A warm-up with this many more seconds left than expected has started again.
 const WARMUP_RESTART_S: f32 = 0.5;
+/// Time until the first retry of a failed read, seconds; doubled for each further one.
 const MIN_RETRY_S: f64 = 0.1;
+/// Upper bound on the time until a retry, seconds.
 const MAX_RETRY_S: f64 = 1.6;
-/// Calls that follow on each other are so far apart.
+/// Time before a requested read that follows on another one.
 const MIN_REREAD_GAP: Duration = Duration::from_millis(60);
 
-/// The newest list, and the loop that reads it.
+/// The newest list, and the loop that reads it while this process leads.
 pub struct ServerListPoller {
     consensus: Rc<ConsensusDriver>,
     list: RefCell<Rc<ServerList>>,
-    /// When the warm-ups of the list were as they say.
+    /// The time at which the remaining warm-ups of the list were valid.
     read_at: Cell<Instant>,
-    /// Told when there is a newer list.
+    /// Notified when there is a newer list.
     pub updated: Notify,
-    /// Read at once.
+    /// Notified to read the list at once.
     read_request: Notify,
-    /// Where the platform is, and how many calls a second it takes.
+    /// Address of the platform, and its limit of calls per second.
     platform: Cell<(SocketAddr, f64)>,
+    /// Rows of the platform that could not be parsed or were over the limit.
     pub unreadable_rows: Cell<u64>,
 }
 
 impl ServerListPoller {
+    /// Starts the read loop.
     pub fn start(
         consensus: Rc<ConsensusDriver>,
         address: SocketAddr,
@@ -61,17 +72,17 @@
         poller
     }
 
-    /// The newest list that is known here.
+    /// The newest list on this process.
     pub fn list(&self) -> Rc<ServerList> {
         self.list.borrow().clone()
     }
 
-    /// Servers may have changed: read at once.
+    /// Requests a read at once, as the servers may have changed.
     pub fn read_now(&self) {
         self.read_request.notify_one();
     }
 
-    /// Takes a list that another one read, if it is newer.
+    /// Takes over a list that another process has read, if it is newer.
     pub fn receive(&self, list: ServerList) {
         if list.number > self.list.borrow().number && list.rows.len() <= MAX_ROWS {
             *self.list.borrow_mut() = Rc::new(list);
@@ -80,13 +91,14 @@
         }
     }
 
-    /// The platform is there from here on, and takes so many calls a second.
+    /// Sets the address of the platform and its limit of calls per second.
     pub fn set_platform(&self, address: SocketAddr, rate_per_s: f64) {
         if self.platform.replace((address, rate_per_s)).0 != address {
             self.read_request.notify_one();
         }
     }
 
+    /// Reads the list in a loop, while this process leads.
     async fn run(self: Rc<ServerListPoller>, mut platform: PlatformClient) {
         let (mut retry_s, mut readable) = (MIN_RETRY_S, true);
         loop {
@@ -98,7 +110,7 @@
             if platform.address != address {
                 platform = PlatformClient::new(address);
             }
-            // half of what is allowed: a former holder may still be at it
+            // half of the permitted rate, as a former leader may still be reading
             let seconds_per_page = 2.0 / rate_per_s.max(0.1);
             let started = Instant::now();
             let read = self.read(&mut platform, seconds_per_page).await;
@@ -131,7 +143,7 @@
         }
     }
 
-    /// The whole list, page by page, and how many pages it had.
+    /// Reads the whole list page by page; also returns the number of pages.
     async fn read(
         &self,
         platform: &mut PlatformClient,
@@ -158,14 +170,14 @@
         Err(PlatformError::Endless)
     }
 
-    /// Makes what was read the newest list, if it tells anything new.
+    /// Makes the rows the newest list, if they differ from the current one.
     fn publish(&self, rows: Vec<ListedServer>, started: Instant) {
         let Some(epoch) = self.consensus.leading_epoch() else { return };
         let current = self.list();
         let elapsed_s = started.saturating_duration_since(self.read_at.get()).as_secs_f32();
         let unchanged = current.rows.len() == rows.len()
             && current.rows.iter().zip(&rows).all(|(listed, row)| is_same_server(listed, row, elapsed_s));
-        // a platform that forgot everything is in trouble itself
+        // an empty list after a non-empty one is taken for a fault of the platform
         if unchanged || (rows.is_empty() && !current.rows.is_empty()) {
             return;
         }
@@ -180,20 +192,21 @@
     }
 }
 
+/// Whether a row equals the listed server, apart from `elapsed_s` seconds of warm-up that have passed.
 fn is_same_server(current: &ListedServer, read: &ListedServer, elapsed_s: f32) -> bool {
     let expected_left_s = (current.warmup_left_s - elapsed_s).max(0.0);
     read.warmup_left_s <= expected_left_s + WARMUP_RESTART_S
         && ListedServer { warmup_left_s: current.warmup_left_s, ..read.clone() } == *current
 }
 
-/// A row as the platform tells it; what it lacks makes it unreadable, not the page.
+/// Parses a row of the platform; `None` if a field is missing or invalid, which rejects this row only.
 fn parse_row(row: serde_json::Value) -> Option<ListedServer> {
     let text = |name: &str| {
         let text = row.get(name)?.as_str()?;
         (!text.is_empty() && text.len() <= MAX_TEXT_BYTES).then(|| text.to_string())
     };
     let number = |name: &str| row.get(name).and_then(serde_json::Value::as_f64).filter(|n| *n >= 0.0);
-    // it goes into a header
+    // the id is sent in a header
     let id = text("id").filter(|id| id.bytes().all(|b| b.is_ascii_graphic()))?;
     Some(ListedServer {
         id,
--- a/control-plane/src/server_list/tests.rs
+++ b/control-plane/src/server_list/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn rows_are_read_or_skipped() {
+fn rows_are_parsed_or_skipped() {
     let row = parsed(|_| ()).unwrap();
     assert_eq!((row.slots, row.draining, row.warmup_left_s), (3, false, 0.0));
     assert!(parsed(|r| r["state"] = "draining".into()).unwrap().draining);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_warm_up_that_goes_by_is_no_news_and_a_new_one_is() {
+fn only_a_restarted_warm_up_changes_a_server() {
     let listed = parsed(|r| r["warmup_left_s"] = 3.0.into()).unwrap();
     let later = |left: f32| ListedServer { warmup_left_s: left, ..listed.clone() };
     assert!(is_same_server(&listed, &later(2.3), 0.7));
