--- a/control-plane/src/consensus_driver.rs
+++ b/control-plane/src/consensus_driver.rs
@@ -38,9 +38,9 @@
                 edge_bytes: Rc::from(body),
             });
         }
-        let (document, taken) = rmp_serde::from_slice::<Document>(body)?.split();
+        let (document, accepted) = rmp_serde::from_slice::<Document>(body)?.split_accepted();
         let edge_bytes = Rc::from(rmp_serde::to_vec(&document)?);
-        Ok(CommittedDocument { ballot, document: Document { taken, ..document }, edge_bytes })
+        Ok(CommittedDocument { ballot, document: Document { accepted, ..document }, edge_bytes })
     }
 }
 
--- a/control-plane/src/control_plane.rs
+++ b/control-plane/src/control_plane.rs
@@ -10,9 +10,9 @@
 use crate::refusals::Refusals;
 use crate::server_list::ServerListPoller;
 use eyre::{eyre, WrapErr};
+use lupinledge_config::change_queue::{CallerId, ChangeQueue};
 use lupinledge_config::settings::CloudApi;
-use lupinledge_config::turns::{Caller, Turns};
-use lupinledge_config::{Document, Homes, Print, Settings, Tables};
+use lupinledge_config::{Document, Fingerprints, HomeRegions, Settings, Tables};
 use lupinledge_consensus::{Ballot, Node};
 use lupinledge_gossip::{metrics, seeds_of, Gossip, Host, Source, Update};
 use lupinledge_membership::{Card, Member, Standing};
@@ -48,15 +48,15 @@
     pub acknowledged_version: Cell<u64>,
     pub refusals: Refusals,
     /// Index and fingerprints of the newest document here.
-    fingerprints: Cell<(u64, Print)>,
+    fingerprints: Cell<(u64, Fingerprints)>,
     /// Changes that wait or run, and the callers that wait for them.
-    pub change_queue: RefCell<Turns<Command>>,
+    pub change_queue: RefCell<ChangeQueue<Command>>,
     /// Reply channels of the waiting callers.
-    pub waiting_callers: RefCell<BTreeMap<Caller, oneshot::Sender<Reply>>>,
+    pub waiting_callers: RefCell<BTreeMap<CallerId, oneshot::Sender<Reply>>>,
     gossip: Rc<Gossip>,
     directory: Directory,
     /// The home regions of hosts, and the ballot of the document that they are from.
-    host_homes: RefCell<(Option<Ballot>, Homes)>,
+    host_homes: RefCell<(Option<Ballot>, HomeRegions)>,
     counters: Rc<CounterService>,
     operations: Rc<Operations>,
     _lock: FolderLock,
@@ -70,7 +70,7 @@
 impl ControlPlane {
     /// Loads the stored state and starts all components.
     pub async fn start(settings: Settings) -> eyre::Result<Rc<ControlPlane>> {
-        let clock = Rc::new(Clock::start(settings.node()));
+        let clock = Rc::new(Clock::start(settings.node_id()));
         let folder = settings
             .data_dir
             .clone()
@@ -183,8 +183,8 @@
         let zones = self.settings.borrow().zones.clone();
         let tables = decode::<Document>(&bytes).ok().and_then(|d| Tables::new(&d, &zones).ok());
         if let Some(tables) = tables {
-            self.fingerprints.set((index, tables.print()));
-            self.gossip.set_fingerprint(index, tables.print().folded());
+            self.fingerprints.set((index, tables.fingerprints()));
+            self.gossip.set_fingerprint(index, tables.fingerprints().combined());
         }
     }
 
@@ -302,11 +302,11 @@
             .filter(|committed| self.host_homes.borrow().0 != Some(committed.ballot))
         {
             *self.host_homes.borrow_mut() =
-                (Some(committed_document.ballot), Homes::new(&committed_document.document));
+                (Some(committed_document.ballot), HomeRegions::new(&committed_document.document));
         }
         let host_homes = self.host_homes.borrow();
         self.gossip.with_membership(|membership| {
-            self.directory.gateway_addresses(membership.members(), region, host_homes.1.of(host))
+            self.directory.gateway_addresses(membership.members(), region, host_homes.1.for_host(host))
         })
     }
 
--- a/control-plane/src/counter_service.rs
+++ b/control-plane/src/counter_service.rs
@@ -169,8 +169,8 @@
         {
             self.rates_ballot.set(Some(committed_document.ballot));
             if let Ok(tables) = Tables::new(&committed_document.document, &self.zones) {
-                let quota = |t: &Tenant| Quota { rate: t.rate, size: t.store_size() };
-                tables.tenants().iter().for_each(|t| counters.set_quota(t.customer, quota(t)));
+                let quota = |t: &Tenant| Quota { rate: t.rate, size: t.bucket_capacity() };
+                tables.tenants().iter().for_each(|t| counters.set_quota(t.id, quota(t)));
             }
         }
     }
--- a/control-plane/src/executor.rs
+++ b/control-plane/src/executor.rs
@@ -1,10 +1,10 @@
-//! Executes commands on the leader: one change at a time, each committed or rejected before the next is evaluated.
+//! Executes commands on the leader: one change at a time, each committed or rejected before the next is decision.
 
 use crate::command::{Command, Reply};
 use crate::consensus_driver::CommittedDocument;
 use crate::control_plane::ControlPlane;
-use lupinledge_config::turns::Caller;
-use lupinledge_config::{Answer, Document, Judged, Kind};
+use lupinledge_config::change_queue::CallerId;
+use lupinledge_config::{Answer, Decision, Document, ErrorKind};
 use lupinledge_consensus::Outcome;
 use lupinledge_invariants::{check, Invariant};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -24,11 +24,11 @@
 const LEADER_LOOKUP_PAUSE: Duration = Duration::from_millis(50);
 
 /// Frees the place of a waiting caller when dropped, however the wait ends.
-struct CallerGuard(Rc<ControlPlane>, Caller);
+struct CallerGuard(Rc<ControlPlane>, CallerId);
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        self.0.change_queue.borrow_mut().gone(self.1);
+        self.0.change_queue.borrow_mut().remove_caller(self.1);
         self.0.waiting_callers.borrow_mut().remove(&self.1);
     }
 }
@@ -47,7 +47,7 @@
     }
 
     /// Records an order that was refused permanently; temporary refusals (status 5xx) are not recorded.
-    pub fn record_refusal(&self, order: &str, kind: Kind, text: &str) {
+    pub fn record_refusal(&self, order: &str, kind: ErrorKind, text: &str) {
         if kind.status() < 500 {
             let in_force = self
                 .consensus
@@ -67,16 +67,19 @@
         }
         if command == Command::GetConfig {
             return match self.evaluate(&command) {
-                Ok((committed_document, epoch, Judged::Said(answer))) => {
+                Ok((committed_document, epoch, Decision::ReplyIfNewest(answer))) => {
                     self.confirm_answer(&command, committed_document, epoch, answer).await
                 }
                 Ok(_) => Reply::Unavailable,
                 Err(redirect) => redirect,
             };
         }
-        let arrived = self.change_queue.borrow_mut().arrive(command.clone(), command.body());
+        let arrived = self.change_queue.borrow_mut().enqueue(command.clone(), command.body());
         let Some(caller) = arrived else {
-            return Reply::Refused { kind: Kind::Overloaded, text: "too many changes are waiting".into() };
+            return Reply::Refused {
+                kind: ErrorKind::Overloaded,
+                text: "too many changes are waiting".into(),
+            };
         };
         let _guard = CallerGuard(self.clone(), caller);
         let (done, reply) = oneshot::channel();
@@ -88,13 +91,13 @@
     /// Starts working through the waiting changes, unless that is in progress. Continues even if the callers are gone,
     /// as a change must not be left half done.
     fn run_queue(self: &Rc<ControlPlane>) {
-        let Some(command) = self.change_queue.borrow_mut().begin() else { return };
+        let Some(command) = self.change_queue.borrow_mut().start_next() else { return };
         let control_plane = self.clone();
         tokio::task::spawn_local(async move {
             let mut next = Some(command);
             while let Some(command) = next {
                 control_plane.apply(command).await;
-                next = control_plane.change_queue.borrow_mut().begin();
+                next = control_plane.change_queue.borrow_mut().start_next();
             }
         });
     }
@@ -104,10 +107,11 @@
     async fn apply(self: &Rc<ControlPlane>, command: Command) {
         let reply = match self.evaluate(&command) {
             Err(redirect) => redirect,
-            Ok((_, _, Judged::Now(answer))) => answer.into(),
-            Ok((_, _, Judged::Take(document))) => self.propose_document(&command, document).await,
-            Ok((committed_document, epoch, Judged::Said(answer))) => {
-                let (control_plane, waiting_callers) = (self.clone(), self.change_queue.borrow_mut().end());
+            Ok((_, _, Decision::Reply(answer))) => answer.into(),
+            Ok((_, _, Decision::Propose(document))) => self.propose_document(&command, document).await,
+            Ok((committed_document, epoch, Decision::ReplyIfNewest(answer))) => {
+                let (control_plane, waiting_callers) =
+                    (self.clone(), self.change_queue.borrow_mut().finish());
                 if !waiting_callers.is_empty() {
                     tokio::task::spawn_local(async move {
                         let reply =
@@ -118,12 +122,12 @@
                 return;
             }
         };
-        let waiting_callers = self.change_queue.borrow_mut().end();
+        let waiting_callers = self.change_queue.borrow_mut().finish();
         self.send_replies(waiting_callers, reply);
     }
 
     /// Sends a reply to the callers that still wait.
-    fn send_replies(&self, waiting_callers: Vec<Caller>, reply: Reply) {
+    fn send_replies(&self, waiting_callers: Vec<CallerId>, reply: Reply) {
         for caller in waiting_callers {
             let done = self.waiting_callers.borrow_mut().remove(&caller);
             done.into_iter().for_each(|done| drop(done.send(reply.clone())));
@@ -155,18 +159,18 @@
 
     /// Evaluates a command against the committed document here; also returns that document and the epoch. The error is
     /// the reply if this process does not lead.
-    fn evaluate(&self, command: &Command) -> Result<(Rc<CommittedDocument>, u64, Judged), Reply> {
+    fn evaluate(&self, command: &Command) -> Result<(Rc<CommittedDocument>, u64, Decision), Reply> {
         let (Some(epoch), Some(committed_document)) =
             (self.consensus.leading_epoch(), self.consensus.committed_document())
         else {
             return Err(self.redirect().unwrap_or(Reply::Unavailable));
         };
-        let evaluated = self.evaluate_on(&committed_document, command);
-        Ok((committed_document, epoch, evaluated))
+        let decision = self.evaluate_on(&committed_document, command);
+        Ok((committed_document, epoch, decision))
     }
 
-    fn evaluate_on(&self, committed_document: &CommittedDocument, command: &Command) -> Judged {
-        committed_document.document.judge(command.order(), |zone| self.settings.borrow().has_zone(zone))
+    fn evaluate_on(&self, committed_document: &CommittedDocument, command: &Command) -> Decision {
+        committed_document.document.decide(command.order(), |zone| self.settings.borrow().has_zone(zone))
     }
 
     /// Returns an answer once a majority has confirmed that it is not outdated.
@@ -192,8 +196,8 @@
             Some(current) if current.ballot == committed_document.ballot => answer.into(),
             // the document that is committed by now includes all changes acknowledged before
             Some(current) => match self.evaluate_on(&current, command) {
-                Judged::Said(answer) => answer.into(),
-                Judged::Now(_) | Judged::Take(_) => Reply::Unavailable,
+                Decision::ReplyIfNewest(answer) => answer.into(),
+                Decision::Reply(_) | Decision::Propose(_) => Reply::Unavailable,
             },
             None => self.redirect().unwrap_or(Reply::Unavailable),
         }
--- a/control-plane/src/http_server.rs
+++ b/control-plane/src/http_server.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
 use lupinledge_config::settings::Listen;
-use lupinledge_config::Kind;
+use lupinledge_config::ErrorKind;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -196,12 +196,12 @@
                 }
             },
             Route::MethodNotAllowed(allow) => {
-                let mut response = refusal(Kind::NoSuchMethod, "method not allowed for this path");
+                let mut response = refusal(ErrorKind::NoSuchMethod, "method not allowed for this path");
                 response.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
                 return response;
             }
-            Route::Malformed(field) => return refusal(Kind::Malformed, field),
-            Route::NotFound => return refusal(Kind::NoSuchPath, "no such path"),
+            Route::Malformed(field) => return refusal(ErrorKind::Malformed, field),
+            Route::NotFound => return refusal(ErrorKind::NoSuchPath, "no such path"),
         };
         reply_response(self.control_plane.clone().execute(command).await, path)
     }
@@ -210,8 +210,8 @@
     async fn read_body(&self, body: Incoming) -> Result<Bytes, HttpResponse> {
         let too_large = || {
             let text = "body: larger than 16 MB";
-            self.control_plane.record_refusal("configuration", Kind::TooLarge, text);
-            refusal(Kind::TooLarge, text)
+            self.control_plane.record_refusal("configuration", ErrorKind::TooLarge, text);
+            refusal(ErrorKind::TooLarge, text)
         };
         if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
             return Err(too_large());
@@ -220,7 +220,7 @@
         match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
-            Ok(Err(_)) => Err(refusal(Kind::Malformed, "body: incomplete")),
+            Ok(Err(_)) => Err(refusal(ErrorKind::Malformed, "body: incomplete")),
             Err(_) => Err(error_response(StatusCode::REQUEST_TIMEOUT, "late", "body: not received in time")),
         }
     }
@@ -229,11 +229,11 @@
     fn force_new_cluster(&self, query: &str) -> HttpResponse {
         let newest = query_value(query, "newest").flatten();
         let Some(newest) = newest.as_deref().and_then(parse_state) else {
-            return refusal(Kind::Malformed, "newest");
+            return refusal(ErrorKind::Malformed, "newest");
         };
         match self.control_plane.force_new_cluster(newest) {
             Ok(()) => reply_response(Reply::Done, FOUND_PATH),
-            Err(error) => refusal(Kind::Stale, &error),
+            Err(error) => refusal(ErrorKind::Stale, &error),
         }
     }
 
@@ -242,7 +242,7 @@
         let (Some(region), Some(_), Some(name)) =
             (query_value(query, "region"), query_value(query, "zone"), query_value(query, "name"))
         else {
-            return refusal(Kind::Malformed, "query");
+            return refusal(ErrorKind::Malformed, "query");
         };
         let gateway_addresses =
             self.control_plane.gateway_addresses(&region.unwrap_or_default(), &name.unwrap_or_default());
@@ -337,7 +337,7 @@
 }
 
 /// An error response with the status of its kind.
-fn refusal(kind: Kind, text: &str) -> HttpResponse {
+fn refusal(kind: ErrorKind, text: &str) -> HttpResponse {
     let status = StatusCode::from_u16(kind.status()).unwrap_or(StatusCode::BAD_REQUEST);
     let mut response = error_response(status, kind.name(), text);
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -348,5 +348,5 @@
 
 /// The response if this process has no answer at the moment; the caller should retry.
 fn unavailable() -> HttpResponse {
-    refusal(Kind::Unsettled, "the outcome is not known here at the moment")
+    refusal(ErrorKind::Unsettled, "the outcome is not known here at the moment")
 }
--- a/control-plane/src/nodes.rs
+++ b/control-plane/src/nodes.rs
@@ -2,7 +2,7 @@
 
 use crate::operator_client::{self, format_cell};
 use eyre::bail;
-use lupinledge_config::{comparable, Part, Print};
+use lupinledge_config::{comparable, Fingerprints, Part};
 use lupinledge_drift_detection::verdict::Detector;
 use lupinledge_membership::{Digest, Member, Standing};
 use serde_json::{json, Map, Value};
@@ -21,7 +21,7 @@
 /// The JSON row of one process: its state, the document it has, and whether its rules match.
 ///
 /// `own` and `expected` are the digest and the fingerprints of the newest document here.
-pub fn node_row(now: f64, member: &Member, own: Digest, expected: Print) -> Value {
+pub fn node_row(now: f64, member: &Member, own: Digest, expected: Fingerprints) -> Value {
     let (index, fingerprint) = (member.digest.state.1, member.digest.fingerprint);
     let rules = match member.card.drift {
         Some(_) => "out",
--- a/control-plane/src/nodes/tests.rs
+++ b/control-plane/src/nodes/tests.rs
@@ -5,8 +5,8 @@
 /// fingerprint, and one that is out of service with the part that differs.
 #[test]
 fn rows_show_how_the_rules_of_a_node_compare() {
-    let expected = Print { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
-    let own = Digest { state: (3, 7), fingerprint: expected.folded(), ..Digest::default() };
+    let expected = Fingerprints { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
+    let own = Digest { state: (3, 7), fingerprint: expected.combined(), ..Digest::default() };
     let member = |node, index, fingerprint, drift: Option<DriftReport>| {
         let (region, zone, ready) = ("r".to_string(), "z".to_string(), drift.is_none());
         let (drift, load) = (drift.map(Box::new), 0);
--- a/control-plane/src/refusals.rs
+++ b/control-plane/src/refusals.rs
@@ -1,7 +1,7 @@
 //! Refused orders of the operator: logged with the reason, and counted. The caller may keep no record of the answer,
 //! and without a first configuration no gateway serves.
 
-use lupinledge_config::Kind;
+use lupinledge_config::ErrorKind;
 use std::cell::Cell;
 
 /// Longest reason in the log, in characters; a reason quotes parts of the request.
@@ -22,7 +22,7 @@
 impl Refusals {
     /// Counts a refusal, and logs it unless the limit of lines for this second is reached. `in_force` is the version
     /// of the configuration that stays in force, 0 for none.
-    pub fn record(&self, now_s: u64, order: &str, kind: Kind, reason: &str, in_force: u64) {
+    pub fn record(&self, now_s: u64, order: &str, kind: ErrorKind, reason: &str, in_force: u64) {
         self.count.set(self.count.get() + 1);
         if !self.may_log(now_s) {
             self.suppressed.set(self.suppressed.get() + 1);
--- a/control-plane/src/refusals/tests.rs
+++ b/control-plane/src/refusals/tests.rs
@@ -11,7 +11,7 @@
 #[test]
 fn all_refusals_are_counted_and_a_few_per_second_logged() {
     let refusals = Refusals::default();
-    let record = |second| refusals.record(second, "configuration", Kind::Invalid, "version", 0);
+    let record = |second| refusals.record(second, "configuration", ErrorKind::Invalid, "version", 0);
     (0..10).for_each(|_| record(1));
     assert_eq!((refusals.count(), refusals.suppressed.get()), (10, 6));
     record(2);
--- a/data-plane/src/pools.rs
+++ b/data-plane/src/pools.rs
@@ -12,10 +12,10 @@
 use lupinledge_messaging::list::{ListedServer, ServerList};
 use lupinledge_proxy::clock::Clock;
 use lupinledge_proxy::counters::Counters;
-use lupinledge_proxy::exchange::{Entry, Exchange};
-use lupinledge_proxy::srvs::{SrvBounds, Srvs};
-use lupinledge_proxy::transport::body::Memory;
-use lupinledge_proxy::transport::descriptors::Share;
+use lupinledge_proxy::exchange::{Exchange, ServerListEntry};
+use lupinledge_proxy::servers::{ServerConnections, ServerLimits};
+use lupinledge_proxy::transport::body::MemoryBudget;
+use lupinledge_proxy::transport::descriptors::DescriptorPool;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -67,9 +67,9 @@
     pub clock: Clock,
     pub counters: Rc<Counters>,
     ledger: Rc<Ledger>,
-    places: Rc<Share>,
+    places: Rc<DescriptorPool>,
     /// For the answers of servers, over all pools.
-    answers: Arc<Memory>,
+    answers: Arc<MemoryBudget>,
     wanted: RefCell<Wanted>,
     /// Nothing is sent; clients that come are to come back after so many seconds.
     shut: Cell<Option<f64>>,
@@ -82,11 +82,11 @@
         settings: Rc<Settings>,
         clock: Clock,
         ledger: Rc<Ledger>,
-        places: Rc<Share>,
+        places: Rc<DescriptorPool>,
         seed: u64,
     ) -> Rc<Pools> {
         let world = World::new(&settings, seed);
-        let answers = Memory::of((settings.limits.memory_mb * 1e6 * ANSWERS) as usize);
+        let answers = MemoryBudget::new((settings.limits.memory_mb * 1e6 * ANSWERS) as usize);
         let (counters, wanted) = (Rc::default(), RefCell::new(Wanted { gateways: 1, ..Wanted::default() }));
         let settings = RefCell::new(settings);
         Rc::new(Pools {
@@ -132,10 +132,10 @@
     /// The zones whose servers may have the request, a bit each; all where it has no homes. Evacuations are the
     /// list's.
     pub fn zones(&self, tables: &Tables, route: &Route, tenant: Option<&Tenant>) -> u64 {
-        if route.homes.is_empty() && tenant.is_none_or(|t| t.homes.is_empty()) {
+        if route.home_regions.is_empty() && tenant.is_none_or(|t| t.home_regions.is_empty()) {
             return u64::MAX;
         }
-        let may = |z: &String| tables.at_home(route, tenant, z);
+        let may = |z: &String| tables.is_allowed_in(route, tenant, z);
         let zones = self.world.zones.iter().take(63).enumerate();
         zones.filter(|(_, z)| may(z)).fold(0, |bits, (i, _)| bits | 1 << i)
     }
@@ -162,7 +162,7 @@
         }
         let w = self.wanted.borrow();
         let open = w.pools.values().chain(&w.retired).filter(|_| hint.is_some());
-        open.for_each(|p| p.exchange.turn_away(Span::from_secs(hint.unwrap_or_default())));
+        open.for_each(|p| p.exchange.deny_waiting(Span::from_secs(hint.unwrap_or_default())));
     }
 
     /// A route or tenant whose rules in a pool are not those of the tables; one pool a call.
@@ -175,7 +175,7 @@
 
     /// A fault of tests, see [`Tables::drift`].
     pub fn drift(&self, how: &str) {
-        Rc::make_mut(&mut self.wanted.borrow_mut().tables).drift(how);
+        Rc::make_mut(&mut self.wanted.borrow_mut().tables).corrupt(how);
     }
 
     /// Figures of requests, servers and rules.
@@ -215,7 +215,7 @@
     pub fn follow(&self, tables: Rc<Tables>) {
         {
             let w = &mut *self.wanted.borrow_mut();
-            let back = |z: &&String| w.tables.evacuated(z) && !tables.evacuated(z);
+            let back = |z: &&String| w.tables.is_evacuated(z) && !tables.is_evacuated(z);
             let back: Vec<String> = self.world.zones.iter().filter(back).cloned().collect();
             let longest = tables.services().iter().map(|s| s.warmup_s).fold(0.0, f64::max);
             let until = self.clock.now().later(longest + UNSURE);
@@ -295,7 +295,7 @@
         for (nth, s) in w.tables.services().iter().enumerate() {
             let terms = terms(&self.settings.borrow(), &self.world, (nth, s), w.gateways, &w.lines);
             match w.pools.get(&s.name) {
-                Some(p) => p.exchange.change(terms),
+                Some(p) => p.exchange.set_terms(terms),
                 None => drop(w.pools.insert(s.name.clone(), self.open(terms))),
             }
         }
@@ -303,20 +303,20 @@
 
     fn open(&self, terms: lupinledge::interface::Terms) -> Pool {
         let exchange: Rc<Exchange<Trail>> = Exchange::new(terms, self.clock, self.counters.clone());
-        let bounds = SrvBounds {
-            connect_wait: Duration::from_millis(400),
-            idle_most: Duration::from_secs(8),
-            keep_alive: true,
-            rest: Duration::from_millis(3),
-            whole_within: Duration::from_millis(1500),
-            largest_body: 4 << 20,
-            largest_heads: 32 << 10,
-            unacked: Some(Duration::from_millis(1500)),
+        let bounds = ServerLimits {
+            connect_timeout: Duration::from_millis(400),
+            max_idle: Duration::from_secs(8),
+            honor_keep_alive: true,
+            min_idle_before_reuse: Duration::from_millis(3),
+            response_timeout: Duration::from_millis(1500),
+            max_body_bytes: 4 << 20,
+            max_head_bytes: 32 << 10,
+            tcp_user_timeout: Some(Duration::from_millis(1500)),
         };
-        let srvs = Srvs::new(&exchange, Trail, bounds, self.places.clone());
-        srvs.bound_memory(self.answers.clone());
+        let srvs = ServerConnections::new(&exchange, Trail, bounds, self.places.clone());
+        srvs.set_memory_budget(self.answers.clone());
         exchange.attach(srvs, Some(self.ledger.account(Rc::downgrade(&exchange))));
-        let drive = tokio::task::spawn_local(exchange.clone().drive()).abort_handle();
+        let drive = tokio::task::spawn_local(exchange.clone().run()).abort_handle();
         Pool { exchange, drive }
     }
 
@@ -329,17 +329,17 @@
                 let zone = self.world.index(&r.zone)?;
                 let shut = self.shut.get().is_some()
                     || r.draining
-                    || w.tables.evacuated(&r.zone)
+                    || w.tables.is_evacuated(&r.zone)
                     || w.unsure.contains_key(&r.zone);
                 let state = if shut { ServerState::Draining } else { ServerState::Ready };
                 // one met warm has been so for ever
                 let started_at = Some(w.born.get(&r.id).copied().unwrap_or(Timestamp::from_secs(0.0)));
-                let row =
+                let server_entry =
                     ServerEntry { server: 0, zone, cell: 0, state, weight: f64::from(r.slots), started_at };
-                Some(Entry { name: r.id.clone(), addr: r.address, row })
+                Some(ServerListEntry { name: r.id.clone(), addr: r.address, server_entry })
             };
             let rows = w.list.rows.iter().filter(|r| r.service == *service);
-            pool.exchange.list(ListKind::Full, rows.filter_map(entry).collect());
+            pool.exchange.update_servers(ListKind::Full, rows.filter_map(entry).collect());
         }
     }
 }
