--- a/control-plane/tests/recovery.rs
+++ b/control-plane/tests/recovery.rs
@@ -81,7 +81,7 @@
     wait_for("the new core", || {
         let founded = run_command(&core, "found", &[&state], &[0, 1, 2]);
         let text = output_text(&founded);
-        let soon = text.contains("majority") || text.contains("ask again");
+        let soon = text.contains("majority") || text.contains("try again");
         assert!(founded.status.success() || soon, "{text}");
         founded.status.success().then_some(())
     });
