--- a/control-plane/src/clock.rs
+++ b/control-plane/src/clock.rs
@@ -8,7 +8,7 @@
 
 /// The clocks of this process, and its identity.
 pub struct Clock {
-    pub me: Node,
+    pub node: Node,
     /// Increases with each start, provided that the wall clock does not go backwards.
     pub incarnation: u64,
     start: Instant,
@@ -21,11 +21,11 @@
 
 impl Clock {
     /// Starts the monotonic clock; the cluster time begins at the wall clock.
-    pub fn start(me: Node) -> Clock {
+    pub fn start(node: Node) -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let (start, cluster_offset) = (Instant::now(), Cell::new(unix.as_secs_f64()));
         Clock {
-            me,
+            node,
             incarnation: unix.as_millis() as u64,
             start,
             cluster_offset,
--- a/control-plane/src/consensus_driver.rs
+++ b/control-plane/src/consensus_driver.rs
@@ -326,7 +326,7 @@
 
     /// The own node id.
     fn own_node(&self) -> Node {
-        self.clock.me
+        self.clock.node
     }
 
     /// Waits until this process starts or stops leading.
@@ -353,8 +353,8 @@
         }
         let ticket = self.last_ticket.get() + 1;
         self.last_ticket.set(ticket);
-        let (done, outcome) = oneshot::channel();
-        self.pending.borrow_mut().insert(ticket, done);
+        let (outcome_sender, outcome) = oneshot::channel();
+        self.pending.borrow_mut().insert(ticket, outcome_sender);
         self.drive(|replica, now, outputs| step(replica, now, ticket, outputs));
         // without a time limit: no change may be evaluated until the previous one is committed or rejected
         outcome.await.ok()
--- a/control-plane/src/control_plane.rs
+++ b/control-plane/src/control_plane.rs
@@ -83,10 +83,10 @@
         let empty = !matches!(stored, Stored::State(_));
 
         let seeds = seeds_of(&settings);
-        let seed = clock.incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(clock.me);
+        let seed = clock.incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(clock.node);
         let tolerate = settings.tolerate.machines as usize;
         let consensus_settings = lupinledge_consensus::Settings {
-            me: clock.me,
+            me: clock.node,
             seeds,
             bootstrap: settings.bootstrap,
             seed,
@@ -99,7 +99,7 @@
             folder,
             limits: settings.limits.clone(),
             seed,
-            learns: consensus.is_learning(),
+            must_learn: consensus.is_learning(),
         };
         let operations = Operations::start(clock.clone(), parameters).await.wrap_err("`data_dir`")?;
         let card = Card {
@@ -202,7 +202,7 @@
         let leader = self
             .consensus
             .leading_epoch()
-            .map(|_| self.clock.me)
+            .map(|_| self.clock.node)
             .or_else(|| self.consensus.redirect_target());
         let leader = leader.map(|node| std::net::Ipv4Addr::from(node).to_string());
         let parts = nodes::named_parts(&fingerprints.parts());
@@ -242,7 +242,7 @@
         let (epoch, node) = self.gossip.with_store(|store| store.epoch());
         let known = self.consensus.last_known_leader().map_or(0, |(_, epoch)| epoch);
         let alive = |member: &Member| member.card.core && member.standing == Standing::Alive;
-        let reachable = node != self.clock.me
+        let reachable = node != self.clock.node
             && self.gossip.with_membership(|membership| membership.member(node).is_some_and(alive));
         (reachable && epoch >= known && self.consensus.is_isolated_from(node)).then_some(node)
     }
@@ -259,7 +259,7 @@
             if self.consensus.leading_epoch().is_some() {
                 self.clock.mark_authoritative();
             }
-            let leader = self.consensus.leader().filter(|(node, _)| *node != self.clock.me);
+            let leader = self.consensus.leader().filter(|(node, _)| *node != self.clock.node);
             if leader.is_some() && (synced_leader != leader || rounds % CLOCK_SYNC_ROUNDS == 0) {
                 synced_leader = leader;
                 leader.into_iter().for_each(|(node, _)| {
@@ -268,15 +268,15 @@
                         .send_datagram(node, &WireMessage::ClockRequest { sent: self.clock.start_request() })
                 });
             }
-            let mut cores = seeds_of(&self.settings.borrow());
+            let mut core_nodes = seeds_of(&self.settings.borrow());
             // if both sides of a partition restart with seeds of their own side only, just the consensus members link
             // them
-            self.gossip.set_seeds(cores.iter().copied().chain(self.consensus.members()).collect());
+            self.gossip.set_seeds(core_nodes.iter().copied().chain(self.consensus.members()).collect());
             if !self.consensus.is_member() || self.consensus.leader().is_none() {
                 self.gossip.with_membership(|membership| {
-                    cores.extend(membership.members().filter(|m| m.card.core).map(|m| m.node))
+                    core_nodes.extend(membership.members().filter(|m| m.card.core).map(|m| m.node))
                 });
-                self.consensus.set_hints(&cores);
+                self.consensus.set_hints(&core_nodes);
             }
             rounds += 1;
             sleep(MAINTENANCE_INTERVAL).await;
--- a/control-plane/src/executor.rs
+++ b/control-plane/src/executor.rs
@@ -66,7 +66,7 @@
             return redirect;
         }
         if command == Command::GetConfig {
-            return match self.evaluate(&command) {
+            return match self.decide(&command) {
                 Ok((committed_document, epoch, Decision::ReplyIfNewest(answer))) => {
                     self.confirm_answer(&command, committed_document, epoch, answer).await
                 }
@@ -74,16 +74,16 @@
                 Err(redirect) => redirect,
             };
         }
-        let arrived = self.change_queue.borrow_mut().enqueue(command.clone(), command.body());
-        let Some(caller) = arrived else {
+        let queued = self.change_queue.borrow_mut().enqueue(command.clone(), command.body());
+        let Some(caller) = queued else {
             return Reply::Refused {
                 kind: ErrorKind::Overloaded,
                 text: "too many changes are waiting".into(),
             };
         };
         let _guard = CallerGuard(self.clone(), caller);
-        let (done, reply) = oneshot::channel();
-        self.waiting_callers.borrow_mut().insert(caller, done);
+        let (reply_sender, reply) = oneshot::channel();
+        self.waiting_callers.borrow_mut().insert(caller, reply_sender);
         self.run_queue();
         reply.await.unwrap_or(Reply::Unavailable)
     }
@@ -105,7 +105,7 @@
     /// Evaluates and commits the next change. If it only needs a confirmed answer, that does not delay the following
     /// change.
     async fn apply(self: &Rc<ControlPlane>, command: Command) {
-        let reply = match self.evaluate(&command) {
+        let reply = match self.decide(&command) {
             Err(redirect) => redirect,
             Ok((_, _, Decision::Reply(answer))) => answer.into(),
             Ok((_, _, Decision::Propose(document))) => self.propose_document(&command, document).await,
@@ -129,8 +129,8 @@
     /// Sends a reply to the callers that still wait.
     fn send_replies(&self, waiting_callers: Vec<CallerId>, reply: Reply) {
         for caller in waiting_callers {
-            let done = self.waiting_callers.borrow_mut().remove(&caller);
-            done.into_iter().for_each(|done| drop(done.send(reply.clone())));
+            let reply_sender = self.waiting_callers.borrow_mut().remove(&caller);
+            reply_sender.into_iter().for_each(|reply_sender| drop(reply_sender.send(reply.clone())));
         }
     }
 
@@ -159,17 +159,18 @@
 
     /// Evaluates a command against the committed document here; also returns that document and the epoch. The error is
     /// the reply if this process does not lead.
-    fn evaluate(&self, command: &Command) -> Result<(Rc<CommittedDocument>, u64, Decision), Reply> {
+    fn decide(&self, command: &Command) -> Result<(Rc<CommittedDocument>, u64, Decision), Reply> {
         let (Some(epoch), Some(committed_document)) =
             (self.consensus.leading_epoch(), self.consensus.committed_document())
         else {
             return Err(self.redirect().unwrap_or(Reply::Unavailable));
         };
-        let decision = self.evaluate_on(&committed_document, command);
+        let decision = self.decide_on(&committed_document, command);
         Ok((committed_document, epoch, decision))
     }
 
-    fn evaluate_on(&self, committed_document: &CommittedDocument, command: &Command) -> Decision {
+    /// Evaluates a command against a document.
+    fn decide_on(&self, committed_document: &CommittedDocument, command: &Command) -> Decision {
         committed_document.document.decide(command.order(), |zone| self.settings.borrow().has_zone(zone))
     }
 
@@ -195,7 +196,7 @@
         match self.consensus.committed_document().filter(|_| confirmed) {
             Some(current) if current.ballot == committed_document.ballot => answer.into(),
             // the document that is committed by now includes all changes acknowledged before
-            Some(current) => match self.evaluate_on(&current, command) {
+            Some(current) => match self.decide_on(&current, command) {
                 Decision::ReplyIfNewest(answer) => answer.into(),
                 Decision::Reply(_) | Decision::Propose(_) => Reply::Unavailable,
             },
--- a/control-plane/src/operations.rs
+++ b/control-plane/src/operations.rs
@@ -23,7 +23,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Interval at which entries that the journal did not accept are offered again.
-const RETRY: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The timer is reset only for a wake-up that is earlier by more than this, seconds.
 const WAKE_TOLERANCE_S: f64 = 0.002;
 
@@ -37,13 +37,14 @@
 
 /// What the voter is started with.
 pub struct StartParameters {
+    /// The data folder, which has the journal.
     pub folder: PathBuf,
     pub limits: Limits,
     /// Must differ at each start.
     pub seed: u64,
     /// The consensus state of this machine is lost or belongs to another machine, so that its earlier votes are
     /// unknown.
-    pub learns: bool,
+    pub must_learn: bool,
 }
 
 /// The voter of this machine, see [`Voter`].
@@ -66,16 +67,16 @@
     /// Consensus may save a state only after that: an empty journal next to a consensus state then always means that
     /// this machine has never voted on operations, and may be a founder.
     pub async fn start(clock: Rc<Clock>, parameters: StartParameters) -> eyre::Result<Rc<Operations>> {
-        let StartParameters { folder, limits, seed, learns } = parameters;
+        let StartParameters { folder, limits, seed, must_learn } = parameters;
         let bounds = Bounds::from_limits(&limits);
         let OpenedJournal { journal, replayed, saved } = Journal::open(folder, bounds.journal())?;
         let replayed = replayed.await.wrap_err("the journal thread has ended")?;
         let empty = replayed.entries.is_empty() && !replayed.damaged;
-        let founder = empty && !learns;
-        let (me, max_records, max_answer_bytes) = (clock.me, bounds.records, bounds.answer_bytes);
+        let founder = empty && !must_learn;
+        let (me, max_records, max_answer_bytes) = (clock.node, bounds.records, bounds.answer_bytes);
         let settings = Settings { me, seed, founder, max_records, max_answer_bytes };
         let mut actions = Vec::new();
-        let voter = Voter::new(clock.now(), settings, entries(replayed, learns), &mut actions);
+        let voter = Voter::new(clock.now(), settings, restored_entries(replayed, must_learn), &mut actions);
         let operations = Rc::new(Operations {
             clock,
             voter: RefCell::new(voter),
@@ -100,12 +101,12 @@
         let appended = self.voter.borrow().appended();
         let mut number = 0;
         while number < appended {
-            match timeout(RETRY, saved.recv()).await {
+            match timeout(RETRY_INTERVAL, saved.recv()).await {
                 Ok(report) => number = report.ok_or_else(|| eyre!("the journal thread has ended"))?,
                 Err(_) => self.recorder.retry(),
             }
         }
-        self.saved(number);
+        self.on_saved(number);
         *self.saved.borrow_mut() = Some(saved);
         Ok(())
     }
@@ -122,7 +123,7 @@
     /// Passes the reports of the journal to the voter.
     async fn watch_journal(self: Rc<Operations>, mut saved: UnboundedReceiver<u64>) {
         while let Some(number) = saved.recv().await {
-            self.saved(number);
+            self.on_saved(number);
         }
     }
 
@@ -132,7 +133,7 @@
             let wait = (self.wake_at.get() - self.clock.now()).clamp(0.001, 1.0);
             let mut wait = Duration::from_secs_f64(wait);
             if self.recorder.has_backlog() {
-                wait = wait.min(RETRY);
+                wait = wait.min(RETRY_INTERVAL);
             }
             tokio::select! {
                 _ = sleep(wait) => {
@@ -145,7 +146,7 @@
     }
 
     /// The journal is on disk up to this entry number.
-    fn saved(&self, number: u64) {
+    fn on_saved(&self, number: u64) {
         self.recorder.retry();
         self.drive(|voter, now, actions| voter.on_saved(now, number, actions));
     }
@@ -180,6 +181,7 @@
         self.carry_out(actions);
     }
 
+    /// Sends messages and journals entries, and sets the head of the journal when it changes.
     fn carry_out(&self, actions: Vec<Action>) {
         let mut head_changed = false;
         for action in actions {
@@ -233,7 +235,7 @@
 }
 
 /// The entries that the voter restores. `Ready` entries are left out if it has to learn.
-fn entries(replayed: Replayed, learns: bool) -> Vec<Entry> {
+fn restored_entries(replayed: Replayed, must_learn: bool) -> Vec<Entry> {
     let Replayed { entries, damaged } = replayed;
     let all = entries.len();
     let mut read: Vec<Entry> = entries.iter().filter_map(|bytes| rmp_serde::from_slice(bytes).ok()).collect();
@@ -241,7 +243,7 @@
     if unread > 0 {
         tracing::error!(event = "operations_unread", unread, read = read.len());
     }
-    if learns || damaged || unread > 0 {
+    if must_learn || damaged || unread > 0 {
         read.retain(|entry| !matches!(entry, Entry::Ready { .. }));
     }
     read
--- a/control-plane/src/operations/recorder.rs
+++ b/control-plane/src/operations/recorder.rs
@@ -10,7 +10,7 @@
 const FULL_SHARE: f64 = 7.0 / 8.0;
 
 /// An entry that the journal has not accepted yet.
-struct Waiting {
+struct QueuedEntry {
     number: u64,
     entry: Vec<u8>,
     keep_s: Option<f64>,
@@ -22,39 +22,39 @@
     journal: Journal,
     full_bytes: u64,
     /// Bounded by the voter, which without room appends only entries for its existing records and for the members.
-    waiting: RefCell<VecDeque<Waiting>>,
+    queue: RefCell<VecDeque<QueuedEntry>>,
 }
 
 impl Recorder {
     /// A recorder for a journal that is limited to `max_bytes`.
     pub(super) fn new(journal: Journal, max_bytes: u64) -> Recorder {
         let full_bytes = (max_bytes as f64 * FULL_SHARE) as u64;
-        Recorder { journal, full_bytes, waiting: RefCell::default() }
+        Recorder { journal, full_bytes, queue: RefCell::default() }
     }
 
     /// Appends an entry; numbers increase by one.
     pub(super) fn append(&self, number: u64, entry: &Entry, keep_s: Option<f64>, urgent: bool) {
         let entry = encode(entry);
-        let mut waiting = self.waiting.borrow_mut();
-        if !waiting.is_empty() || !self.journal.append(number, entry.clone(), keep_s, urgent) {
-            waiting.push_back(Waiting { number, entry, keep_s, urgent });
+        let mut queue = self.queue.borrow_mut();
+        if !queue.is_empty() || !self.journal.append(number, entry.clone(), keep_s, urgent) {
+            queue.push_back(QueuedEntry { number, entry, keep_s, urgent });
         }
     }
 
     /// Offers the queued entries to the journal again.
     pub(super) fn retry(&self) {
-        let mut waiting = self.waiting.borrow_mut();
-        while let Some(first) = waiting.front() {
+        let mut queue = self.queue.borrow_mut();
+        while let Some(first) = queue.front() {
             if !self.journal.append(first.number, first.entry.clone(), first.keep_s, first.urgent) {
                 break;
             }
-            waiting.pop_front();
+            queue.pop_front();
         }
     }
 
     /// Whether there are entries that the journal has not accepted yet.
     pub(super) fn has_backlog(&self) -> bool {
-        !self.waiting.borrow().is_empty()
+        !self.queue.borrow().is_empty()
     }
 
     /// Whether further claims may be accepted.
--- a/control-plane/src/recovery.rs
+++ b/control-plane/src/recovery.rs
@@ -41,7 +41,7 @@
             _ => "alone",
         };
         json!({
-            "node": Ipv4Addr::from(self.clock.me).to_string(), "cluster": format!("{:016x}", status.cluster),
+            "node": Ipv4Addr::from(self.clock.node).to_string(), "cluster": format!("{:016x}", status.cluster),
             "newest": format_state(status.ballot), "committed": format_state(status.committed),
             "version": self.consensus.committed_document().map_or(0, |committed_document| committed_document.document.version),
             "promised": status.promised, "members": addresses(&status.members),
--- a/control-plane/src/refusals.rs
+++ b/control-plane/src/refusals.rs
@@ -5,9 +5,9 @@
 use std::cell::Cell;
 
 /// Longest reason in the log, in characters; a reason quotes parts of the request.
-const REASON_CHARACTERS: usize = 300;
+const MAX_REASON_CHARACTERS: usize = 300;
 /// Most log lines per second, as a refused order may be repeated.
-const LINES_PER_SECOND: u32 = 4;
+const MAX_LINES_PER_SECOND: u32 = 4;
 
 /// Counts and logs refused orders, see the module.
 #[derive(Default)]
@@ -43,13 +43,13 @@
         let (second, lines) = self.lines.get();
         let lines = if second == now_s { lines } else { 0 };
         self.lines.set((now_s, lines + 1));
-        lines < LINES_PER_SECOND
+        lines < MAX_LINES_PER_SECOND
     }
 }
 
-/// The text, truncated after [`REASON_CHARACTERS`].
+/// The text, truncated after [`MAX_REASON_CHARACTERS`].
 fn truncated(text: &str) -> String {
-    match text.char_indices().nth(REASON_CHARACTERS) {
+    match text.char_indices().nth(MAX_REASON_CHARACTERS) {
         Some((end, _)) => format!("{}...", &text[..end]),
         None => text.to_string(),
     }
--- a/control-plane/src/refusals/tests.rs
+++ b/control-plane/src/refusals/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_reason_is_truncated_between_characters() {
     assert_eq!(truncated("short"), "short");
-    let exact = "é".repeat(REASON_CHARACTERS);
+    let exact = "é".repeat(MAX_REASON_CHARACTERS);
     assert_eq!(truncated(&exact), exact);
     assert_eq!(truncated(&format!("{exact}x")), format!("{exact}..."));
 }
--- a/control-plane/tests/common/mod.rs
+++ b/control-plane/tests/common/mod.rs
@@ -73,17 +73,17 @@
         let dir = std::env::temp_dir().join(format!("lupinledge-hive-{id}-{nth}"));
         let platform = platform.unwrap_or((ips[0], 9).into());
         let (control_port, peer_port) = (0, 0);
-        let mut members =
+        let mut cluster =
             Cluster { ips, control_port, peer_port, platform, dir, running: Default::default() };
         wait_for("three listening founders", || {
-            (members.control_port, members.peer_port) = (free_port(&ips), free_port(&ips));
-            let _ = fs::remove_dir_all(&members.dir);
-            (0..3).for_each(|i| members.start(i, true));
+            (cluster.control_port, cluster.peer_port) = (free_port(&ips), free_port(&ips));
+            let _ = fs::remove_dir_all(&cluster.dir);
+            (0..3).for_each(|i| cluster.start(i, true));
             // retried with other ports if one was taken meanwhile
-            (members.control_port != members.peer_port && (0..3).all(|i| members.wait_until_listening(i)))
+            (cluster.control_port != cluster.peer_port && (0..3).all(|i| cluster.wait_until_listening(i)))
                 .then_some(())
         });
-        members
+        cluster
     }
 
     /// The control address of a member.
