--- a/control-plane/src/nodes/tests.rs
+++ b/control-plane/src/nodes/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use lupinledge_membership::{Card, DriftReport};
 
-/// A node that does what the document says, one that does not, one that is behind, and one that is out with the
-/// part that differs.
+/// Rows for a node whose rules match the document, one whose rules differ, one with an older document, one without a
+/// fingerprint, and one that is out of service with the part that differs.
 #[test]
-fn who_goes_by_what() {
-    let intent = Fingerprints { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
-    let own = Digest { state: (3, 7), fingerprint: intent.combined(), ..Digest::default() };
+fn rows_show_how_the_rules_of_a_node_compare() {
+    let expected = Fingerprints { routes: 1, tenants: 2, clusters: 3, evacuations: 4, limits: 5 };
+    let own = Digest { state: (3, 7), fingerprint: expected.combined(), ..Digest::default() };
     let member = |node, index, fingerprint, drift: Option<DriftReport>| {
         let (region, zone, ready) = ("r".to_string(), "z".to_string(), drift.is_none());
         let (drift, load) = (drift.map(Box::new), 0);
@@ -23,7 +23,7 @@
             digest,
         }
     };
-    let mut fingerprints = intent.parts();
+    let mut fingerprints = expected.parts();
     fingerprints[1] = 9;
     let out = DriftReport { index: 7, fingerprints, part: 1, judged_by: 0, recent_count: 2, since: 50 };
     let all = [
@@ -33,11 +33,11 @@
         member(4, 7, 0, None),
         member(5, 7, own.fingerprint, Some(out)),
     ];
-    let rows: Vec<Value> = all.iter().map(|m| row(10.0, m, own, intent)).collect();
+    let rows: Vec<Value> = all.iter().map(|m| node_row(10.0, m, own, expected)).collect();
     let rules: Vec<_> = rows.iter().map(|r| r["rules"].as_str().unwrap()).collect();
     assert_eq!(rules, ["matching", "differs", "behind", "untold", "out"]);
     assert_eq!(rows[4]["out"]["differing"], json!(["tenants"]));
-    let text = table(&json!({"index": 7, "parts": parts(&intent.parts()), "nodes": rows}));
+    let text = format_nodes(&json!({"index": 7, "parts": named_parts(&expected.parts()), "nodes": rows}));
     let last = text.lines().last().unwrap().split_whitespace().collect::<Vec<_>>();
     assert_eq!(last[..5], ["0.0.0.5", "edge", "z", "alive", "false"]);
     assert_eq!(last[8..], ["50", "2", "own", "tenants", "tenants"]);
--- a/control-plane/src/platform.rs
+++ b/control-plane/src/platform.rs
@@ -1,5 +1,6 @@
-//! Calls to the platform. Its answers bear no id, so each reading of the list has a connection of its own: what comes too
-//! much in one is never read in the next. The connection for the next reading is opened ahead of it.
+//! The client for the platform's API. Its answers carry no id, so each read of the list has a connection of its own:
+//! surplus answers of one read can not be taken for answers of the next. The connection for the next read is opened in
+//! advance.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -13,25 +14,27 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A call that takes longer is given up, with its connection.
-const SLOW: Duration = Duration::from_secs(1);
-const PAGE_MOST: usize = 4 << 20;
-const TOKEN_MOST: usize = 1024;
+/// Time limit of a call, after which it is aborted and its connection closed.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest page.
+const MAX_PAGE_BYTES: usize = 4 << 20;
+/// Longest page token.
+const MAX_TOKEN_BYTES: usize = 1024;
 
-/// Why a call brought nothing.
+/// Reason for a failed read. The log shows the variant names.
 #[derive(Debug)]
-pub enum Fault {
+pub enum PlatformError {
     Slow,
     Unreachable,
     Status(#[allow(dead_code)] u16),
     Unreadable,
-    /// A page came again instead of the one after it.
+    /// A page links to itself.
     Repeated,
-    /// The pages never end.
+    /// There were more pages than the limit.
     Endless,
 }
 
-/// Some rows, and where the next are.
+/// A page of the list, and the token of the next page.
 #[derive(Deserialize)]
 pub struct Page {
     #[serde(rename = "instances")]
@@ -40,79 +43,85 @@
     pub next: Option<String>,
 }
 
-pub struct Platform {
+/// A client for the platform at one address.
+pub struct PlatformClient {
     pub address: SocketAddr,
-    link: Option<SendRequest<Empty<Bytes>>>,
+    connection: Option<SendRequest<Empty<Bytes>>>,
 }
 
-impl Platform {
-    pub fn new(address: SocketAddr) -> Platform {
-        Platform { address, link: None }
+impl PlatformClient {
+    /// A client that is not connected yet.
+    pub fn new(address: SocketAddr) -> PlatformClient {
+        PlatformClient { address, connection: None }
     }
 
-    /// A reading is over: the next one has a connection of its own, which is opened now.
-    pub async fn renew(&mut self) {
-        self.link = None;
-        self.link = timeout(SLOW, self.dial()).await.ok().and_then(Result::ok);
+    /// Ends a read of the list, and opens the connection for the next one.
+    pub async fn reconnect(&mut self) {
+        self.connection = None;
+        self.connection = timeout(CALL_TIMEOUT, self.connect()).await.ok().and_then(Result::ok);
     }
 
-    /// The page that a token stands for; the first without one.
-    pub async fn page(&mut self, token: Option<&str>) -> Result<Page, Fault> {
+    /// Requests the page with this token, or the first page.
+    pub async fn page(&mut self, token: Option<&str>) -> Result<Page, PlatformError> {
         let mut path = "/instances".to_string();
         if let Some(token) = token {
             path.push_str("?page_token=");
-            escape(token, &mut path);
+            percent_encode(token, &mut path);
         }
-        let kept = self.link.is_some();
-        match timeout(SLOW, self.call(&path)).await.unwrap_or(Err(Fault::Slow)) {
-            // the kept connection may have been closed while it was idle
-            Err(Fault::Unreachable) if kept => {
-                self.link = None;
-                timeout(SLOW, self.call(&path)).await.unwrap_or(Err(Fault::Slow))
+        let reused = self.connection.is_some();
+        match timeout(CALL_TIMEOUT, self.call(&path)).await.unwrap_or(Err(PlatformError::Slow)) {
+            // the reused connection may have been closed while it was idle
+            Err(PlatformError::Unreachable) if reused => {
+                self.connection = None;
+                timeout(CALL_TIMEOUT, self.call(&path)).await.unwrap_or(Err(PlatformError::Slow))
             }
-            end => end,
+            result => result,
         }
     }
 
-    async fn call(&mut self, path: &str) -> Result<Page, Fault> {
-        // taken out: whatever breaks off midway ends the connection
-        let mut link = match self.link.take().filter(|l| !l.is_closed()) {
-            Some(link) => link,
-            None => self.dial().await?,
+    /// Requests a page over the open connection, or over a new one.
+    async fn call(&mut self, path: &str) -> Result<Page, PlatformError> {
+        // taken out, so that the connection is dropped if the call is aborted
+        let mut connection = match self.connection.take().filter(|connection| !connection.is_closed()) {
+            Some(connection) => connection,
+            None => self.connect().await?,
         };
-        link.ready().await.map_err(|_| Fault::Unreachable)?;
-        let req = Request::get(path).header(HOST, self.address.to_string()).body(Empty::new());
-        let req = req.map_err(|_| Fault::Unreadable)?;
-        let answer = link.send_request(req).await.map_err(|_| Fault::Unreachable)?;
+        connection.ready().await.map_err(|_| PlatformError::Unreachable)?;
+        let request = Request::get(path).header(HOST, self.address.to_string()).body(Empty::new());
+        let request = request.map_err(|_| PlatformError::Unreadable)?;
+        let answer = connection.send_request(request).await.map_err(|_| PlatformError::Unreachable)?;
         let status = answer.status();
-        let body = Limited::new(answer.into_body(), PAGE_MOST).collect().await;
-        let body = body.map_err(|_| Fault::Unreadable)?.to_bytes();
-        self.link = Some(link);
+        let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES).collect().await;
+        let body = body.map_err(|_| PlatformError::Unreadable)?.to_bytes();
+        self.connection = Some(connection);
         if status != StatusCode::OK {
-            return Err(Fault::Status(status.as_u16()));
+            return Err(PlatformError::Status(status.as_u16()));
         }
-        let page: Page = serde_json::from_slice(&body).map_err(|_| Fault::Unreadable)?;
-        let fits = page.next.as_ref().is_none_or(|t| t.len() <= TOKEN_MOST);
-        fits.then_some(page).ok_or(Fault::Unreadable)
+        let page: Page = serde_json::from_slice(&body).map_err(|_| PlatformError::Unreadable)?;
+        let fits = page.next.as_ref().is_none_or(|token| token.len() <= MAX_TOKEN_BYTES);
+        fits.then_some(page).ok_or(PlatformError::Unreadable)
     }
 
-    async fn dial(&self) -> Result<SendRequest<Empty<Bytes>>, Fault> {
-        let stream = TcpStream::connect(self.address).await.map_err(|_| Fault::Unreachable)?;
+    /// Opens a connection and runs it in a task of its own.
+    async fn connect(&self) -> Result<SendRequest<Empty<Bytes>>, PlatformError> {
+        let stream = TcpStream::connect(self.address).await.map_err(|_| PlatformError::Unreachable)?;
         let _ = stream.set_nodelay(true);
-        let (link, conn) = http1::handshake(TokioIo::new(stream)).await.map_err(|_| Fault::Unreachable)?;
+        let (connection, io_task) =
+            http1::handshake(TokioIo::new(stream)).await.map_err(|_| PlatformError::Unreachable)?;
         tokio::task::spawn_local(async move {
-            let _ = conn.await;
+            let _ = io_task.await;
         });
-        Ok(link)
+        Ok(connection)
     }
 }
 
-fn escape(text: &str, to: &mut String) {
+/// Appends `text` with all but the unreserved characters percent-encoded.
+fn percent_encode(text: &str, out: &mut String) {
     for b in text.bytes() {
         if b.is_ascii_alphanumeric() || b"-._~".contains(&b) {
-            to.push(char::from(b));
+            out.push(char::from(b));
         } else {
-            to.push_str(&format!("%{b:02X}"));
+            out.push_str(&format!("%{b:02X}"));
         }
     }
 }
