--- a/consensus/tests/faults/losses.rs
+++ b/consensus/tests/faults/losses.rs
@@ -79,13 +79,13 @@
             acknowledgements: 0,
             violation: None,
         };
-        cluster.world.net.delay = [0.003, 0.03, 0.06][cluster.world.rng.usize(..3)];
+        cluster.world.net.max_delay = [0.003, 0.03, 0.06][cluster.world.rng.usize(..3)];
         for &node in &cluster.nodes[founders..] {
             cluster.world.start(node);
         }
         let all_admitted = cluster.world.run_until(8.0, |world| {
             world.leaders().into_iter().for_each(|node| world.propose(node));
-            let newest = world.watch.log.values().next_back();
+            let newest = world.observer.log.values().next_back();
             newest.is_some_and(|value| value.members.len() == all && value.outgoing.is_empty())
         });
         assert!(all_admitted, "not all machines were admitted");
@@ -291,9 +291,9 @@
                 self.nodes.clone().into_iter().for_each(|node| self.world.hint(node, &self.nodes));
             }
             self.world.run(CHECK_INTERVAL);
-            if self.world.watch.acknowledgements > self.acknowledgements {
+            if self.world.observer.acknowledgements > self.acknowledgements {
                 (self.acknowledgements, self.last_progress) =
-                    (self.world.watch.acknowledgements, self.world.now);
+                    (self.world.observer.acknowledgements, self.world.now);
             }
             self.check_state();
         }
@@ -309,7 +309,7 @@
         if now - self.last_progress > RECOVERY_TIMEOUT {
             self.violation = Some(format!("no acknowledgement since {:.2}", self.last_progress));
         }
-        let Some(value) = self.world.watch.log.values().next_back() else { return };
+        let Some(value) = self.world.observer.log.values().next_back() else { return };
         let is_present = |m: &&Node| {
             let lost = self.lost.get(m).is_some_and(|until| *until > now);
             self.nodes.contains(m) && !lost
--- a/consensus/tests/faults/membership_changes.rs
+++ b/consensus/tests/faults/membership_changes.rs
@@ -20,7 +20,7 @@
 /// from the leader then, so that only the replacement receives the change.
 fn lose_leader_during_change(seed: u64, isolated: bool) -> ScheduleResult {
     let mut world = World::new(seed, &[10, 20, 30]);
-    world.net.delay = [0.003, 0.02, 0.06][seed as usize % 3];
+    world.net.max_delay = [0.003, 0.02, 0.06][seed as usize % 3];
     for _ in 0..1 + seed % 3 {
         world.acknowledge();
     }
@@ -40,7 +40,7 @@
     let after = world.rng.f64() * 1.6;
     world.run(after);
     world.wipe(leader);
-    let change_received = world.machines[&new].disk.kept.as_ref().is_some_and(|kept| {
+    let change_received = world.machines[&new].disk.saved_state.as_ref().is_some_and(|kept| {
         let own = kept.ballot.epoch as Node == leader && !kept.value.outgoing.is_empty();
         own || kept.value.outgoing.is_empty() && kept.value.members.contains(&new)
     });
@@ -93,7 +93,7 @@
             world.machines.entry(leader).and_modify(|machine| machine.disk.stalled_until = until);
         }
         let change_received = |world: &mut World| {
-            let state = world.machines[&NEW].disk.kept.as_ref();
+            let state = world.machines[&NEW].disk.saved_state.as_ref();
             state.is_some_and(|kept| !kept.value.outgoing.is_empty())
         };
         let received = world.run_until(1.2, change_received);
@@ -139,7 +139,8 @@
     let mut change = Change::begin(seed, false)?;
     let (world, other, isolated_member) = (&mut change.world, change.other, change.isolated_member);
     world.net.cut(&[change.leader], &[other, isolated_member]);
-    let promised = |world: &World, node| world.machines[&node].disk.kept.as_ref().map_or(0, |k| k.promised);
+    let promised =
+        |world: &World, node| world.machines[&node].disk.saved_state.as_ref().map_or(0, |k| k.promised);
     let before = promised(world, other);
     for _ in 0..2_000 {
         world.run(0.002);
--- a/consensus/tests/faults/new_cluster.rs
+++ b/consensus/tests/faults/new_cluster.rs
@@ -6,7 +6,7 @@
 const THREE: [Node; 3] = [10, 20, 30];
 
 fn newest(world: &World, node: Node) -> Ballot {
-    world.machines[&node].disk.kept.as_ref().expect("it has a state").ballot
+    world.machines[&node].disk.saved_state.as_ref().expect("it has a state").ballot
 }
 
 /// A member whose two peers are down, after entries were acknowledged: the world, the survivor, and the others.
--- a/consensus/tests/faults/random_faults.rs
+++ b/consensus/tests/faults/random_faults.rs
@@ -36,9 +36,9 @@
         for &node in nodes.iter().filter(|node| !seeds.contains(node)) {
             world.start(node);
         }
-        world.net.loss = world.rng.u32(..4) * 7;
-        world.net.late = world.rng.u32(..3);
-        world.net.delay = [0.003, 0.03, 0.12][world.rng.usize(..3)];
+        world.net.loss_percent = world.rng.u32(..4) * 7;
+        world.net.late_percent = world.rng.u32(..3);
+        world.net.max_delay = [0.003, 0.03, 0.12][world.rng.usize(..3)];
         FaultyCluster { world, nodes, tolerate, lost: None, heal_at: 0.0, replacements: 0 }
     }
 
@@ -47,20 +47,22 @@
         let members = self.members();
         members
             .iter()
-            .filter(|&node| !self.nodes.contains(node) || self.world.machines[node].disk.kept.is_none())
+            .filter(|&node| {
+                !self.nodes.contains(node) || self.world.machines[node].disk.saved_state.is_none()
+            })
             .count()
     }
 
     /// The newest members committed anywhere; the seeds before the first commit.
     fn members(&self) -> BTreeSet<Node> {
-        let newest = self.world.watch.log.values().next_back();
+        let newest = self.world.observer.log.values().next_back();
         newest.map_or(&self.world.seeds, |value| &value.members).iter().copied().collect()
     }
 
     /// Whether the members are exactly the machines that exist, and no membership change is in progress.
     fn settled(&self) -> bool {
         let no_change =
-            self.world.watch.log.values().next_back().is_some_and(|value| value.outgoing.is_empty());
+            self.world.observer.log.values().next_back().is_some_and(|value| value.outgoing.is_empty());
         let members = self.members();
         no_change && self.nodes.iter().all(|node| members.contains(node)) && members.len() == self.nodes.len()
     }
@@ -137,7 +139,7 @@
         let refused_saves = self.world.rng.u64(..3);
         if let Some(machine) = self.world.machines.get_mut(&node) {
             machine.disk.stalled_until = until;
-            machine.disk.refuses = refused_saves * 2;
+            machine.disk.fail_one_in = refused_saves * 2;
         }
     }
 
@@ -178,13 +180,13 @@
     fn describe(&self) -> String {
         let mut text = format!("{:?}", self.nodes);
         for (node, machine) in &self.world.machines {
-            if let Some(Member { replica, leading_epoch, .. }) = &machine.life {
+            if let Some(Member { replica, leading_epoch, .. }) = &machine.process {
                 let ballot = replica.committed().map(|(ballot, _)| ballot.index);
                 let (members, learning) = (replica.members(), replica.is_learning());
                 text += &format!(
                     "\n  {node}: {ballot:?} {members:?} learning {learning} leads {leading_epoch:?}"
                 );
-                text += &format!("\n     {:?}", machine.disk.kept);
+                text += &format!("\n     {:?}", machine.disk.saved_state);
             }
         }
         text
@@ -194,13 +196,13 @@
     fn end_faults(&mut self) {
         let world = &mut self.world;
         world.net.cuts.clear();
-        world.net.loss = world.net.loss.min(2);
-        world.net.late = 0;
+        world.net.loss_percent = world.net.loss_percent.min(2);
+        world.net.late_percent = 0;
         let now = world.now;
         for machine in world.machines.values_mut() {
             machine.frozen_until = machine.frozen_until.min(now);
             machine.disk.stalled_until = machine.disk.stalled_until.min(now);
-            machine.disk.refuses = 0;
+            machine.disk.fail_one_in = 0;
         }
         for node in self.nodes.clone() {
             if self.world.process(node).is_none() {
@@ -219,12 +221,12 @@
         cluster.step();
     }
     cluster.end_faults();
-    let (acknowledgements, from) = (cluster.world.watch.acknowledgements, cluster.world.now);
+    let (acknowledgements, from) = (cluster.world.observer.acknowledgements, cluster.world.now);
     let recovered = cluster.world.run_until(RECOVERY_TIMEOUT, |world| {
         for node in world.leaders() {
             world.propose(node);
         }
-        world.watch.acknowledgements > acknowledgements
+        world.observer.acknowledgements > acknowledgements
     });
     assert!(
         recovered,
@@ -232,7 +234,7 @@
         cluster.describe()
     );
     let consistent = cluster.world.run_until(12.0, |world| {
-        let newest = world.watch.log.keys().next_back().copied();
+        let newest = world.observer.log.keys().next_back().copied();
         let agreed = world.running().into_iter().all(|node| {
             let replica = world.process(node).map(|member| &member.replica);
             let ballot = replica.and_then(|replica| replica.committed()).map(|(ballot, _)| ballot.index);
@@ -242,9 +244,9 @@
         agreed && world.leaders().len() == 1 && world.pending_requests() == 0
     });
     assert!(consistent, "the nodes don't agree: {}", cluster.describe());
-    let check = &cluster.world.watch;
+    let check = &cluster.world.observer;
     assert!(check.log.keys().next_back().is_some_and(|&newest| newest >= check.acked));
-    (check.acknowledgements, check.confirmations, cluster.world.net.words)
+    (check.acknowledgements, check.confirmations, cluster.world.net.messages_sent)
 }
 
 #[test]
--- a/consensus/tests/faults/restored_copies.rs
+++ b/consensus/tests/faults/restored_copies.rs
@@ -18,7 +18,7 @@
     world.acknowledge();
     let copies: Vec<(Node, PersistentState)> = restored
         .iter()
-        .map(|node| (*node, world.machines[node].disk.kept.clone().expect("it has a state")))
+        .map(|node| (*node, world.machines[node].disk.saved_state.clone().expect("it has a state")))
         .collect();
     world.cut(&stale);
     for _ in 0..world.rng.usize(1..4) {
@@ -27,7 +27,7 @@
     let down = if power_loss { members.to_vec() } else { restored };
     down.iter().for_each(|&node| world.kill(node));
     for (node, saved_state) in copies {
-        world.machines.entry(node).and_modify(|machine| machine.disk.kept = Some(saved_state));
+        world.machines.entry(node).and_modify(|machine| machine.disk.saved_state = Some(saved_state));
     }
     world.net.cuts.clear();
     let mut starts: Vec<(f64, Node)> =
@@ -55,12 +55,12 @@
 /// Restarts a member with this state on its disk, while the others keep running.
 fn restore(world: &mut World, node: Node, saved_state: PersistentState) {
     world.kill(node);
-    world.machines.entry(node).and_modify(|machine| machine.disk.kept = Some(saved_state));
+    world.machines.entry(node).and_modify(|machine| machine.disk.saved_state = Some(saved_state));
     world.start(node);
 }
 
 fn saved_state(world: &World, node: Node) -> PersistentState {
-    world.machines[&node].disk.kept.clone().expect("it has a state")
+    world.machines[&node].disk.saved_state.clone().expect("it has a state")
 }
 
 #[test]
--- a/consensus/tests/faults/scenarios.rs
+++ b/consensus/tests/faults/scenarios.rs
@@ -16,17 +16,17 @@
     /// Gets one more entry acknowledged; returns the number of acknowledged entries.
     pub fn acknowledge(&mut self) -> u64 {
         assert!(self.try_acknowledge(), "no entry was acknowledged");
-        self.watch.acknowledgements
+        self.observer.acknowledgements
     }
 
     /// Proposes an entry; returns whether one is acknowledged within four seconds.
     pub fn try_acknowledge(&mut self) -> bool {
-        let acknowledgements = self.watch.acknowledgements;
+        let acknowledgements = self.observer.acknowledgements;
         self.run_until(4.0, |world| {
-            if world.watch.acknowledgements == acknowledgements {
+            if world.observer.acknowledgements == acknowledgements {
                 world.leaders().into_iter().for_each(|node| world.propose(node));
             }
-            world.watch.acknowledgements > acknowledgements
+            world.observer.acknowledgements > acknowledgements
         })
     }
 
@@ -34,7 +34,7 @@
     pub fn agreed(&self) -> bool {
         self.running().into_iter().all(|node| {
             let committed = self.process(node).and_then(|member| member.replica.committed());
-            committed.is_some_and(|(ballot, _)| ballot.index >= self.watch.acked)
+            committed.is_some_and(|(ballot, _)| ballot.index >= self.observer.acked)
         })
     }
 
@@ -58,7 +58,7 @@
     world.read_barrier(10);
     world.read_barrier(20);
     world.run(0.2);
-    assert_eq!((world.watch.confirmations, world.pending_requests()), (1, 0));
+    assert_eq!((world.observer.confirmations, world.pending_requests()), (1, 0));
 }
 
 #[test]
@@ -68,19 +68,19 @@
     world.acknowledge();
     world.read_barrier(10);
     world.run(0.1);
-    assert_eq!(world.watch.confirmations, 1);
+    assert_eq!(world.observer.confirmations, 1);
 }
 
 #[test]
 fn idle_cluster_sends_few_messages() {
     let mut world = World::new(1, &THREE);
     world.leader();
-    let messages_before = world.net.words;
+    let messages_before = world.net.messages_sent;
     world.run(10.0);
     assert!(
-        world.net.words - messages_before <= 280,
+        world.net.messages_sent - messages_before <= 280,
         "{} messages in 10 s",
-        world.net.words - messages_before
+        world.net.messages_sent - messages_before
     );
 }
 
@@ -132,15 +132,15 @@
     world.acknowledge();
     world.read_barrier(old);
     world.freeze(old, 4.0);
-    let acknowledgements = world.watch.acknowledgements;
+    let acknowledgements = world.observer.acknowledgements;
     let others_acknowledged = world.run_until(3.5, |world| {
-        if world.watch.acknowledgements == acknowledgements {
+        if world.observer.acknowledgements == acknowledgements {
             world.others(old).into_iter().for_each(|node| world.propose(node));
         }
-        world.watch.acknowledgements > acknowledgements
+        world.observer.acknowledgements > acknowledgements
     });
     assert!(others_acknowledged, "the others did not elect a leader and commit");
-    let confirmations = world.watch.confirmations;
+    let confirmations = world.observer.confirmations;
     // At the moment the leader resumes, answers to older heartbeats are waiting to be read.
     world.freeze(old, 0.0);
     world.propose(old);
@@ -149,8 +149,8 @@
     assert_eq!(world.process(old).and_then(|member| member.leading_epoch), None);
     world.run(3.0);
     // The read barrier from before the pause may still be confirmed by answers from before the pause.
-    assert!(world.watch.confirmations <= confirmations + 1);
-    assert_eq!((world.watch.acknowledgements, world.pending_requests()), (acknowledgements + 1, 0));
+    assert!(world.observer.confirmations <= confirmations + 1);
+    assert_eq!((world.observer.acknowledgements, world.pending_requests()), (acknowledgements + 1, 0));
     assert!(world.agreed());
 }
 
@@ -163,7 +163,7 @@
     world.cut(&[old, other]);
     world.propose(old);
     world.read_barrier(old);
-    let (acknowledgements, confirmations) = (world.watch.acknowledgements, world.watch.confirmations);
+    let (acknowledgements, confirmations) = (world.observer.acknowledgements, world.observer.confirmations);
     assert!(world.run_until(4.0, |world| world.leaders().iter().any(|&node| node != old && node != other)));
     assert!(world.run_until(2.0, |world| world.pending_requests() == 0));
     for _ in 0..20 {
@@ -173,7 +173,10 @@
         }
         world.run(0.1);
     }
-    assert_eq!((world.watch.acknowledgements, world.watch.confirmations), (acknowledgements, confirmations));
+    assert_eq!(
+        (world.observer.acknowledgements, world.observer.confirmations),
+        (acknowledgements, confirmations)
+    );
     world.acknowledge();
     world.net.cuts.clear();
     assert!(world.run_until(2.0, |world| world.agreed()));
--- a/consensus/tests/faults/shutdown.rs
+++ b/consensus/tests/faults/shutdown.rs
@@ -113,7 +113,8 @@
         for new in [40, 50, 60] {
             world.start(new);
         }
-        let newest = |world: &World| world.watch.log.values().next_back().map(|value| value.members.clone());
+        let newest =
+            |world: &World| world.observer.log.values().next_back().map(|value| value.members.clone());
         world.cut(&[30]);
         world.run(6.0);
         for old in [10, 20] {
@@ -132,7 +133,7 @@
 fn leaving_leader_names_its_successor() {
     for seed in 0..60 {
         let mut world = World::tolerating(seed, &FIVE, 1);
-        world.net.delay = 0.06;
+        world.net.max_delay = 0.06;
         let leader = world.wait_for_leader();
         world.run(1.0);
         world.shut_down(leader);
@@ -147,7 +148,7 @@
 fn lost_successor_delays_the_election_only_briefly() {
     for seed in 0..60 {
         let mut world = World::tolerating(seed, &FIVE, 2);
-        world.net.delay = 0.06;
+        world.net.max_delay = 0.06;
         let leader = world.wait_for_leader();
         world.run(1.0);
         let next = FIVE.into_iter().find(|&node| node != leader).unwrap();
@@ -200,7 +201,7 @@
         let admitted = |world: &mut World| world.members_of(40).contains(&40);
         assert!(world.run_until(6.0, admitted), "seed {seed}");
         let both_members =
-            world.watch.log.values().find(|v| v.members.contains(&40) && v.members.contains(&lost));
+            world.observer.log.values().find(|v| v.members.contains(&40) && v.members.contains(&lost));
         assert_eq!(both_members.map(|v| &v.members), None, "seed {seed}");
     }
 }
@@ -211,7 +212,7 @@
 fn joining_node_learns_during_a_membership_change() {
     for seed in 0..200 {
         let mut world = World::tolerating(seed, &[10, 20, 30, 40], 1);
-        world.net.delay = 0.03;
+        world.net.max_delay = 0.03;
         let leader = world.wait_for_leader();
         world.run(1.0);
         let [leaving, frozen] =
@@ -237,13 +238,14 @@
 fn member_removed_while_down_learns_of_it_from_a_refusal() {
     for seed in 0..200 {
         let mut world = World::new(seed, &THREE);
-        world.net.delay = [0.01, 0.03, 0.06][seed as usize % 3];
+        world.net.max_delay = [0.01, 0.03, 0.06][seed as usize % 3];
         let leader = world.wait_for_leader();
         world.run(0.5);
         let removed = THREE.into_iter().rfind(|&node| node != leader).unwrap();
         world.kill(removed);
         world.admit(5, &[leader]);
-        let newest = |world: &World| world.watch.log.values().next_back().map(|value| value.members.clone());
+        let newest =
+            |world: &World| world.observer.log.values().next_back().map(|value| value.members.clone());
         assert!(!newest(&world).unwrap().contains(&removed), "seed {seed}");
         let members = newest(&world).unwrap();
         members.iter().for_each(|&node| world.kill(node));
@@ -264,7 +266,7 @@
         world.propose(leader);
         world.run(1.0);
         let others: Vec<Node> = world.members_of(leader).into_iter().filter(|&node| node != leader).collect();
-        let acked = world.watch.acked;
+        let acked = world.observer.acked;
         // One member is lost when another one's disk is: before it is removed, three of four need to have the state.
         [others[0], leader].iter().for_each(|&node| world.kill(node));
         world.wipe(others[1]);
@@ -272,7 +274,7 @@
         world.start(leader);
         let recovered = world.run_until(4.0, |world| {
             world.leaders().into_iter().for_each(|node| world.propose(node));
-            world.watch.acked > acked
+            world.observer.acked > acked
         });
         assert!(recovered, "seed {seed}: no proposal is acknowledged");
     }
@@ -283,7 +285,7 @@
 fn joining_node_that_leaves_is_no_member_after_it_stopped() {
     for seed in 0..100 {
         let mut world = World::new(seed, &THREE);
-        world.net.delay = 0.06;
+        world.net.max_delay = 0.06;
         world.wait_for_leader();
         world.run(0.5);
         world.start(40);
@@ -292,11 +294,11 @@
         assert!(world.run_until(3.0, has_learnt), "seed {seed}");
         world.run((seed % 10) as f64 * 0.02);
         assert!(world.shut_down(40) < 2.5, "seed {seed}");
-        let end = world.watch.log.keys().next_back().copied().unwrap_or(0);
+        let end = world.observer.log.keys().next_back().copied().unwrap_or(0);
         world.run(3.0);
-        let after = world.watch.log.range(end + 1..).find(|(_, value)| value.members.contains(&40));
+        let after = world.observer.log.range(end + 1..).find(|(_, value)| value.members.contains(&40));
         assert_eq!(after.map(|(_, value)| &value.members), None, "seed {seed}");
-        assert!(!world.watch.log.values().next_back().unwrap().members.contains(&40), "seed {seed}");
+        assert!(!world.observer.log.values().next_back().unwrap().members.contains(&40), "seed {seed}");
     }
 }
 
--- a/consensus/tests/faults/world.rs
+++ b/consensus/tests/faults/world.rs
@@ -4,7 +4,7 @@
 use lupinledge_consensus::{
     Ballot, Msg, NewClusterError, Node, Outcome, Output, PersistentState, Replica, Settings, Value,
 };
-use lupinledge_simulation::{Begin, Life, Net, Order, Watch, World as SimulatedWorld};
+use lupinledge_simulation::{Effect, Net, Observer, StartContext, StateMachine, World as SimulatedWorld};
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
@@ -33,14 +33,14 @@
     pub leading_epoch: Option<u64>,
 }
 
-type Orders = Vec<Order<Member>>;
+type Orders = Vec<Effect<Member>>;
 
 impl Member {
-    fn new(me: Node, seeds: &[Node], tolerate: usize, begin: Begin<PersistentState>) -> Member {
-        let Begin { now, seed, kept, used, .. } = begin;
+    fn new(me: Node, seeds: &[Node], tolerate: usize, begin: StartContext<PersistentState>) -> Member {
+        let StartContext { now, seed, saved_state, disk_written, .. } = begin;
         // Only the first start of a machine may form the cluster.
-        let settings = Settings { me, seeds: seeds.to_vec(), bootstrap: !used, seed, tolerate };
-        let replica = Replica::new(now, settings, kept);
+        let settings = Settings { me, seeds: seeds.to_vec(), bootstrap: !disk_written, seed, tolerate };
+        let replica = Replica::new(now, settings, saved_state);
         Member { replica, requests: BTreeMap::new(), last_index: 0, leading_epoch: None }
     }
 
@@ -50,14 +50,14 @@
         self.leading_epoch = self.replica.leading_epoch(now);
         for output in out {
             match output {
-                Output::Send(to, msg) => orders.push(Order::Cast(to, msg)),
-                Output::Save(ticket, kept) => orders.push(Order::Save(ticket, kept)),
+                Output::Send(to, msg) => orders.push(Effect::SendDatagram(to, msg)),
+                Output::Save(ticket, kept) => orders.push(Effect::Save(ticket, kept)),
                 Output::Committed(ballot, value) => {
                     assert!(ballot.index >= self.last_index, "the committed index decreased to {ballot:?}");
                     self.last_index = ballot.index;
-                    orders.push(Order::Tell(Observation::Committed(ballot, value)));
+                    orders.push(Effect::Observe(Observation::Committed(ballot, value)));
                 }
-                Output::BecameLeader(epoch) => orders.push(Order::Tell(Observation::Won(epoch))),
+                Output::BecameLeader(epoch) => orders.push(Effect::Observe(Observation::Won(epoch))),
                 Output::LostLeadership => {}
                 Output::Done { ticket, outcome } => self.on_done(ticket, outcome, orders),
             }
@@ -67,11 +67,11 @@
     fn on_done(&mut self, ticket: u64, outcome: Outcome, orders: &mut Orders) {
         match (self.requests.remove(&ticket).expect("each request ends once"), outcome) {
             (Request::Propose(body), Outcome::Committed(ballot)) => {
-                orders.push(Order::Tell(Observation::Acknowledged(ballot, body)));
+                orders.push(Effect::Observe(Observation::Acknowledged(ballot, body)));
             }
             (Request::Confirm { acked }, Outcome::Confirmed) => {
                 let index = self.replica.committed().map_or(0, |(ballot, _)| ballot.index);
-                orders.push(Order::Tell(Observation::Confirmed { index, acked }));
+                orders.push(Effect::Observe(Observation::Confirmed { index, acked }));
             }
             (Request::Propose(_), Outcome::Unknown | Outcome::NotLeader | Outcome::Busy) => {}
             (Request::Confirm { .. }, Outcome::NotLeader | Outcome::Busy) => {}
@@ -80,20 +80,20 @@
     }
 }
 
-impl Life for Member {
-    type Word = Msg;
-    type Kept = PersistentState;
-    type Told = Observation;
+impl StateMachine for Member {
+    type Message = Msg;
+    type SavedState = PersistentState;
+    type Observation = Observation;
 
     fn tick(&mut self, now: f64, orders: &mut Orders) {
         self.step(now, orders, |replica, out| replica.tick(now, out));
     }
 
-    fn heard(&mut self, now: f64, from: Node, msg: Msg, orders: &mut Orders) {
+    fn handle_message(&mut self, now: f64, from: Node, msg: Msg, orders: &mut Orders) {
         self.step(now, orders, |replica, out| replica.handle_message(now, from, msg, out));
     }
 
-    fn saved(&mut self, now: f64, ticket: u64, ok: bool, orders: &mut Orders) {
+    fn save_finished(&mut self, now: f64, ticket: u64, ok: bool, orders: &mut Orders) {
         self.step(now, orders, |replica, out| replica.save_finished(now, ticket, ok, out));
     }
 
@@ -102,8 +102,8 @@
     }
 }
 
-impl Watch<Member> for Check {
-    fn told(&mut self, _: f64, node: Node, run: u64, _: &Member, told: Observation) {
+impl Observer<Member> for Check {
+    fn observe(&mut self, _: f64, node: Node, run: u64, _: &Member, told: Observation) {
         match told {
             Observation::Committed(ballot, value) => self.committed(ballot, &value),
             Observation::Won(epoch) => self.won(node, run, epoch),
@@ -164,7 +164,7 @@
 
     /// Proposes the committed document with a new entry at its end, unless the node has a proposal in progress.
     pub fn propose(&mut self, node: Node) {
-        let ticket = self.number();
+        let ticket = self.next_id();
         self.call(node, |member, now, orders| {
             if member.requests.values().any(|request| matches!(request, Request::Propose(_))) {
                 return;
@@ -200,7 +200,7 @@
 
     /// Starts a read barrier at the node.
     pub fn read_barrier(&mut self, node: Node) {
-        let (ticket, acked) = (self.number(), self.watch.acked);
+        let (ticket, acked) = (self.next_id(), self.observer.acked);
         self.call(node, |member, now, orders| {
             member.requests.insert(ticket, Request::Confirm { acked });
             member.step(now, orders, |replica, out| replica.read_barrier(now, ticket, out));
--- a/simulation/src/away.rs
+++ b/simulation/src/away.rs
@@ -77,10 +77,10 @@
     let mut course = Course { site, rng, away: 10, since: 0.0, back: None, caught_up: None, led: false };
     course.play(kind, changes);
     let Course { mut site, caught_up, led, .. } = course;
-    match site.world.watch.broken.take() {
+    match site.world.observer.broken.take() {
         Some(what) => Err(format!("{kind:?}, at {:.3} s: {what}", site.world.now)),
         None => {
-            let (seen, seconds) = (site.world.watch.seen, site.world.now);
+            let (seen, seconds) = (site.world.observer.seen, site.world.now);
             Ok(Day { seen, caught_up: caught_up.unwrap_or(f64::NAN), led, seconds })
         }
     }
@@ -145,17 +145,17 @@
     }
 
     fn broken(&self) -> bool {
-        self.site.world.watch.broken.is_some()
+        self.site.world.observer.broken.is_some()
     }
 
     /// Changes one after the other, each as soon as the one before is acknowledged.
     fn changes(&mut self, count: usize, mut each: impl FnMut(&mut Site)) {
         for _ in 0..count {
-            let acks = self.site.world.watch.seen.acks;
-            let put = self.site.config(self.site.world.watch.version(0));
+            let acks = self.site.world.observer.seen.acks;
+            let put = self.site.config(self.site.world.observer.version(0));
             self.site.ask(None, put);
             let most = self.site.world.now + PATIENCE;
-            while self.site.world.watch.seen.acks == acks && self.site.world.now < most {
+            while self.site.world.observer.seen.acks == acks && self.site.world.now < most {
                 if self.broken() {
                     return;
                 }
@@ -178,7 +178,7 @@
         let most = self.site.world.now + BACK;
         while self.site.weak() > 0 && !self.broken() {
             if self.site.world.now >= most {
-                return self.site.world.watch.wrong("a lost disk is not learnt anew".into());
+                return self.site.world.observer.wrong("a lost disk is not learnt anew".into());
             }
             self.quiet(0.1);
         }
@@ -203,12 +203,12 @@
 
     /// A change is acknowledged in time.
     fn serves(&mut self, when: &str) {
-        let (acks, most) = (self.site.world.watch.seen.acks, self.site.world.now + BACK);
-        while self.site.world.watch.seen.acks == acks && !self.broken() {
+        let (acks, most) = (self.site.world.observer.seen.acks, self.site.world.now + BACK);
+        while self.site.world.observer.seen.acks == acks && !self.broken() {
             if self.site.world.now >= most {
-                return self.site.world.watch.wrong(format!("no service {when}"));
+                return self.site.world.observer.wrong(format!("no service {when}"));
             }
-            let put = self.site.config(self.site.world.watch.version(0));
+            let put = self.site.config(self.site.world.observer.version(0));
             self.site.ask(None, put);
             self.quiet(0.1);
         }
@@ -224,18 +224,18 @@
             return;
         };
         let held = core.queen.committed().map_or(0, |(ballot, _)| ballot.index);
-        if self.caught_up.is_none() && held >= self.site.world.watch.acked_by(now) {
+        if self.caught_up.is_none() && held >= self.site.world.observer.acked_by(now) {
             self.caught_up = Some((now - back).max(0.0));
         }
         if self.site.leaders().is_empty() {
             // nobody is there to tell it
             self.back = Some(now);
         }
-        let needed = self.site.world.watch.acked_by(now - CATCH_UP);
+        let needed = self.site.world.observer.acked_by(now - CATCH_UP);
         if now >= back + CATCH_UP && held < needed {
             let text =
                 format!("{} holds {held}, but {needed} was acknowledged {CATCH_UP} s before", self.away);
-            self.site.world.watch.wrong(text);
+            self.site.world.observer.wrong(text);
         }
     }
 }
--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -1,7 +1,7 @@
 //! A process of the core, of its pure parts: agreement, commands, news, counters.
 
 use crate::process::{card, send, Command, Out, Reply, Say, Told};
-use crate::world::{Begin, Order};
+use crate::world::{Effect, StartContext};
 use crate::{Flaw, Node};
 use lupinledge_config::turns::Caller;
 use lupinledge_config::{Answer, Document, Judged, Turns};
@@ -56,13 +56,19 @@
 
 impl Core {
     /// Begins from what the disk holds; `seeds` found, once.
-    pub fn new(me: Node, begin: Begin<PersistentState>, seeds: &[Node], tolerate: usize, flaw: Flaw) -> Core {
-        let Begin { now, run, seed, kept, used, disk } = begin;
-        disk.lies = if flaw == Flaw::DiskLies { 0.6 } else { 0.0 };
-        let bootstrap = !used || flaw == Flaw::WipedFounds;
+    pub fn new(
+        me: Node,
+        context: StartContext<PersistentState>,
+        seeds: &[Node],
+        tolerate: usize,
+        flaw: Flaw,
+    ) -> Core {
+        let StartContext { now, run_id, seed, saved_state, disk_written, disk } = context;
+        disk.write_delay = if flaw == Flaw::DiskLies { 0.6 } else { 0.0 };
+        let bootstrap = !disk_written || flaw == Flaw::WipedFounds;
         let queen =
-            Replica::new(now, Settings { me, seeds: seeds.to_vec(), bootstrap, seed, tolerate }, kept);
-        let swarm = lupinledge_membership::Settings::new(me, run, card(me, true), seeds.to_vec(), seed);
+            Replica::new(now, Settings { me, seeds: seeds.to_vec(), bootstrap, seed, tolerate }, saved_state);
+        let swarm = lupinledge_membership::Settings::new(me, run_id, card(me, true), seeds.to_vec(), seed);
         Core {
             queen,
             spread: Disseminator::new(now, swarm, false),
@@ -143,7 +149,7 @@
             }
             Say::Queen(msg) => {
                 if matches!(msg, Msg::LearnReply { .. }) {
-                    out.push(Order::Tell(Told::Learnt));
+                    out.push(Effect::Observe(Told::Learnt));
                 }
                 self.turn(now, out, |queen, out| queen.handle_message(now, from, msg, out));
             }
@@ -152,7 +158,7 @@
                 self.gather(now, epoch, (from, incarnation), &told, out)
             }
             Say::Clock if self.queen.leading_epoch(now).is_some() => {
-                out.push(Order::Cast(from, Say::ClockIs))
+                out.push(Effect::SendDatagram(from, Say::ClockIs))
             }
             Say::Clock | Say::ClockIs | Say::Hold { .. } | Say::Counted { .. } | Say::Command(..) => {}
         }
@@ -174,8 +180,8 @@
                         Msg::HeartbeatOk { epoch, .. } => Some((*epoch, false)),
                         _ => None,
                     };
-                    out.extend(stands.map(|(epoch, kept)| Order::Tell(Told::Stands { epoch, kept })));
-                    out.push(Order::Cast(to, Say::Queen(msg)));
+                    out.extend(stands.map(|(epoch, kept)| Effect::Observe(Told::Stands { epoch, kept })));
+                    out.push(Effect::SendDatagram(to, Say::Queen(msg)));
                 }
                 Ordered::Save(ticket, mut kept) => {
                     if self.flaw == Flaw::PromiseUnsaved {
@@ -185,7 +191,7 @@
                         let now = kept.clone();
                         kept = self.before.replace(now).unwrap_or(kept);
                     }
-                    out.push(Order::Save(ticket, kept));
+                    out.push(Effect::Save(ticket, kept));
                 }
                 Ordered::Committed(ballot, value) => {
                     let document = match value.body.is_empty() {
@@ -199,9 +205,9 @@
                         self.told = bytes.expect("a document can be written").into();
                         self.agreed = Some((ballot, Rc::new(document)));
                     }
-                    out.push(Order::Tell(Told::Committed(ballot, value)));
+                    out.push(Effect::Observe(Told::Committed(ballot, value)));
                 }
-                Ordered::BecameLeader(epoch) => out.push(Order::Tell(Told::Won(epoch))),
+                Ordered::BecameLeader(epoch) => out.push(Effect::Observe(Told::Won(epoch))),
                 Ordered::LostLeadership => {}
                 Ordered::Done { ticket, outcome } => self.settled(now, ticket, outcome, out),
             }
@@ -246,7 +252,7 @@
                 self.callers.insert(caller, (id, now + ANSWER_WAIT));
                 self.next(now, out);
             }
-            None => out.push(Order::Tell(Told::Replied(id, Reply::Later))),
+            None => out.push(Effect::Observe(Told::Replied(id, Reply::Later))),
         }
     }
 
@@ -263,7 +269,7 @@
         for caller in tired {
             self.turns.gone(caller);
             let id = self.callers.remove(&caller).map(|caller| caller.0);
-            out.extend(id.map(|id| Order::Tell(Told::Replied(id, Reply::Later))));
+            out.extend(id.map(|id| Effect::Observe(Told::Replied(id, Reply::Later))));
         }
         if self.flaw == Flaw::TurnTimed && self.turns.busy() && !self.turns.wanted() {
             self.turns.end();
@@ -273,7 +279,7 @@
 
     fn reply(&mut self, ids: Option<Vec<u64>>, reply: Reply, out: &mut Out) {
         let ids = ids.unwrap_or_else(|| self.ended());
-        out.extend(ids.into_iter().map(|id| Order::Tell(Told::Replied(id, reply.clone()))));
+        out.extend(ids.into_iter().map(|id| Effect::Observe(Told::Replied(id, reply.clone()))));
     }
 
     /// The change whose turn it was is settled, or there is only something to be said; returns who is to be told.
--- a/simulation/src/counts.rs
+++ b/simulation/src/counts.rs
@@ -3,7 +3,7 @@
 use crate::core::Core;
 use crate::edge::{NAMES, NAME_LIFE};
 use crate::process::{Out, Say, Told};
-use crate::world::Order;
+use crate::world::Effect;
 use crate::Flaw;
 use lupinledge_counters::handover::{HandoverEntry as Sum, HandoverPart};
 use lupinledge_counters::holder::{Answer, GatewayStatus, HandoverStatus};
@@ -40,7 +40,7 @@
         match look {
             HandoverStatus::Serving(_) if self.flaw == Flaw::CountsAsked => {}
             HandoverStatus::Serving(nodes) | HandoverStatus::Collecting(nodes) => {
-                out.extend(nodes.into_iter().map(|node| Order::Cast(node, Say::Hold { epoch })));
+                out.extend(nodes.into_iter().map(|node| Effect::SendDatagram(node, Say::Hold { epoch })));
             }
             HandoverStatus::Completed(answers, _) => {
                 answers.into_iter().for_each(|answer| self.answer(epoch, answer, out));
@@ -51,9 +51,9 @@
     fn answer(&mut self, epoch: u64, Answer { from, tag, totals }: Answer, out: &mut Out) {
         let totals: Vec<f64> = totals.into_iter().map(|total| total.counted).collect();
         for (name, total) in NAMES.into_iter().zip(&totals) {
-            out.push(Order::Tell(Told::Total { epoch, name, total: *total }));
+            out.push(Effect::Observe(Told::Total { epoch, name, total: *total }));
         }
-        out.push(Order::Send(from.0, Say::Counted { tag, epoch, totals }));
+        out.push(Effect::SendReliable(from.0, Say::Counted { tag, epoch, totals }));
     }
 
     /// What was told for another epoch that this process held, and waited, is none.
@@ -61,8 +61,8 @@
         let Some(epoch) = self.hold(now).filter(|epoch| *epoch == of) else { return };
         let before = self.duty.counters().is_some_and(|counters| !counters.is_complete());
         for sum in told {
-            out.push(Order::Tell(Told::Put { epoch, from, name: sum.name, sum: sum.sum }));
-            out.push(Order::Tell(Told::Gathered { epoch, from, told: *sum, before }));
+            out.push(Effect::Observe(Told::Put { epoch, from, name: sum.name, sum: sum.sum }));
+            out.push(Effect::Observe(Told::Gathered { epoch, from, told: *sum, before }));
         }
         if self.flaw != Flaw::CountsDeaf {
             self.duty.receive_handover(now, epoch, from, &HandoverPart::single(told.to_vec()));
@@ -79,10 +79,11 @@
         out: &mut Out,
     ) {
         let Some(epoch) = self.hold(now) else {
-            return out.push(Order::Send(from.0, Say::Counted { tag, epoch: 0, totals: Vec::new() }));
+            return out
+                .push(Effect::SendReliable(from.0, Say::Counted { tag, epoch: 0, totals: Vec::new() }));
         };
         for (name, sum) in calls {
-            out.push(Order::Tell(Told::Put { epoch, from, name: *name, sum: *sum }));
+            out.push(Effect::Observe(Told::Put { epoch, from, name: *name, sum: *sum }));
         }
         let calls = calls.iter().map(|(name, sum)| (*name, *sum, NAME_LIFE));
         if let Some(totals) = self.duty.apply_call(now, from, tag, calls) {
--- a/simulation/src/cuts.rs
+++ b/simulation/src/cuts.rs
@@ -199,7 +199,7 @@
 
     fn pass(&mut self, span: f64) {
         let end = self.site.world.now + span;
-        while self.site.world.now < end && self.site.world.watch.broken.is_none() {
+        while self.site.world.now < end && self.site.world.observer.broken.is_none() {
             if self.site.world.now >= self.next {
                 self.next = self.site.world.now + EACH;
                 self.order();
@@ -213,7 +213,7 @@
             if leaders != self.leaders {
                 (self.leaders, self.moved) = (leaders, self.site.world.now);
             }
-            let answers = self.site.world.watch.replies.replace(Vec::new()).unwrap_or_default();
+            let answers = self.site.world.observer.replies.replace(Vec::new()).unwrap_or_default();
             answers.into_iter().for_each(|(at, node, id, reply)| self.answered(at, node, id, reply));
         }
     }
@@ -229,7 +229,7 @@
             let span = self.site.world.now - died;
             self.seen.named = self.seen.named.max(span);
             if span > NAMED {
-                self.site.world.watch.wrong(format!("{node} names {edge}, which died {span:.2} s ago"));
+                self.site.world.observer.wrong(format!("{node} names {edge}, which died {span:.2} s ago"));
             }
         }
     }
@@ -237,11 +237,11 @@
     /// An operator's next order, at any member.
     fn order(&mut self) {
         let node = self.site.core(self.rng.u8(..));
-        let newest = self.site.world.watch.version(0);
+        let newest = self.site.world.observer.version(0);
         let zone = ZONES[self.rng.usize(..ZONES.len())];
         let command = match self.rng.u32(..8) {
             0..3 => self.site.config(newest),
-            3 => self.site.config(self.site.world.watch.version(1)),
+            3 => self.site.config(self.site.world.observer.version(1)),
             4..6 => Command::Get,
             6 => Command::Evacuate(zone),
             _ => Command::Restore(zone),
@@ -262,7 +262,7 @@
         match reply {
             Reply::GossipMessage(_) if off => {
                 let text = format!("{node} says what only the whole can, without reaching a majority");
-                self.site.world.watch.wrong(text);
+                self.site.world.observer.wrong(text);
             }
             Reply::GossipMessage(_) => {
                 self.seen.said += u64::from(cut);
@@ -282,7 +282,7 @@
                 if at - self.moved > CALM {
                     self.site
                         .world
-                        .watch
+                        .observer
                         .wrong(format!("a caller is sent on a third time, by {node} to {to}"));
                 }
             }
@@ -295,7 +295,7 @@
         self.seen.stale = self.seen.stale.max(led);
         if led > LED {
             let text = format!("{node} sends callers to {to}, which does not lead and led {led:.2} s ago");
-            self.site.world.watch.wrong(text);
+            self.site.world.observer.wrong(text);
         }
     }
 
@@ -331,7 +331,7 @@
         // all but the edge nodes that are cut off stay in touch, once the core has come to itself
         self.site.rough(AGAIN);
         for edge in off.iter().filter(|node| self.site.edges.contains(node)) {
-            self.site.world.watch.rough.insert(*edge, now + FOR);
+            self.site.world.observer.rough.insert(*edge, now + FOR);
         }
         self.open = Some(now);
         (off, rest)
@@ -360,13 +360,13 @@
     }
 
     fn play(&mut self, cut: &Cut) {
-        let calm = |site: &mut Site| site.leaders().len() == 1 && site.world.watch.seen.acks > 0;
+        let calm = |site: &mut Site| site.leaders().len() == 1 && site.world.observer.seen.acks > 0;
         let begun = self.site.world.now;
         while !calm(self.site) && self.site.world.now < begun + AGAIN {
             self.pass(0.1);
         }
         if let Some(span) = cut.before {
-            let put = self.site.config(self.site.world.watch.version(0));
+            let put = self.site.config(self.site.world.observer.version(0));
             let node = self.site.core(self.rng.u8(..));
             self.call(node, put, 0);
             self.pass(span);
@@ -395,10 +395,10 @@
         if let Some(since) = self.open.filter(|since| self.site.world.now - since > AGAIN) {
             let text =
                 format!("those with a majority take no orders, {} s after", self.site.world.now - since);
-            self.site.world.watch.wrong(text);
+            self.site.world.observer.wrong(text);
         }
         if self.seen.again > AGAIN {
-            self.site.world.watch.wrong(format!("orders are taken again after {} s", self.seen.again));
+            self.site.world.observer.wrong(format!("orders are taken again after {} s", self.seen.again));
         }
         self.open = None;
         self.site.rough(2.0 * GRAIN);
@@ -414,7 +414,7 @@
 /// Plays a day, and returns what was wrong first.
 pub fn play_cut(plan: &CutPlan, flaw: Flaw) -> Result<CutSeen, String> {
     let mut site = Site::new(&plan.site, flaw);
-    site.world.watch.replies = Some(Vec::new());
+    site.world.observer.replies = Some(Vec::new());
     let mut day = Day {
         rng: Rng::with_seed(plan.site.seed),
         seen: CutSeen::default(),
@@ -429,15 +429,15 @@
         site: &mut site,
     };
     for cut in &plan.cuts {
-        if day.site.world.watch.broken.is_none() {
+        if day.site.world.observer.broken.is_none() {
             day.play(cut);
         }
     }
     let seen = day.seen;
-    if site.world.watch.broken.is_none() {
+    if site.world.observer.broken.is_none() {
         end(&mut site);
     }
-    match site.world.watch.broken.take() {
+    match site.world.observer.broken.take() {
         Some(what) => {
             Err(format!("seed {} at {:.3} s: {what}; {:?}", plan.site.seed, site.world.now, plan.cuts))
         }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -2,7 +2,7 @@
 
 use crate::patched;
 use crate::process::{card, send, Out, Say, Told};
-use crate::world::{Begin, Order};
+use crate::world::{Effect, StartContext};
 use crate::{Flaw, Node};
 use lupinledge_config::Document;
 use lupinledge_consensus::{Ballot, PersistentState};
@@ -56,9 +56,9 @@
 
 impl Edge {
     /// Begins with nothing.
-    pub fn new(me: Node, begin: Begin<PersistentState>, seeds: &[Node], flaw: Flaw) -> Edge {
-        let Begin { now, run, seed, .. } = begin;
-        let swarm = lupinledge_membership::Settings::new(me, run, card(me, false), seeds.to_vec(), seed);
+    pub fn new(me: Node, context: StartContext<PersistentState>, seeds: &[Node], flaw: Flaw) -> Edge {
+        let StartContext { now, run_id, seed, .. } = context;
+        let swarm = lupinledge_membership::Settings::new(me, run_id, card(me, false), seeds.to_vec(), seed);
         Edge {
             spread: Disseminator::new(now, swarm, true),
             document: None,
@@ -66,7 +66,7 @@
             flaw,
             took: f64::NEG_INFINITY,
             old: patched::Old::new(),
-            incarnation: run as u32,
+            incarnation: run_id as u32,
             own: LocalSums::default(),
             holder: (0, 0),
             seeds: seeds.to_vec(),
@@ -97,7 +97,7 @@
             self.clock_at = if now < self.began + CLOCK_WAIT { now + CLOCK } else { f64::INFINITY };
             let holder = Some(self.holder.1).filter(|node| *node != 0 && !self.seeds.contains(node));
             let asked = self.seeds.iter().copied().chain(holder);
-            out.extend(asked.map(|node| Order::Cast(node, Say::Clock)));
+            out.extend(asked.map(|node| Effect::SendDatagram(node, Say::Clock)));
         }
         self.show(now, out);
     }
@@ -158,7 +158,7 @@
         if !self.ready && known && self.holder.1 != 0 {
             self.ready = true;
             self.spread.set_card(|card| card.ready = true);
-            out.push(Order::Tell(Told::Ready));
+            out.push(Effect::Observe(Told::Ready));
         }
     }
 
@@ -169,14 +169,14 @@
         };
         let (ballot, document) = (Ballot { epoch, index }, Rc::new(document));
         self.document = Some((ballot, document.clone()));
-        out.push(Order::Tell(Told::Took(ballot, document)));
+        out.push(Effect::Observe(Told::Took(ballot, document)));
     }
 
     /// Tells a new holder what the one before was told.
     fn tell(&self, now: f64, out: &mut Out) {
         let told = self.own.handover(now);
         let (epoch, holder) = self.holder;
-        out.push(Order::Send(holder, Say::Told { epoch, incarnation: self.incarnation, told }));
+        out.push(Effect::SendReliable(holder, Say::Told { epoch, incarnation: self.incarnation, told }));
     }
 
     /// Adds one to each counter at the holder.
@@ -187,7 +187,7 @@
         let mut sums = Vec::new();
         for name in NAMES {
             sums.push(self.own.add(now, name, 1.0, NAME_LIFE).expect("there is room"));
-            out.push(Order::Tell(Told::Added { name, amount: 1.0 }));
+            out.push(Effect::Observe(Told::Added { name, amount: 1.0 }));
         }
         self.tag += 1;
         if self.calls.len() == WAITING_MOST {
@@ -196,7 +196,7 @@
         let (tag, to, incarnation) = (self.tag, self.holder.1, self.incarnation);
         let calls = NAMES.into_iter().zip(sums.iter().copied()).collect();
         self.calls.push_back(Call { tag, to, sums });
-        out.push(Order::Send(to, Say::Count { tag, incarnation, calls }));
+        out.push(Effect::SendReliable(to, Say::Count { tag, incarnation, calls }));
     }
 
     fn counted(&mut self, now: f64, (from, tag): (Node, u64), epoch: u64, totals: &[f64], out: &mut Out) {
@@ -207,7 +207,7 @@
             for ((name, total), sum) in totals.iter().zip(&call.sums) {
                 self.own.record_total(now, *name, *sum, Total { counted: *total, level: None });
             }
-            out.push(Order::Tell(Told::Counted { epoch, totals }));
+            out.push(Effect::Observe(Told::Counted { epoch, totals }));
         }
     }
 }
--- a/simulation/src/faults.rs
+++ b/simulation/src/faults.rs
@@ -16,7 +16,7 @@
 impl Site {
     /// Plays one step.
     pub fn step(&mut self, step: &Step) {
-        let newest = self.world.watch.version(0);
+        let newest = self.world.observer.version(0);
         match *step {
             Step::Put(place) => {
                 let put = self.config(newest);
@@ -28,7 +28,7 @@
                 self.ask(other, b);
             }
             Step::Late(place) => {
-                let put = self.config(self.world.watch.version(1));
+                let put = self.config(self.world.observer.version(1));
                 self.ask(place, put);
             }
             Step::Again(place) => {
@@ -60,7 +60,7 @@
             }
             Step::Refuse(place, each) => {
                 let node = self.core(place);
-                self.world.machines.entry(node).and_modify(|m| m.disk.refuses = u64::from(each));
+                self.world.machines.entry(node).and_modify(|m| m.disk.fail_one_in = u64::from(each));
                 self.rough(1e3);
             }
             Step::Replace(place) => self.replace(self.core(place)),
@@ -86,7 +86,7 @@
             }
             Step::Weather(loss, late, span) => {
                 let span = f64::from(span) / 1000.0;
-                (self.world.net.loss, self.world.net.late) = (loss.into(), late.into());
+                (self.world.net.loss_percent, self.world.net.late_percent) = (loss.into(), late.into());
                 self.heal_at.1 = self.world.now + span;
                 self.rough(span + LOOK);
             }
@@ -95,13 +95,13 @@
             Step::FreezeEdge(place, span) => {
                 let (node, span) = (self.edge(place), f64::from(span) / 1000.0);
                 self.world.freeze(node, span);
-                self.world.watch.rough.insert(node, self.world.now + span);
+                self.world.observer.rough.insert(node, self.world.now + span);
             }
             Step::Calm => {
                 self.calm();
                 self.pass(CONTACT_AND);
                 for _ in 0..6 {
-                    let put = self.config(self.world.watch.version(0));
+                    let put = self.config(self.world.observer.version(0));
                     self.ask(None, put);
                     self.pass(0.7);
                 }
@@ -120,7 +120,7 @@
         self.world.net.cut(&[holder], &later);
         self.pass(RUSH_AFTER);
         for _ in 0..RUSH {
-            let put = self.config(self.world.watch.version(0));
+            let put = self.config(self.world.observer.version(0));
             self.ask(None, put);
             self.ask(None, Command::Get);
             self.pass(RUSH_EACH);
@@ -130,7 +130,7 @@
     pub(crate) fn kill_edge(&mut self, node: Node) {
         if let Some(edge) = self.world.process(node).and_then(Process::edge) {
             let incarnation = edge.incarnation;
-            self.world.watch.sums.ended((node, incarnation));
+            self.world.observer.sums.ended((node, incarnation));
         }
         self.world.kill(node);
     }
@@ -143,7 +143,7 @@
     fn wipe(&mut self, node: Node) {
         if self.weak() < self.tolerate && self.settled() {
             self.world.wipe(node);
-            self.world.watch.wiped(node);
+            self.world.observer.wiped(node);
             self.rough(0.0);
         }
     }
--- a/simulation/src/leaving.rs
+++ b/simulation/src/leaving.rs
@@ -63,7 +63,7 @@
             let left = process.is_some_and(|core| core.queen.can_stop());
             let ended = leaver.told && process.is_none();
             // who lost its disk goes at once, as it counts as lost already, and so does who knows of no successor yet
-            let newest = self.world.watch.newest().map(|newest| newest.0);
+            let newest = self.world.observer.newest().map(|newest| newest.0);
             let knows = process.and_then(|core| core.queen.committed()).map(|(ballot, _)| ballot.index);
             let knows = knows == newest && process.is_some_and(|core| !core.queen.is_learning());
             if !leaver.told && now >= leaver.at && process.is_some() {
@@ -97,14 +97,14 @@
         let most = 2 * self.tolerate + 1;
         if in_order && members.contains(&node) && members.len() > most {
             let text = format!("{node} left in order and still counts among {members:?}");
-            self.world.watch.wrong(text);
+            self.world.observer.wrong(text);
         }
     }
 
     /// Those that were told go, others stay.
     pub(crate) fn end_leaves(&mut self) {
         self.leavers.retain(|leaver| leaver.told);
-        while !self.leavers.is_empty() && self.world.watch.broken.is_none() {
+        while !self.leavers.is_empty() && self.world.observer.broken.is_none() {
             self.pass(LOOK);
         }
     }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,7 +1,7 @@
 //! The system's pure parts together in one process, on virtual time, with faults of machines, disks and network,
 //! and a slow plain model that says what must hold; for tests alone. See `docs/model.md`.
 //!
-//! [`World`] with [`Net`] and [`Disk`] drives any state machines ([`Life`]). [`Life`]s of the whole system are
+//! [`World`] with [`Net`] and [`Disk`] drives any state machines ([`StateMachine`]). [`StateMachine`]s of the whole system are
 //! [`core::Core`] and [`edge::Edge`]; [`Site`] plays a schedule ([`Plan`]) of faults and orders against them, and
 //! [`Truth`] checks what they say and do. [`Flaw`]s are planted to see that the checks catch them.
 
@@ -33,7 +33,7 @@
 pub use play::{play, report, Course};
 pub use site::Site;
 pub use truth::{Seen, Truth};
-pub use world::{Begin, Life, Machine, Order, Watch, World};
+pub use world::{Effect, Machine, Observer, StartContext, StateMachine, World};
 
 /// The id of a process: the IPv4 address of its machine as a number.
 pub type Node = lupinledge_consensus::Node;
--- a/simulation/src/play.rs
+++ b/simulation/src/play.rs
@@ -28,18 +28,19 @@
     let mut site = Site::new(plan, flaw);
     for (wait, step) in &plan.steps {
         site.pass(f64::from(*wait) / 1000.0);
-        if site.world.watch.broken.is_some() {
+        if site.world.observer.broken.is_some() {
             break;
         }
         site.step(step);
     }
-    if site.world.watch.broken.is_none() {
+    if site.world.observer.broken.is_none() {
         end(&mut site);
     }
-    match site.world.watch.broken.take() {
+    match site.world.observer.broken.take() {
         Some(what) => Err(format!("at {:.3} s: {what}", site.world.now)),
         None => {
-            let (seen, seconds, words) = (site.world.watch.seen, site.world.now, site.world.net.words);
+            let (seen, seconds, words) =
+                (site.world.observer.seen, site.world.now, site.world.net.messages_sent);
             Ok(Course { seen, seconds, words })
         }
     }
@@ -48,52 +49,52 @@
 /// Lets the time pass until `done`.
 pub(crate) fn until(site: &mut Site, most: f64, mut done: impl FnMut(&mut Site) -> bool) -> bool {
     let end = site.world.now + most;
-    while site.world.now < end && site.world.watch.broken.is_none() {
+    while site.world.now < end && site.world.observer.broken.is_none() {
         if done(site) {
             return true;
         }
         site.pass(0.1);
     }
-    site.world.watch.broken.is_some() || done(site)
+    site.world.observer.broken.is_some() || done(site)
 }
 
 /// Calm: service comes back, all become of one mind, and a change reaches everybody, newcomers too.
 pub(crate) fn end(site: &mut Site) {
     site.calm();
-    let acks = site.world.watch.seen.acks;
+    let acks = site.world.observer.seen.acks;
     let back = until(site, BACK, |site| {
-        let put = site.config(site.world.watch.version(0));
+        let put = site.config(site.world.observer.version(0));
         site.ask(None, put);
-        site.world.watch.seen.acks > acks
+        site.world.observer.seen.acks > acks
     });
     if !back {
-        return site.world.watch.wrong(format!("no service {BACK} s after calm"));
+        return site.world.observer.wrong(format!("no service {BACK} s after calm"));
     }
     if !until(site, WHOLE, |site| apart(site).is_none()) {
         let apart = apart(site).unwrap_or_default();
-        return site.world.watch.wrong(format!("not of one mind {WHOLE} s after calm: {apart}"));
+        return site.world.observer.wrong(format!("not of one mind {WHOLE} s after calm: {apart}"));
     }
     if !until(site, SIGHT, |site| blind(site).is_none()) {
         let blind = blind(site).unwrap_or_default();
-        return site.world.watch.wrong(format!("not all seen {SIGHT} s after calm: {blind}"));
+        return site.world.observer.wrong(format!("not all seen {SIGHT} s after calm: {blind}"));
     }
     site.pass(crate::truth::CONTACT);
     let last = site.edges[site.edges.len() - 1];
     site.kill_edge(last);
-    let put = site.config(site.world.watch.version(0));
+    let put = site.config(site.world.observer.version(0));
     site.ask(None, put);
     site.pass(crate::truth::APPLY + 0.5);
     site.edges.push(last + 10);
     site.step(&crate::Step::StartEdges);
     if !until(site, crate::truth::CONTACT, |site| apart(site).is_none()) {
         let apart = apart(site).unwrap_or_default();
-        site.world.watch.wrong(format!("not of one mind after one more change: {apart}"));
+        site.world.observer.wrong(format!("not of one mind after one more change: {apart}"));
     }
 }
 
 /// Who is not where all should be once it is calm.
 pub(crate) fn apart(site: &Site) -> Option<String> {
-    let (newest, ..) = site.world.watch.newest()?;
+    let (newest, ..) = site.world.observer.newest()?;
     let all: Vec<Node> = site.cores.iter().chain(&site.edges).copied().collect();
     for &node in &all {
         let index = match site.world.process(node) {
--- a/simulation/src/process.rs
+++ b/simulation/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::core::Core;
 use crate::edge::Edge;
-use crate::world::{Life as Lives, Order};
+use crate::world::{Effect, StateMachine};
 use crate::Node;
 use lupinledge_config::{Answer, Document};
 use lupinledge_consensus::{Ballot, Msg, PersistentState, Value};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 /// Orders to a process.
-pub type Out = Vec<Order<Process>>;
+pub type Out = Vec<Effect<Process>>;
 
 /// An operator's order, owned.
 #[derive(Clone, Debug, PartialEq)]
@@ -76,8 +76,8 @@
 /// Puts the words of membership and news on their ways.
 pub fn send(sends: Outgoing, out: &mut Out) {
     out.extend(sends.into_iter().map(|(to, said)| match said {
-        GossipMessage::Probe(_) => Order::Cast(to, Say::Spread(said)),
-        _ => Order::Send(to, Say::Spread(said)),
+        GossipMessage::Probe(_) => Effect::SendDatagram(to, Say::Spread(said)),
+        _ => Effect::SendReliable(to, Say::Spread(said)),
     }));
 }
 
@@ -143,10 +143,10 @@
     }
 }
 
-impl Lives for Process {
-    type Word = Say;
-    type Kept = PersistentState;
-    type Told = Told;
+impl StateMachine for Process {
+    type Message = Say;
+    type SavedState = PersistentState;
+    type Observation = Told;
 
     fn tick(&mut self, now: f64, out: &mut Out) {
         match self {
@@ -155,7 +155,7 @@
         }
     }
 
-    fn heard(&mut self, now: f64, from: Node, say: Say, out: &mut Out) {
+    fn handle_message(&mut self, now: f64, from: Node, say: Say, out: &mut Out) {
         match (self, say) {
             (Process::Core(core), Say::Command(id, command)) => core.command(now, id, command, out),
             (Process::Core(core), say) => core.heard(now, from, say, out),
@@ -163,7 +163,7 @@
         }
     }
 
-    fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Out) {
+    fn save_finished(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Out) {
         if let Process::Core(core) = self {
             core.saved(now, ticket, ok, out);
         }
--- a/simulation/src/resends.rs
+++ b/simulation/src/resends.rs
@@ -155,7 +155,7 @@
                 }
                 // a few numbers for many: two often pick the same
                 _ => {
-                    let base = site.world.watch.version(usize::from(self.rng.usize(..12) == 0));
+                    let base = site.world.observer.version(usize::from(self.rng.usize(..12) == 0));
                     let version = base + 1 + self.rng.u64(..2);
                     self.nth += 1;
                     self.tally.orders += 1;
@@ -172,13 +172,13 @@
         for order in self.open.iter_mut().filter(|order| order.next <= now) {
             let any = site.cores[self.rng.usize(..site.cores.len())];
             let to = order.to.take().unwrap_or(any);
-            let id = site.world.number();
+            let id = site.world.next_id();
             let lost = !self.calm && self.rng.u32(..100) < LOST;
             order.tries.push(Try { id, at: now, lost, seen: false });
             order.next = now + SILENCE + PAUSE * self.rng.f64();
             self.tally.tries += 1;
-            site.world.watch.asked(id, order.command.clone());
-            site.world.post(OPERATOR, to, Say::Command(id, order.command.clone()), true);
+            site.world.observer.asked(id, order.command.clone());
+            site.world.send(OPERATOR, to, Say::Command(id, order.command.clone()), true);
         }
     }
 
@@ -189,12 +189,12 @@
         for order in &mut orders {
             for nth in 0..order.tries.len() {
                 let Try { id, at, lost, seen } = order.tries[nth];
-                let Some(reply) = site.world.watch.answers.get(&id).filter(|_| !seen).cloned() else {
+                let Some(reply) = site.world.observer.answers.get(&id).filter(|_| !seen).cloned() else {
                     continue;
                 };
                 order.tries[nth].seen = true;
                 if let Reply::GossipMessage(answer) = &reply {
-                    let newest = site.world.watch.version(0);
+                    let newest = site.world.observer.version(0);
                     self.judged(order, nth, answer, newest)?;
                     if let Some(zone) = about(&order.command).filter(|_| order.clear) {
                         self.tally.late += 1;
@@ -254,7 +254,7 @@
 
     /// What is in force, against what was said.
     fn truth(&self, site: &Site) -> Result<(), String> {
-        let truth = &site.world.watch;
+        let truth = &site.world.observer;
         if let Some(body) = truth.bodies().find(|body| self.refused.contains(*body)) {
             let text = String::from_utf8_lossy(&body[..body.len().min(50)]).into_owned();
             return Err(format!("refused, and in force: {text}"));
@@ -323,7 +323,7 @@
     let mut operators = Operators::new(seed);
     let mut rng = Rng::with_seed(seed ^ 0x0074_726f_7562_6c65);
     let (ends, mut next) = (10.0 + rng.f64() * 20.0, 3.0);
-    let broken = |site: &mut Site, now: f64| match site.world.watch.broken.take() {
+    let broken = |site: &mut Site, now: f64| match site.world.observer.broken.take() {
         Some(what) => Err(format!("seed {seed}, at {now:.3} s: {what}")),
         None => Ok(()),
     };
--- a/simulation/src/site.rs
+++ b/simulation/src/site.rs
@@ -81,8 +81,8 @@
             if self.world.process(node).is_none() {
                 let seeds = self.own_seeds.get(&node).unwrap_or(&self.seeds);
                 let (tolerate, flaw) = (self.tolerate, self.flaw);
-                self.world.start(node, |begin| {
-                    Process::Core(Box::new(Core::new(node, begin, seeds, tolerate, flaw)))
+                self.world.start(node, |context| {
+                    Process::Core(Box::new(Core::new(node, context, seeds, tolerate, flaw)))
                 });
                 self.rough(0.0);
             }
@@ -93,7 +93,8 @@
         for node in self.edges.clone() {
             if self.world.process(node).is_none() {
                 let (seeds, flaw) = (self.own_seeds.get(&node).unwrap_or(&self.cores), self.flaw);
-                self.world.start(node, |begin| Process::Edge(Box::new(Edge::new(node, begin, seeds, flaw))));
+                self.world
+                    .start(node, |context| Process::Edge(Box::new(Edge::new(node, context, seeds, flaw))));
             }
         }
     }
@@ -101,25 +102,26 @@
     /// There is trouble of the core or the network for so long from now on.
     pub(crate) fn rough(&mut self, span: f64) {
         let until = self.world.now + span;
-        let truth = &mut self.world.watch;
+        let truth = &mut self.world.observer;
         truth.rough_until = truth.rough_until.max(until);
     }
 
     /// The newest members that was committed anywhere; the founding one before.
     pub(crate) fn members(&self) -> BTreeSet<Node> {
-        let newest = self.world.watch.newest();
+        let newest = self.world.observer.newest();
         newest.map_or(&self.seeds, |(_, value, _)| &value.members).iter().copied().collect()
     }
 
     /// Members whose disk is empty or not learnt anew yet, or which are lost.
     pub(crate) fn weak(&self) -> usize {
-        let empty = |node| self.world.machines.get(node).is_none_or(|machine| machine.disk.kept.is_none());
+        let empty =
+            |node| self.world.machines.get(node).is_none_or(|machine| machine.disk.saved_state.is_none());
         self.members().iter().filter(|&node| !self.cores.contains(node) || empty(node)).count()
     }
 
     /// Do just those count that are there, and does no change of the members go on?
     pub(crate) fn settled(&self) -> bool {
-        let joined = self.world.watch.newest().is_some_and(|(_, value, _)| value.outgoing.is_empty());
+        let joined = self.world.observer.newest().is_some_and(|(_, value, _)| value.outgoing.is_empty());
         joined && self.members() == self.cores.iter().copied().collect()
     }
 
@@ -132,12 +134,12 @@
     /// Lets the time pass, and looks at the edge nodes.
     pub fn pass(&mut self, span: f64) {
         let end = self.world.now + span;
-        while self.world.now < end && self.world.watch.broken.is_none() {
+        while self.world.now < end && self.world.observer.broken.is_none() {
             let armed = self.trip_until > self.world.now;
             let next = if armed { GRAIN } else { LOOK }.min(end - self.world.now);
-            self.world.watch.turned = None;
+            self.world.observer.turned = None;
             self.world.run(next);
-            if let Some(node) = self.world.watch.turned.filter(|_| armed) {
+            if let Some(node) = self.world.observer.turned.filter(|_| armed) {
                 self.trip_until = 0.0;
                 self.kill(node);
                 self.start_cores();
@@ -147,7 +149,7 @@
                 self.world.net.cuts.clear();
             }
             if now >= self.heal_at.1 {
-                (self.world.net.loss, self.world.net.late) = (1, 0);
+                (self.world.net.loss_percent, self.world.net.late_percent) = (1, 0);
             }
             self.carry_out_leaves();
             self.look();
@@ -157,18 +159,18 @@
     /// An edge node in touch follows what was acknowledged.
     fn look(&mut self) {
         let now = self.world.now;
-        if !self.world.watch.calm(now) {
+        if !self.world.observer.calm(now) {
             return;
         }
-        let needed = self.world.watch.needed(now);
+        let needed = self.world.observer.needed(now);
         for node in &self.edges {
             let Some(machine) = self.world.machines.get(node) else { continue };
-            let Some(edge) = machine.life.as_ref().and_then(Process::edge) else { continue };
-            let touch = self.world.watch.touch(now, *node);
+            let Some(edge) = machine.process.as_ref().and_then(Process::edge) else { continue };
+            let touch = self.world.observer.touch(now, *node);
             let held = edge.document.as_ref().map_or(0, |document| document.0.index);
             if touch && edge.ready && held < needed {
                 let text = format!("{node} is in touch and holds {held}, but {needed} was acknowledged");
-                return self.world.watch.wrong(text);
+                return self.world.observer.wrong(text);
             }
         }
     }
@@ -191,9 +193,9 @@
 
     /// Sends a command to a machine; returns its number.
     pub(crate) fn order(&mut self, node: Node, command: Command) -> u64 {
-        let id = self.world.number();
-        self.world.watch.asked(id, command.clone());
-        self.world.post(OPERATOR, node, Say::Command(id, command), true);
+        let id = self.world.next_id();
+        self.world.observer.asked(id, command.clone());
+        self.world.send(OPERATOR, node, Say::Command(id, command), true);
         id
     }
 
@@ -214,13 +216,13 @@
         let now = self.world.now;
         self.heal_at = (now, now);
         self.world.net.cuts.clear();
-        (self.world.net.loss, self.world.net.late) = (1, 0);
+        (self.world.net.loss_percent, self.world.net.late_percent) = (1, 0);
         for machine in self.world.machines.values_mut() {
             machine.frozen_until = machine.frozen_until.min(now);
             machine.disk.stalled_until = machine.disk.stalled_until.min(now);
-            machine.disk.refuses = 0;
+            machine.disk.fail_one_in = 0;
         }
-        self.world.watch.healed(now);
+        self.world.observer.healed(now);
         self.end_leaves();
         self.start();
     }
--- a/simulation/src/truth.rs
+++ b/simulation/src/truth.rs
@@ -3,7 +3,7 @@
 use crate::flaw::memory;
 use crate::process::{Command, Process, Reply, Told};
 use crate::sums::Sums;
-use crate::world::Watch;
+use crate::world::Observer;
 use crate::Node;
 use lupinledge_config::{Answer, Config, Document, Kind};
 use lupinledge_consensus::{Ballot, Value};
@@ -337,8 +337,8 @@
     }
 }
 
-impl Watch<Process> for Truth {
-    fn told(&mut self, now: f64, node: Node, run: u64, _: &Process, told: Told) {
+impl Observer<Process> for Truth {
+    fn observe(&mut self, now: f64, node: Node, run: u64, _: &Process, told: Told) {
         match told {
             Told::Committed(ballot, value) => self.committed(node, run, ballot, value),
             Told::Won(epoch) => self.won(now, node, run, epoch),
--- a/simulation/src/world.rs
+++ b/simulation/src/world.rs
@@ -1,5 +1,5 @@
-//! Machines, disks and a network in virtual time around the state machines of processes; single-threaded,
-//! and the same course for the same seed.
+//! Simulated machines, disks and network on virtual time, which drive the state machines of processes. Runs on a
+//! single thread; the same seed gives the same run.
 
 use crate::{Disk, Net, Node};
 use std::{
@@ -7,171 +7,179 @@
     collections::{BTreeMap, BinaryHeap, VecDeque},
 };
 
-/// Least span between two ticks of a driver, seconds.
-const GRAIN: f64 = 0.001;
+/// Shortest time between two ticks of a process, seconds.
+const MIN_TICK_INTERVAL: f64 = 0.001;
 
-/// One process: a state machine that is driven by the world. Times are of its own steady clock.
-pub trait Life: Sized {
-    /// What processes say to each other.
-    type Word: Clone;
-    /// What is saved.
-    type Kept: Clone;
-    /// What the watch is to see.
-    type Told;
-    /// Called at `next_wake` at the latest.
-    fn tick(&mut self, now: f64, out: &mut Vec<Order<Self>>);
-    /// A word came in.
-    fn heard(&mut self, now: f64, from: Node, word: Self::Word, out: &mut Vec<Order<Self>>);
-    /// The save with this ticket ended.
-    fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Vec<Order<Self>>);
-    /// When there is something to do next.
+/// The state machine of one process, driven by [`World`]. Its times are read from its own monotonic clock.
+pub trait StateMachine: Sized {
+    /// The messages that processes send each other.
+    type Message: Clone;
+    /// The state that the process saves to disk.
+    type SavedState: Clone;
+    /// What the process reports to the [`Observer`].
+    type Observation;
+    /// Runs timers; called no later than the time that `next_wake` returned, plus scheduling delay.
+    fn tick(&mut self, now: f64, out: &mut Vec<Effect<Self>>);
+    /// Handles a message from another process.
+    fn handle_message(&mut self, now: f64, from: Node, message: Self::Message, out: &mut Vec<Effect<Self>>);
+    /// Handles the end of the save with this ticket; `ok` is false if the save failed.
+    fn save_finished(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Vec<Effect<Self>>);
+    /// The time of the next timer.
     fn next_wake(&self) -> f64;
 }
 
-/// What a process orders.
-pub enum Order<L: Life> {
-    /// A datagram.
-    Cast(Node, L::Word),
-    /// A word by a link.
-    Send(Node, L::Word),
-    /// To be synced.
-    Save(u64, L::Kept),
-    /// For the watch.
-    Tell(L::Told),
+/// What a state machine asks the world to do.
+pub enum Effect<P: StateMachine> {
+    /// Send a datagram, which may be lost or duplicated.
+    SendDatagram(Node, P::Message),
+    /// Send a message over a connection, which retransmits it if it is lost.
+    SendReliable(Node, P::Message),
+    /// Save a state to disk; `save_finished` gets the ticket.
+    Save(u64, P::SavedState),
+    /// Report to the observer.
+    Observe(P::Observation),
 }
 
-/// Sees what processes tell, as it happens.
-pub trait Watch<L: Life> {
-    /// `run` differs from start to start of a process.
-    fn told(&mut self, now: f64, node: Node, run: u64, life: &L, told: L::Told);
+/// Checks what processes report, at the time of the report.
+pub trait Observer<P: StateMachine> {
+    /// `run_id` differs between the runs of a process.
+    fn observe(&mut self, now: f64, node: Node, run_id: u64, process: &P, observation: P::Observation);
 }
 
-/// What a process is told as it starts.
-pub struct Begin<'a, K> {
-    /// Its steady clock.
+/// What a process gets when it starts.
+pub struct StartContext<'a, S> {
+    /// The time on the process's monotonic clock.
     pub now: f64,
-    /// Greater at each start.
-    pub run: u64,
-    /// For all that is random.
+    /// Identifies this run of the process; higher at each start.
+    pub run_id: u64,
+    /// Seed of the process's random numbers.
     pub seed: u64,
-    /// What the disk holds.
-    pub kept: Option<K>,
-    /// Was the disk ever written?
-    pub used: bool,
+    /// The state on the disk.
+    pub saved_state: Option<S>,
+    /// True if the disk was ever written, even if its contents were lost since.
+    pub disk_written: bool,
     /// The machine's disk.
-    pub disk: &'a mut Disk<K>,
+    pub disk: &'a mut Disk<S>,
 }
 
-enum Input<L: Life> {
+enum Input<P: StateMachine> {
     Wake(u64),
-    Word(Node, L::Word),
-    Saved(u64, bool),
+    Message(Node, P::Message),
+    SaveFinished(u64, bool),
 }
 
-/// A machine, and the process on it if one runs.
-pub struct Machine<L: Life> {
-    /// The process.
-    pub life: Option<L>,
-    /// Its disk.
-    pub disk: Disk<L::Kept>,
-    /// The process stands still until then.
+/// A machine with its disk, and its process while that runs.
+pub struct Machine<P: StateMachine> {
+    /// The process, if it runs.
+    pub process: Option<P>,
+    /// The disk.
+    pub disk: Disk<P::SavedState>,
+    /// The process is paused until this time.
     pub frozen_until: f64,
-    /// Which run of the process; 0 if none runs.
-    pub run: u64,
-    inbox: VecDeque<Input<L>>,
+    /// Identifies the run of the process; 0 if no process runs.
+    pub run_id: u64,
+    inbox: VecDeque<Input<P>>,
     wakes: u64,
-    /// The steady clock of the process began at another moment.
-    clock: f64,
+    /// Offset of the process's monotonic clock from the world's time, seconds.
+    clock_offset: f64,
 }
 
-impl<L: Life> Default for Machine<L> {
-    fn default() -> Machine<L> {
-        let (life, disk, inbox) = (None, Disk::default(), VecDeque::new());
-        Machine { life, disk, frozen_until: 0.0, run: 0, inbox, wakes: 0, clock: 0.0 }
+impl<P: StateMachine> Default for Machine<P> {
+    fn default() -> Machine<P> {
+        let (process, disk, inbox) = (None, Disk::default(), VecDeque::new());
+        Machine { process, disk, frozen_until: 0.0, run_id: 0, inbox, wakes: 0, clock_offset: 0.0 }
     }
 }
 
-/// All of it.
-pub struct World<L: Life, W> {
-    /// Seconds since its beginning.
+/// All simulated machines, the network between them and the queue of future events.
+pub struct World<P: StateMachine, W> {
+    /// Virtual time since the start of the simulation, seconds.
     pub now: f64,
-    /// For all that is random.
+    /// Source of all random choices of the simulation.
     pub rng: fastrand::Rng,
-    /// By address.
-    pub machines: BTreeMap<Node, Machine<L>>,
-    /// The ways between them.
+    /// The machines, by address.
+    pub machines: BTreeMap<Node, Machine<P>>,
+    /// The network.
     pub net: Net,
-    /// Who checks.
-    pub watch: W,
+    /// Checks what processes report.
+    pub observer: W,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, (Node, u64, Input<L>)>,
-    count: u64,
+    events: BTreeMap<u64, (Node, u64, Input<P>)>,
+    last_id: u64,
 }
 
-impl<L: Life, W: Watch<L>> World<L, W> {
-    /// Without machines.
-    pub fn new(seed: u64, net: Net, watch: W) -> World<L, W> {
+impl<P: StateMachine, W: Observer<P>> World<P, W> {
+    /// Creates a world without machines.
+    pub fn new(seed: u64, net: Net, observer: W) -> World<P, W> {
         let rng = fastrand::Rng::with_seed(seed);
         let (machines, events, queue) = (BTreeMap::new(), BTreeMap::new(), BinaryHeap::new());
-        World { now: 0.0, rng, machines, net, watch, queue, events, count: 0 }
+        World { now: 0.0, rng, machines, net, observer, queue, events, last_id: 0 }
     }
 
-    /// Starts the process of a machine, which is put up if it's new.
-    pub fn start(&mut self, node: Node, make: impl FnOnce(Begin<L::Kept>) -> L) {
-        let run = self.number();
-        let clock = self.rng.f64() * 1e5 - self.now;
+    /// Starts the process of a machine, which is created if it is new.
+    pub fn start(&mut self, node: Node, make: impl FnOnce(StartContext<P::SavedState>) -> P) {
+        let run_id = self.next_id();
+        let clock_offset = self.rng.f64() * 1e5 - self.now;
         let seed = self.rng.u64(..);
         let machine = self.machines.entry(node).or_default();
-        let (now, kept, used) = (self.now + clock, machine.disk.kept.clone(), machine.disk.used);
-        machine.life = Some(make(Begin { now, run, seed, kept, used, disk: &mut machine.disk }));
-        (machine.run, machine.clock) = (run, clock);
-        self.call(node, |life, now, out| life.tick(now, out));
+        let (now, saved_state, disk_written) =
+            (self.now + clock_offset, machine.disk.saved_state.clone(), machine.disk.written);
+        machine.process = Some(make(StartContext {
+            now,
+            run_id,
+            seed,
+            saved_state,
+            disk_written,
+            disk: &mut machine.disk,
+        }));
+        (machine.run_id, machine.clock_offset) = (run_id, clock_offset);
+        self.call(node, |process, now, out| process.tick(now, out));
     }
 
-    /// The process ends; a save under way may or may not have reached the disk.
+    /// Kills the process; a save in progress may or may not have reached the disk.
     pub fn kill(&mut self, node: Node) {
-        let reached = self.rng.bool();
+        let reached_disk = self.rng.bool();
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&node) else { return };
-        machine.disk.power_lost(now, reached);
-        machine.life = None;
-        machine.run = 0;
+        machine.disk.power_lost(now, reached_disk);
+        machine.process = None;
+        machine.run_id = 0;
         machine.frozen_until = 0.0;
         machine.inbox.clear();
     }
 
-    /// The process ends and the disk is lost.
+    /// Kills the process and erases the disk.
     pub fn wipe(&mut self, node: Node) {
         self.kill(node);
-        self.machines.entry(node).and_modify(|machine| machine.disk.vanish());
+        self.machines.entry(node).and_modify(|machine| machine.disk.erase());
     }
 
-    /// The process stands still for so long.
-    pub fn freeze(&mut self, node: Node, span: f64) {
-        let until = self.now + span;
+    /// Pauses the process for `duration` seconds.
+    pub fn freeze(&mut self, node: Node, duration: f64) {
+        let until = self.now + duration;
         self.machines.entry(node).and_modify(|machine| machine.frozen_until = until);
     }
 
-    /// The process, if it runs, frozen or not.
-    pub fn process(&self, node: Node) -> Option<&L> {
-        self.machines.get(&node)?.life.as_ref()
+    /// The process of a machine if it runs, paused or not.
+    pub fn process(&self, node: Node) -> Option<&P> {
+        self.machines.get(&node)?.process.as_ref()
     }
 
-    /// Nodes whose processes run, frozen or not.
+    /// Nodes whose processes run, paused or not.
     pub fn running(&self) -> Vec<Node> {
         self.machines.keys().copied().filter(|&node| self.process(node).is_some()).collect()
     }
 
-    /// Cuts all words between the two sides.
+    /// Drops all messages between the nodes of `side` and the others.
     pub fn cut(&mut self, side: &[Node]) {
-        let (these, those): (Vec<Node>, Vec<Node>) =
+        let (inside, outside): (Vec<Node>, Vec<Node>) =
             self.machines.keys().partition(|node| side.contains(node));
-        self.net.cut(&these, &those);
+        self.net.cut(&inside, &outside);
     }
 
-    /// Lets the time pass.
-    pub fn run(&mut self, span: f64) {
-        let end = self.now + span;
+    /// Runs for `duration` seconds of virtual time.
+    pub fn run(&mut self, duration: f64) {
+        let end = self.now + duration;
         while let Some(&Reverse((at, id))) = self.queue.peek() {
             let at = at as f64 / 1e6;
             if at > end {
@@ -179,16 +187,16 @@
             }
             self.queue.pop();
             self.now = self.now.max(at);
-            if let Some((node, run, input)) = self.events.remove(&id) {
-                self.deliver(node, run, input);
+            if let Some((node, run_id, input)) = self.events.remove(&id) {
+                self.deliver(node, run_id, input);
             }
         }
         self.now = end;
     }
 
-    /// Lets the time pass until `done`; false if that takes longer than `most`.
-    pub fn run_until(&mut self, most: f64, mut done: impl FnMut(&mut Self) -> bool) -> bool {
-        let end = self.now + most;
+    /// Runs until `done` is true; returns false if that takes longer than `timeout`.
+    pub fn run_until(&mut self, timeout: f64, mut done: impl FnMut(&mut Self) -> bool) -> bool {
+        let end = self.now + timeout;
         while self.now < end {
             if done(self) {
                 return true;
@@ -198,9 +206,11 @@
         done(self)
     }
 
-    fn deliver(&mut self, node: Node, run: u64, input: Input<L>) {
+    /// Passes an input to the process that it is for. Inputs of a paused process wait in its inbox; after the pause
+    /// the process may or may not tick before it handles them.
+    fn deliver(&mut self, node: Node, run_id: u64, input: Input<P>) {
         let Some(machine) = self.machines.get_mut(&node) else { return };
-        if machine.life.is_none() || (machine.run != run && run != 0) {
+        if machine.process.is_none() || (machine.run_id != run_id && run_id != 0) {
             return;
         }
         if let Input::Wake(wake) = input {
@@ -208,89 +218,92 @@
                 return;
             }
             if machine.frozen_until > self.now {
-                return self.schedule(self.now + 0.03, node, run, input);
+                return self.schedule(self.now + 0.03, node, run_id, input);
             }
             if self.rng.bool() {
-                self.call(node, |life, now, out| life.tick(now, out));
+                self.call(node, |process, now, out| process.tick(now, out));
             }
             while let Some(input) = self.machines.get_mut(&node).and_then(|m| m.inbox.pop_front()) {
-                self.take(node, input);
+                self.handle(node, input);
             }
-            return self.call(node, |life, now, out| life.tick(now, out));
+            return self.call(node, |process, now, out| process.tick(now, out));
         }
-        if matches!(input, Input::Saved(..)) && machine.disk.stalled_until > self.now {
-            return self.schedule(self.now + 0.03, node, run, input);
+        if matches!(input, Input::SaveFinished(..)) && machine.disk.stalled_until > self.now {
+            return self.schedule(self.now + 0.03, node, run_id, input);
         }
         if machine.frozen_until > self.now || !machine.inbox.is_empty() {
             return machine.inbox.push_back(input);
         }
-        self.take(node, input);
+        self.handle(node, input);
     }
 
-    fn take(&mut self, node: Node, input: Input<L>) {
+    fn handle(&mut self, node: Node, input: Input<P>) {
         match input {
             Input::Wake(_) => {}
-            Input::Word(from, word) => self.call(node, |life, now, out| life.heard(now, from, word, out)),
-            Input::Saved(ticket, ok) => {
-                let (now, whole) = (self.now, ok || self.rng.bool());
-                self.machines.entry(node).and_modify(|machine| machine.disk.end(now, whole));
-                self.call(node, |life, now, out| life.saved(now, ticket, ok, out));
+            Input::Message(from, message) => {
+                self.call(node, |process, now, out| process.handle_message(now, from, message, out))
+            }
+            Input::SaveFinished(ticket, ok) => {
+                let (now, written) = (self.now, ok || self.rng.bool());
+                self.machines.entry(node).and_modify(|machine| machine.disk.finish_save(now, written));
+                self.call(node, |process, now, out| process.save_finished(now, ticket, ok, out));
             }
         }
     }
 
-    /// One call into the process, and what it orders.
-    pub fn call(&mut self, node: Node, call: impl FnOnce(&mut L, f64, &mut Vec<Order<L>>)) {
+    /// Calls into the process, schedules its next tick and carries out its effects.
+    pub fn call(&mut self, node: Node, call: impl FnOnce(&mut P, f64, &mut Vec<Effect<P>>)) {
         let mut out = Vec::new();
         let Some(machine) = self.machines.get_mut(&node) else { return };
-        let Some(life) = &mut machine.life else { return };
-        call(life, self.now + machine.clock, &mut out);
+        let Some(process) = &mut machine.process else { return };
+        call(process, self.now + machine.clock_offset, &mut out);
         machine.wakes += 1;
-        let wake = (life.next_wake() - machine.clock).max(self.now + GRAIN) + self.rng.f64() * 0.02;
-        let (wakes, run) = (machine.wakes, machine.run);
-        self.schedule(wake, node, run, Input::Wake(wakes));
-        for order in out {
-            self.carry_out(node, run, order);
+        let wake = (process.next_wake() - machine.clock_offset).max(self.now + MIN_TICK_INTERVAL)
+            + self.rng.f64() * 0.02;
+        let (wakes, run_id) = (machine.wakes, machine.run_id);
+        self.schedule(wake, node, run_id, Input::Wake(wakes));
+        for effect in out {
+            self.carry_out(node, run_id, effect);
         }
     }
 
-    fn carry_out(&mut self, node: Node, run: u64, order: Order<L>) {
-        match order {
-            Order::Cast(to, word) => self.post(node, to, word, false),
-            Order::Send(to, word) => self.post(node, to, word, true),
-            Order::Save(ticket, kept) => {
+    fn carry_out(&mut self, node: Node, run_id: u64, effect: Effect<P>) {
+        match effect {
+            Effect::SendDatagram(to, message) => self.send(node, to, message, false),
+            Effect::SendReliable(to, message) => self.send(node, to, message, true),
+            Effect::Save(ticket, state) => {
                 let at = self.now + 0.001 + self.rng.f64() * 0.03;
                 let Some(machine) = self.machines.get_mut(&node) else { return };
-                machine.disk.save(ticket, kept);
-                let refuses = machine.disk.refuses;
-                let ok = refuses == 0 || self.rng.u64(..refuses) != 0;
-                self.schedule(at, node, run, Input::Saved(ticket, ok));
+                machine.disk.save(ticket, state);
+                let fail_one_in = machine.disk.fail_one_in;
+                let ok = fail_one_in == 0 || self.rng.u64(..fail_one_in) != 0;
+                self.schedule(at, node, run_id, Input::SaveFinished(ticket, ok));
             }
-            Order::Tell(told) => {
+            Effect::Observe(observation) => {
                 let machine = self.machines.get(&node);
-                if let Some(life) = machine.and_then(|machine| machine.life.as_ref()) {
-                    self.watch.told(self.now, node, run, life, told);
+                if let Some(process) = machine.and_then(|machine| machine.process.as_ref()) {
+                    self.observer.observe(self.now, node, run_id, process, observation);
                 }
             }
         }
     }
 
-    /// Puts a word on its way; `link`: what is lost is sent again.
-    pub fn post(&mut self, from: Node, to: Node, word: L::Word, link: bool) {
-        for at in self.net.trips(&mut self.rng, self.now, (from, to), link) {
-            self.schedule(at, to, 0, Input::Word(from, word.clone()));
+    /// Sends a message. If `reliable`, a lost message is retransmitted and messages stay in order.
+    pub fn send(&mut self, from: Node, to: Node, message: P::Message, reliable: bool) {
+        for at in self.net.arrivals(&mut self.rng, self.now, (from, to), reliable) {
+            self.schedule(at, to, 0, Input::Message(from, message.clone()));
         }
     }
 
-    fn schedule(&mut self, at: f64, node: Node, run: u64, input: Input<L>) {
-        let id = self.number();
+    fn schedule(&mut self, at: f64, node: Node, run_id: u64, input: Input<P>) {
+        let id = self.next_id();
         self.queue.push(Reverse(((at * 1e6).ceil() as u64, id)));
-        self.events.insert(id, (node, run, input));
+        self.events.insert(id, (node, run_id, input));
     }
 
-    /// A number that was not given before.
-    pub fn number(&mut self) -> u64 {
-        self.count += 1;
-        self.count
+    /// Returns an id that was not returned before.
+    pub fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 }
