--- a/data-plane/src/guard.rs
+++ b/data-plane/src/guard.rs
@@ -4,13 +4,13 @@
 use crate::door::Door;
 use crate::nest::Nest;
 use crate::pools::Pools;
-use lupinledge_config::{Part, Tables, DRIFTS};
+use lupinledge_config::{Part, Tables, CORRUPTION_ENABLED};
 use lupinledge_drift_detection::{
     verdict::compare, Action, Audit, DriftMonitor, Finding, LocalState, Settings,
 };
 use lupinledge_gossip::Gossip;
 use lupinledge_membership::DriftReport;
-use lupinledge_proxy::clients::Clients;
+use lupinledge_proxy::clients::ClientConnections;
 use std::cell::Cell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     gossip: Rc<Gossip>,
     pools: Rc<Pools>,
     ready: Rc<Cell<bool>>,
-    clients: Rc<Clients<Door>>,
+    clients: Rc<ClientConnections<Door>>,
     audit: Audit,
     watch: DriftMonitor,
     turns: u32,
@@ -44,7 +44,7 @@
         gossip: Rc<Gossip>,
         pools: Rc<Pools>,
         ready: Rc<Cell<bool>>,
-        clients: Rc<Clients<Door>>,
+        clients: Rc<ClientConnections<Door>>,
         seed: u64,
     ) -> Guard {
         let watch = DriftMonitor::new(gossip.now(), Settings::new(nest.settings().bounds.config_apply_s));
@@ -55,7 +55,7 @@
 
     /// Watches for good. Tests have the tables changed at SIGUSR1, by what that file says.
     pub async fn run(mut self, drifts: PathBuf) {
-        let mut told = signal(SignalKind::user_defined1()).ok().filter(|_| DRIFTS);
+        let mut told = signal(SignalKind::user_defined1()).ok().filter(|_| CORRUPTION_ENABLED);
         loop {
             let drift = async {
                 match &mut told {
@@ -87,7 +87,7 @@
             stray.map(|(part, name)| Finding { part, names: vec![name] })
         });
         let (index, print) =
-            (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().folded());
+            (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().combined());
         self.gossip.set_fingerprint(index, print);
         let own = LocalState {
             index,
@@ -116,7 +116,7 @@
                 self.doubted = Some((tables.clone(), judge_name));
                 self.ready.set(false);
                 self.pools.set_shut(Some(self.watch.retry_after(self.gossip.now())));
-                self.clients.closing();
+                self.clients.start_closing();
                 let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
                 let (part, fingerprints) =
                     (part.map_or(u8::MAX, |p| p as u8), self.audit.live_print().parts());
@@ -146,8 +146,10 @@
     fn tell_what_differed(&mut self) {
         let now = self.pools.tables();
         let Some((was, judge)) = self.doubted.take_if(|(was, _)| !Rc::ptr_eq(was, &now)) else { return };
-        for part in Part::ALL.into_iter().filter(|p| was.reprint(*p) != now.reprint(*p)) {
-            let route = was.differing(&now, part).join(",");
+        for part in
+            Part::ALL.into_iter().filter(|p| was.recompute_fingerprint(*p) != now.recompute_fingerprint(*p))
+        {
+            let route = was.differing_names(&now, part).join(",");
             tracing::warn!(event = "drift", part = part.name(), %route, judge);
         }
     }
