--- a/simulation/src/site.rs
+++ b/simulation/src/cluster.rs
@@ -1,10 +1,10 @@
-//! A site in trouble: plays the steps of a schedule against the processes.
+//! A cluster in trouble: plays the steps of a schedule against the processes.
 
 use crate::core::Core;
 use crate::edge::Edge;
-use crate::leaving::Leaver;
-use crate::process::{Command, Process, Say};
-use crate::{Flaw, Net, Node, Plan, Truth, World};
+use crate::planned_shutdowns::PendingShutdown;
+use crate::process::{Command, Message, Process};
+use crate::{Flaw, Net, Node, ReferenceModel, Schedule, World};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -16,9 +16,9 @@
 const GRAIN: f64 = 0.004;
 
 /// See the module.
-pub struct Site {
+pub struct Cluster {
     /// The machines.
-    pub world: World<Process, Truth>,
+    pub world: World<Process, ReferenceModel>,
     /// The core machines that aren't lost for good.
     pub cores: Vec<Node>,
     /// The edge machines.
@@ -35,22 +35,22 @@
     pub(crate) trip_until: f64,
     pub(crate) replacements: u32,
     /// Those that are to end in order, and how many got a successor for that.
-    pub(crate) leavers: Vec<Leaver>,
+    pub(crate) leavers: Vec<PendingShutdown>,
     pub(crate) relieved: u32,
     pub(crate) sent: Vec<Rc<[u8]>>,
     versions: u64,
 }
 
-impl Site {
+impl Cluster {
     /// All machines start.
-    pub fn new(plan: &Plan, flaw: Flaw) -> Site {
+    pub fn new(plan: &Schedule, flaw: Flaw) -> Cluster {
         let net = Net::new(1, f64::from(plan.delay) / 1000.0);
         let cores: Vec<Node> = (1..=plan.cores.1 as Node).map(|n| 10 * n).collect();
         let edges: Vec<Node> = (1..=plan.edges as Node).map(|n| 1000 + 10 * n).collect();
         let seeds = cores[..plan.cores.0].to_vec();
         let tolerate = (cores.len() - 1) / 2;
-        let world = World::new(plan.seed, net, Truth::default());
-        let mut site = Site {
+        let world = World::new(plan.seed, net, ReferenceModel::default());
+        let mut cluster = Cluster {
             world,
             cores,
             edges,
@@ -66,8 +66,8 @@
             sent: Vec::new(),
             versions: 0,
         };
-        site.start();
-        site
+        cluster.start();
+        cluster
     }
 
     /// Starts what is down.
@@ -84,7 +84,7 @@
                 self.world.start(node, |context| {
                     Process::Core(Box::new(Core::new(node, context, seeds, tolerate, flaw)))
                 });
-                self.rough(0.0);
+                self.disturb(0.0);
             }
         }
     }
@@ -100,10 +100,10 @@
     }
 
     /// There is trouble of the core or the network for so long from now on.
-    pub(crate) fn rough(&mut self, span: f64) {
+    pub(crate) fn disturb(&mut self, span: f64) {
         let until = self.world.now + span;
         let truth = &mut self.world.observer;
-        truth.rough_until = truth.rough_until.max(until);
+        truth.disturbed_until = truth.disturbed_until.max(until);
     }
 
     /// The newest members that was committed anywhere; the founding one before.
@@ -113,7 +113,7 @@
     }
 
     /// Members whose disk is empty or not learnt anew yet, or which are lost.
-    pub(crate) fn weak(&self) -> usize {
+    pub(crate) fn impaired_members(&self) -> usize {
         let empty =
             |node| self.world.machines.get(node).is_none_or(|machine| machine.disk.saved_state.is_none());
         self.members().iter().filter(|&node| !self.cores.contains(node) || empty(node)).count()
@@ -132,9 +132,9 @@
     }
 
     /// Lets the time pass, and looks at the edge nodes.
-    pub fn pass(&mut self, span: f64) {
+    pub fn run(&mut self, span: f64) {
         let end = self.world.now + span;
-        while self.world.now < end && self.world.observer.broken.is_none() {
+        while self.world.now < end && self.world.observer.violation.is_none() {
             let armed = self.trip_until > self.world.now;
             let next = if armed { GRAIN } else { LOOK }.min(end - self.world.now);
             self.world.observer.turned = None;
@@ -151,7 +151,7 @@
             if now >= self.heal_at.1 {
                 (self.world.net.loss_percent, self.world.net.late_percent) = (1, 0);
             }
-            self.carry_out_leaves();
+            self.advance_shutdowns();
             self.look();
         }
     }
@@ -159,7 +159,7 @@
     /// An edge node in touch follows what was acknowledged.
     fn look(&mut self) {
         let now = self.world.now;
-        if !self.world.observer.calm(now) {
+        if !self.world.observer.is_calm(now) {
             return;
         }
         let needed = self.world.observer.needed(now);
@@ -170,37 +170,37 @@
             let held = edge.document.as_ref().map_or(0, |document| document.0.index);
             if touch && edge.ready && held < needed {
                 let text = format!("{node} is in touch and holds {held}, but {needed} was acknowledged");
-                return self.world.observer.wrong(text);
+                return self.world.observer.fail(text);
             }
         }
     }
 
-    pub(crate) fn core(&self, place: u8) -> Node {
+    pub(crate) fn core_at(&self, place: u8) -> Node {
         self.cores[usize::from(place) % self.cores.len()]
     }
 
-    pub(crate) fn edge(&self, place: u8) -> Node {
+    pub(crate) fn edge_at(&self, place: u8) -> Node {
         self.edges[usize::from(place) % self.edges.len()]
     }
 
     /// Sends a command; to all that take themselves for the holder where no place is told.
-    pub fn ask(&mut self, place: Option<u8>, command: Command) {
-        let to = place.map_or_else(|| self.leaders(), |place| vec![self.core(place)]);
+    pub fn send_command(&mut self, place: Option<u8>, command: Command) {
+        let to = place.map_or_else(|| self.leaders(), |place| vec![self.core_at(place)]);
         for node in to {
-            self.order(node, command.clone());
+            self.send_command_to(node, command.clone());
         }
     }
 
     /// Sends a command to a machine; returns its number.
-    pub(crate) fn order(&mut self, node: Node, command: Command) -> u64 {
+    pub(crate) fn send_command_to(&mut self, node: Node, command: Command) -> u64 {
         let id = self.world.next_id();
         self.world.observer.asked(id, command.clone());
-        self.world.send(OPERATOR, node, Say::Command(id, command), true);
+        self.world.send(OPERATOR, node, Message::Command(id, command), true);
         id
     }
 
     /// A new configuration on top of a version.
-    pub fn config(&mut self, base: u64) -> Command {
+    pub fn new_config(&mut self, base: u64) -> Command {
         self.versions = self.versions.max(base) + 1;
         let (version, seed) = (self.versions, self.sent.len());
         let text = format!(
@@ -212,7 +212,7 @@
     }
 
     /// All faults end; what is down starts.
-    pub fn calm(&mut self) {
+    pub fn heal(&mut self) {
         let now = self.world.now;
         self.heal_at = (now, now);
         self.world.net.cuts.clear();
@@ -223,7 +223,7 @@
             machine.disk.fail_one_in = 0;
         }
         self.world.observer.healed(now);
-        self.end_leaves();
+        self.finish_shutdowns();
         self.start();
     }
 }
--- a/simulation/src/counts.rs
+++ b/simulation/src/core_counters.rs
@@ -2,7 +2,7 @@
 
 use crate::core::Core;
 use crate::edge::{NAMES, NAME_LIFE};
-use crate::process::{Out, Say, Told};
+use crate::process::{Effects, Message, Observation};
 use crate::world::Effect;
 use crate::Flaw;
 use lupinledge_counters::handover::{HandoverEntry as Sum, HandoverPart};
@@ -18,13 +18,13 @@
     /// Turns to the counters of the epoch that is held; `None` where none is.
     fn hold(&mut self, now: f64) -> Option<u64> {
         let unheld = self.counts.0.filter(|_| self.flaw == Flaw::CountsUnheld);
-        let epoch = self.queen.leading_epoch(now).or(unheld)?;
+        let epoch = self.replica.leading_epoch(now).or(unheld)?;
         self.duty.start_epoch(now, epoch);
         self.counts.0 = Some(epoch);
         Some(epoch)
     }
 
-    pub(crate) fn look(&mut self, now: f64, out: &mut Out) {
+    pub(crate) fn look(&mut self, now: f64, out: &mut Effects) {
         self.counts.1 = now + LOOK;
         let Some(epoch) = self.hold(now) else { return };
         let seen = |m: &Member| {
@@ -32,7 +32,7 @@
             GatewayStatus { node: m.node, alive, leaving: m.card.leaving, gone }
         };
         let gateways: Vec<GatewayStatus> =
-            self.spread.membership().members().filter(|m| !m.card.core).map(seen).collect();
+            self.disseminator.membership().members().filter(|m| !m.card.core).map(seen).collect();
         let look = self.duty.poll(now, &gateways);
         if matches!(look, HandoverStatus::Collecting(_)) {
             self.counts.1 = now + ASK;
@@ -40,7 +40,11 @@
         match look {
             HandoverStatus::Serving(_) if self.flaw == Flaw::CountsAsked => {}
             HandoverStatus::Serving(nodes) | HandoverStatus::Collecting(nodes) => {
-                out.extend(nodes.into_iter().map(|node| Effect::SendDatagram(node, Say::Hold { epoch })));
+                out.extend(
+                    nodes
+                        .into_iter()
+                        .map(|node| Effect::SendDatagram(node, Message::HandoverRequest { epoch })),
+                );
             }
             HandoverStatus::Completed(answers, _) => {
                 answers.into_iter().for_each(|answer| self.answer(epoch, answer, out));
@@ -48,21 +52,21 @@
         }
     }
 
-    fn answer(&mut self, epoch: u64, Answer { from, tag, totals }: Answer, out: &mut Out) {
+    fn answer(&mut self, epoch: u64, Answer { from, tag, totals }: Answer, out: &mut Effects) {
         let totals: Vec<f64> = totals.into_iter().map(|total| total.counted).collect();
         for (name, total) in NAMES.into_iter().zip(&totals) {
-            out.push(Effect::Observe(Told::Total { epoch, name, total: *total }));
+            out.push(Effect::Observe(Observation::TotalReported { epoch, name, total: *total }));
         }
-        out.push(Effect::SendReliable(from.0, Say::Counted { tag, epoch, totals }));
+        out.push(Effect::SendReliable(from.0, Message::CounterReply { tag, epoch, totals }));
     }
 
     /// What was told for another epoch that this process held, and waited, is none.
-    pub(crate) fn gather(&mut self, now: f64, of: u64, from: Incarnation, told: &[Sum], out: &mut Out) {
+    pub(crate) fn gather(&mut self, now: f64, of: u64, from: Incarnation, told: &[Sum], out: &mut Effects) {
         let Some(epoch) = self.hold(now).filter(|epoch| *epoch == of) else { return };
         let before = self.duty.counters().is_some_and(|counters| !counters.is_complete());
         for sum in told {
-            out.push(Effect::Observe(Told::Put { epoch, from, name: sum.name, sum: sum.sum }));
-            out.push(Effect::Observe(Told::Gathered { epoch, from, told: *sum, before }));
+            out.push(Effect::Observe(Observation::SumReceived { epoch, from, name: sum.name, sum: sum.sum }));
+            out.push(Effect::Observe(Observation::HandoverReceived { epoch, from, told: *sum, before }));
         }
         if self.flaw != Flaw::CountsDeaf {
             self.duty.receive_handover(now, epoch, from, &HandoverPart::single(told.to_vec()));
@@ -76,14 +80,16 @@
         from: Incarnation,
         tag: u64,
         calls: &[(u64, f64)],
-        out: &mut Out,
+        out: &mut Effects,
     ) {
         let Some(epoch) = self.hold(now) else {
-            return out
-                .push(Effect::SendReliable(from.0, Say::Counted { tag, epoch: 0, totals: Vec::new() }));
+            return out.push(Effect::SendReliable(
+                from.0,
+                Message::CounterReply { tag, epoch: 0, totals: Vec::new() },
+            ));
         };
         for (name, sum) in calls {
-            out.push(Effect::Observe(Told::Put { epoch, from, name: *name, sum: *sum }));
+            out.push(Effect::Observe(Observation::SumReceived { epoch, from, name: *name, sum: *sum }));
         }
         let calls = calls.iter().map(|(name, sum)| (*name, *sum, NAME_LIFE));
         if let Some(totals) = self.duty.apply_call(now, from, tag, calls) {
--- a/simulation/src/sums.rs
+++ b/simulation/src/counter_model.rs
@@ -4,7 +4,7 @@
 use lupinledge_counters::Incarnation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sums of floats that should be the same differ by less.
+/// CounterModel of floats that should be the same differ by less.
 const NEAR: f64 = 1e-9;
 
 /// What a holder knows of one counter.
@@ -22,7 +22,7 @@
 
 /// All counters.
 #[derive(Default)]
-pub struct Sums {
+pub struct CounterModel {
     /// By name, all that was ever added, and what of it holders may count twice.
     added: BTreeMap<u64, (f64, f64)>,
     /// By name, what some total had beyond that while a gateway that counted had not told yet.
@@ -33,7 +33,7 @@
     ended: BTreeSet<Incarnation>,
 }
 
-impl Sums {
+impl CounterModel {
     /// A gateway adds.
     pub fn added(&mut self, name: u64, amount: f64) {
         self.added.entry(name).or_default().0 += amount;
--- a/simulation/src/flaw.rs
+++ b/simulation/src/flaw.rs
@@ -75,7 +75,7 @@
     /// Those that are to be caught by the schedules of [`crate::resends`].
     pub const RESENDS: [Flaw; 6] =
         [Flaw::EarlyDone, Flaw::NoTurn, Flaw::TurnTimed, Flaw::MemoryTwo, Flaw::HashFour, Flaw::NoMemory];
-    /// All that are to be caught by the schedules of [`crate::Plan`].
+    /// All that are to be caught by the schedules of [`crate::Schedule`].
     pub const ALL: [Flaw; 17] = [
         Flaw::LeavesAtOnce,
         Flaw::DiskLies,
@@ -107,7 +107,7 @@
     /// What a command comes to on top of a document.
     pub(crate) fn judge(self, document: &Document, command: &Command) -> Decision {
         let known = |zone: &str| ZONES.contains(&zone);
-        let plain = document.decide(command.order(), known);
+        let plain = document.decide(command.as_order(), known);
         let Command::Put(body) = command else { return plain };
         let mut other = document.clone();
         match self {
@@ -124,7 +124,7 @@
             }
             _ => return plain,
         }
-        match other.decide(command.order(), known) {
+        match other.decide(command.as_order(), known) {
             // what comes into force is not spoilt by it
             Decision::Propose(_) if self != Flaw::AnyBase => plain,
             judged => judged,
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,38 +1,38 @@
-//! The system's pure parts together in one process, on virtual time, with faults of machines, disks and network,
+//! The system's pure parts together in one process, on virtual time, with steps of machines, disks and network,
 //! and a slow plain model that says what must hold; for tests alone. See `docs/model.md`.
 //!
 //! [`World`] with [`Net`] and [`Disk`] drives any state machines ([`StateMachine`]). [`StateMachine`]s of the whole system are
-//! [`core::Core`] and [`edge::Edge`]; [`Site`] plays a schedule ([`Plan`]) of faults and orders against them, and
-//! [`Truth`] checks what they say and do. [`Flaw`]s are planted to see that the checks catch them.
+//! [`core::Core`] and [`edge::Edge`]; [`Cluster`] plays a schedule ([`Schedule`]) of steps and orders against them, and
+//! [`ReferenceModel`] checks what they say and do. [`Flaw`]s are planted to see that the checks catch them.
 
-pub mod away;
+pub mod absent_member;
+mod cluster;
 pub mod core;
-mod counts;
-mod cuts;
+mod core_counters;
+mod counter_model;
 mod disk;
 pub mod edge;
-mod faults;
 mod flaw;
-mod leaving;
 mod net;
-mod patched;
-mod plan;
-mod play;
+mod partitions;
+mod patch_flaws;
+mod planned_shutdowns;
 pub mod process;
+mod reference_model;
 pub mod resends;
-mod site;
-mod sums;
-mod truth;
+mod runner;
+mod schedule;
+mod steps;
 mod world;
 
-pub use cuts::{play_cut, CutPlan, CutSeen};
+pub use cluster::Cluster;
 pub use disk::Disk;
 pub use flaw::Flaw;
 pub use net::Net;
-pub use plan::{Plan, Step};
-pub use play::{play, report, Course};
-pub use site::Site;
-pub use truth::{Seen, Truth};
+pub use partitions::{run_partitions, PartitionCoverage, PartitionSchedule};
+pub use reference_model::{Coverage, ReferenceModel};
+pub use runner::{failure_report, run_schedule, RunSummary};
+pub use schedule::{Schedule, Step};
 pub use world::{Effect, Machine, Observer, StartContext, StateMachine, World};
 
 /// The id of a process: the IPv4 address of its machine as a number.
--- a/simulation/src/cuts.rs
+++ b/simulation/src/partitions.rs
@@ -2,14 +2,14 @@
 //!
 //! A cut goes around one member or several, the holder or not, in both directions or in one, with edge nodes on either
 //! side or with the core alone divided, with a change under way as it begins, and with restarts of either side during
-//! it, whose new seeds lie on their own side. What operators are told is looked at from outside: [`crate::Truth`] sees
+//! it, whose new seeds lie on their own side. What operators are told is looked at from outside: [`crate::ReferenceModel`] sees
 //! that it is true of the whole, this module that who reaches no majority says nothing for the whole, whom it sends
 //! callers to, and how soon those that have one take orders again.
 
 use crate::core::{Core, ZONES};
-use crate::play::{end, until};
 use crate::process::{Command, Process, Reply};
-use crate::{Flaw, Node, Plan, Site};
+use crate::runner::{end, until};
+use crate::{Cluster, Flaw, Node, Schedule};
 use fastrand::Rng;
 use lupinledge_membership::Standing;
 use std::collections::BTreeMap;
@@ -77,14 +77,14 @@
 
 /// A day with two cuts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CutPlan {
-    site: Plan,
+pub struct PartitionSchedule {
+    cluster: Schedule,
     cuts: Vec<Cut>,
 }
 
 /// How much was seen on how many days, and the longest spans.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct CutSeen {
+pub struct PartitionCoverage {
     /// Orders of operators, and what came of them at members that reached no majority.
     pub orders: u64,
     /// Of those, at members that reached no majority: answered that nobody can tell, sent to another one.
@@ -105,9 +105,9 @@
     pub stale: f64,
 }
 
-impl CutSeen {
+impl PartitionCoverage {
     /// Adds what was seen elsewhere.
-    pub fn add(&mut self, other: &CutSeen) {
+    pub fn add(&mut self, other: &PartitionCoverage) {
         self.orders += other.orders;
         self.later += other.later;
         self.elsewhere += other.elsewhere;
@@ -120,15 +120,15 @@
     }
 }
 
-impl CutPlan {
+impl PartitionSchedule {
     /// The day of a seed.
-    pub fn new(seed: u64) -> CutPlan {
+    pub fn new(seed: u64) -> PartitionSchedule {
         let mut rng = Rng::with_seed(seed ^ 0x6375_7473);
         let count = [3, 3, 5][rng.usize(..3)];
         let (edges, delay) = (rng.usize(2..5), [3, 30, 120][rng.usize(..3)]);
-        let site = Plan { seed, cores: (count, count), edges, delay, steps: Vec::new() };
+        let cluster = Schedule { seed, cores: (count, count), edges, delay, steps: Vec::new() };
         let cuts = (0..2).map(|_| Cut::new(&mut rng)).collect();
-        CutPlan { site, cuts }
+        PartitionSchedule { cluster, cuts }
     }
 }
 
@@ -159,8 +159,8 @@
 
 /// One day under way.
 struct Day<'a> {
-    site: &'a mut Site,
-    seen: CutSeen,
+    cluster: &'a mut Cluster,
+    seen: PartitionCoverage,
     callers: BTreeMap<u64, Caller>,
     rng: Rng,
     next: f64,
@@ -180,40 +180,40 @@
 impl Day<'_> {
     /// Does a member reach no majority and come back from it with an answer?
     fn off(&self, node: Node) -> bool {
-        let members = self.site.members();
-        let cuts = &self.site.world.net.cuts;
+        let members = self.cluster.members();
+        let cuts = &self.cluster.world.net.cuts;
         let reached = |m: &&Node| {
             let ways = [(node, **m), (**m, node)];
             **m == node
-                || ways.iter().all(|way| !cuts.contains(way)) && self.site.world.process(**m).is_some()
+                || ways.iter().all(|way| !cuts.contains(way)) && self.cluster.world.process(**m).is_some()
         };
         members.iter().filter(reached).count() <= members.len() / 2
     }
 
     /// Does it hold the duty, or seek it, and is it not cut off from a majority?
     fn holds(&self, node: Node) -> bool {
-        let core = self.site.world.process(node).and_then(Process::core);
-        core.and_then(|core| core.queen.leader(0.0)).is_some_and(|(holder, _)| holder == node)
+        let core = self.cluster.world.process(node).and_then(Process::core);
+        core.and_then(|core| core.replica.leader(0.0)).is_some_and(|(holder, _)| holder == node)
             && !self.off(node)
     }
 
     fn pass(&mut self, span: f64) {
-        let end = self.site.world.now + span;
-        while self.site.world.now < end && self.site.world.observer.broken.is_none() {
-            if self.site.world.now >= self.next {
-                self.next = self.site.world.now + EACH;
+        let end = self.cluster.world.now + span;
+        while self.cluster.world.now < end && self.cluster.world.observer.violation.is_none() {
+            if self.cluster.world.now >= self.next {
+                self.next = self.cluster.world.now + EACH;
                 self.order();
             }
-            self.site.pass(GRAIN.min(end - self.site.world.now));
+            self.cluster.run(GRAIN.min(end - self.cluster.world.now));
             self.names();
-            let leaders = self.site.leaders();
+            let leaders = self.cluster.leaders();
             let holders: Vec<Node> =
-                self.site.cores.iter().copied().filter(|node| self.holds(*node)).collect();
-            self.led.extend(holders.into_iter().map(|node| (node, self.site.world.now)));
+                self.cluster.cores.iter().copied().filter(|node| self.holds(*node)).collect();
+            self.led.extend(holders.into_iter().map(|node| (node, self.cluster.world.now)));
             if leaders != self.leaders {
-                (self.leaders, self.moved) = (leaders, self.site.world.now);
+                (self.leaders, self.moved) = (leaders, self.cluster.world.now);
             }
-            let answers = self.site.world.observer.replies.replace(Vec::new()).unwrap_or_default();
+            let answers = self.cluster.world.observer.replies.replace(Vec::new()).unwrap_or_default();
             answers.into_iter().for_each(|(at, node, id, reply)| self.answered(at, node, id, reply));
         }
     }
@@ -222,26 +222,27 @@
     fn names(&mut self) {
         let Some((edge, died)) = self.dead else { return };
         let alive = |core: &Core| {
-            core.spread.membership().member(edge).is_some_and(|m| m.standing == Standing::Alive)
+            core.disseminator.membership().member(edge).is_some_and(|m| m.standing == Standing::Alive)
         };
-        let names = |node: &Node| self.site.world.process(*node).and_then(Process::core).is_some_and(alive);
-        if let Some(node) = self.site.cores.iter().copied().find(names) {
-            let span = self.site.world.now - died;
+        let names =
+            |node: &Node| self.cluster.world.process(*node).and_then(Process::core).is_some_and(alive);
+        if let Some(node) = self.cluster.cores.iter().copied().find(names) {
+            let span = self.cluster.world.now - died;
             self.seen.named = self.seen.named.max(span);
             if span > NAMED {
-                self.site.world.observer.wrong(format!("{node} names {edge}, which died {span:.2} s ago"));
+                self.cluster.world.observer.fail(format!("{node} names {edge}, which died {span:.2} s ago"));
             }
         }
     }
 
     /// An operator's next order, at any member.
     fn order(&mut self) {
-        let node = self.site.core(self.rng.u8(..));
-        let newest = self.site.world.observer.version(0);
+        let node = self.cluster.core_at(self.rng.u8(..));
+        let newest = self.cluster.world.observer.version(0);
         let zone = ZONES[self.rng.usize(..ZONES.len())];
         let command = match self.rng.u32(..8) {
-            0..3 => self.site.config(newest),
-            3 => self.site.config(self.site.world.observer.version(1)),
+            0..3 => self.cluster.new_config(newest),
+            3 => self.cluster.new_config(self.cluster.world.observer.version(1)),
             4..6 => Command::Get,
             6 => Command::Evacuate(zone),
             _ => Command::Restore(zone),
@@ -250,29 +251,29 @@
     }
 
     fn call(&mut self, node: Node, command: Command, hops: u8) {
-        let id = self.site.order(node, command.clone());
+        let id = self.cluster.send_command_to(node, command.clone());
         self.seen.orders += u64::from(hops == 0);
-        self.callers.insert(id, Caller { node, command, hops, at: self.site.world.now });
+        self.callers.insert(id, Caller { node, command, hops, at: self.cluster.world.now });
     }
 
     fn answered(&mut self, at: f64, node: Node, id: u64, reply: Reply) {
         let Some(caller) = self.callers.remove(&id) else { return };
-        let cut = !self.site.world.net.cuts.is_empty();
+        let cut = !self.cluster.world.net.cuts.is_empty();
         let off = cut && caller.at >= self.since && self.off(caller.node);
         match reply {
-            Reply::GossipMessage(_) if off => {
+            Reply::Answer(_) if off => {
                 let text = format!("{node} says what only the whole can, without reaching a majority");
-                self.site.world.observer.wrong(text);
+                self.cluster.world.observer.fail(text);
             }
-            Reply::GossipMessage(_) => {
+            Reply::Answer(_) => {
                 self.seen.said += u64::from(cut);
                 if let Some(since) = self.open.filter(|since| caller.at >= *since) {
                     self.seen.again = self.seen.again.max(at - since);
                     self.open = None;
                 }
             }
-            Reply::Later => self.seen.later += u64::from(off),
-            Reply::Elsewhere(to) => {
+            Reply::Unknown => self.seen.later += u64::from(off),
+            Reply::Redirect(to) => {
                 self.seen.elsewhere += u64::from(off);
                 self.sent_on(at, node, to);
                 if caller.hops < HOPS {
@@ -280,10 +281,10 @@
                 }
                 self.seen.thirds += 1;
                 if at - self.moved > CALM {
-                    self.site
+                    self.cluster
                         .world
                         .observer
-                        .wrong(format!("a caller is sent on a third time, by {node} to {to}"));
+                        .fail(format!("a caller is sent on a third time, by {node} to {to}"));
                 }
             }
         }
@@ -295,43 +296,43 @@
         self.seen.stale = self.seen.stale.max(led);
         if led > LED {
             let text = format!("{node} sends callers to {to}, which does not lead and led {led:.2} s ago");
-            self.site.world.observer.wrong(text);
+            self.cluster.world.observer.fail(text);
         }
     }
 
     /// Cuts ways, and returns who is cut off.
     fn cut(&mut self, cut: &Cut) -> (Vec<Node>, Vec<Node>) {
-        let cores = self.site.cores.clone();
+        let cores = self.cluster.cores.clone();
         let few = (cores.len() - 1) / 2;
         let holder = self.leaders.first().copied().unwrap_or(cores[0]);
         let mut others: Vec<Node> = cores.iter().copied().filter(|node| *node != holder).collect();
         self.rng.shuffle(&mut others);
         let mut off = match cut.around {
-            Around::Member(place) => vec![self.site.core(place)],
+            Around::Member(place) => vec![self.cluster.core_at(place)],
             Around::Holder => vec![holder],
             Around::Minority(true) => [&[holder], &others[..few - 1]].concat(),
             Around::Minority(false) => others[..few].to_vec(),
         };
         let mut rest: Vec<Node> = cores.into_iter().filter(|node| !off.contains(node)).collect();
         if let Some(mask) = cut.edges {
-            for (place, edge) in self.site.edges.iter().enumerate() {
+            for (place, edge) in self.cluster.edges.iter().enumerate() {
                 if mask >> place & 1 == 1 { &mut off } else { &mut rest }.push(*edge);
             }
         }
-        let now = self.site.world.now;
-        self.site.heal_at.0 = now + FOR;
+        let now = self.cluster.world.now;
+        self.cluster.heal_at.0 = now + FOR;
         self.since = now;
         for &a in &off {
             for &b in &rest {
                 let (to, from) = ((b, a), (a, b));
-                self.site.world.net.cuts.extend([to].into_iter().filter(|_| cut.way != Way::Mute));
-                self.site.world.net.cuts.extend([from].into_iter().filter(|_| cut.way != Way::Deaf));
+                self.cluster.world.net.cuts.extend([to].into_iter().filter(|_| cut.way != Way::Mute));
+                self.cluster.world.net.cuts.extend([from].into_iter().filter(|_| cut.way != Way::Deaf));
             }
         }
         // all but the edge nodes that are cut off stay in touch, once the core has come to itself
-        self.site.rough(AGAIN);
-        for edge in off.iter().filter(|node| self.site.edges.contains(node)) {
-            self.site.world.observer.rough.insert(*edge, now + FOR);
+        self.cluster.disturb(AGAIN);
+        for edge in off.iter().filter(|node| self.cluster.edges.contains(node)) {
+            self.cluster.world.observer.edge_disturbed_until.insert(*edge, now + FOR);
         }
         self.open = Some(now);
         (off, rest)
@@ -340,34 +341,35 @@
     /// Processes of one side are killed and start again, with seeds of that side alone.
     fn restart(&mut self, side: &[Node], down: f64, majority: bool) {
         let (cores, edges): (Vec<Node>, Vec<Node>) =
-            side.iter().partition(|node| self.site.cores.contains(node));
+            side.iter().partition(|node| self.cluster.cores.contains(node));
         for node in &cores {
-            self.site.kill(*node);
+            self.cluster.kill(*node);
         }
         for edge in &edges {
-            self.site.kill_edge(*edge);
+            self.cluster.kill_edge(*edge);
         }
-        side.iter().for_each(|node| drop(self.site.own_seeds.insert(*node, cores.clone())));
+        side.iter().for_each(|node| drop(self.cluster.own_seeds.insert(*node, cores.clone())));
         self.callers.retain(|_, caller| !cores.contains(&caller.node));
         self.pass(down);
-        self.site.start_cores();
-        self.site.start_edges();
-        self.moved = self.site.world.now;
+        self.cluster.start_cores();
+        self.cluster.start_edges();
+        self.moved = self.cluster.world.now;
         if majority {
-            self.site.rough(AGAIN);
-            self.open = Some(self.site.world.now);
+            self.cluster.disturb(AGAIN);
+            self.open = Some(self.cluster.world.now);
         }
     }
 
     fn play(&mut self, cut: &Cut) {
-        let calm = |site: &mut Site| site.leaders().len() == 1 && site.world.observer.seen.acks > 0;
-        let begun = self.site.world.now;
-        while !calm(self.site) && self.site.world.now < begun + AGAIN {
+        let calm =
+            |cluster: &mut Cluster| cluster.leaders().len() == 1 && cluster.world.observer.seen.acks > 0;
+        let begun = self.cluster.world.now;
+        while !calm(self.cluster) && self.cluster.world.now < begun + AGAIN {
             self.pass(0.1);
         }
         if let Some(span) = cut.before {
-            let put = self.site.config(self.site.world.observer.version(0));
-            let node = self.site.core(self.rng.u8(..));
+            let put = self.cluster.new_config(self.cluster.world.observer.version(0));
+            let node = self.cluster.core_at(self.rng.u8(..));
             self.call(node, put, 0);
             self.pass(span);
         }
@@ -383,41 +385,41 @@
         }
         if let Some((place, after)) = cut.dies {
             self.pass(after);
-            let edge = self.site.edge(place);
-            self.site.kill_edge(edge);
-            self.dead = Some((edge, self.site.world.now));
+            let edge = self.cluster.edge_at(place);
+            self.cluster.kill_edge(edge);
+            self.dead = Some((edge, self.cluster.world.now));
         }
-        let left = self.site.heal_at.0 - self.site.world.now;
+        let left = self.cluster.heal_at.0 - self.cluster.world.now;
         self.pass((left - GRAIN).max(0.0));
         if self.dead.take().is_some() {
-            self.site.start_edges();
+            self.cluster.start_edges();
         }
-        if let Some(since) = self.open.filter(|since| self.site.world.now - since > AGAIN) {
+        if let Some(since) = self.open.filter(|since| self.cluster.world.now - since > AGAIN) {
             let text =
-                format!("those with a majority take no orders, {} s after", self.site.world.now - since);
-            self.site.world.observer.wrong(text);
+                format!("those with a majority take no orders, {} s after", self.cluster.world.now - since);
+            self.cluster.world.observer.fail(text);
         }
         if self.seen.again > AGAIN {
-            self.site.world.observer.wrong(format!("orders are taken again after {} s", self.seen.again));
+            self.cluster.world.observer.fail(format!("orders are taken again after {} s", self.seen.again));
         }
         self.open = None;
-        self.site.rough(2.0 * GRAIN);
+        self.cluster.disturb(2.0 * GRAIN);
         self.pass(2.0 * GRAIN);
-        let healed = self.site.world.now;
+        let healed = self.cluster.world.now;
         // operators go on
         self.pass(1.0);
-        until(self.site, crate::play::WHOLE, |site| crate::play::apart(site).is_none());
-        self.seen.whole = self.seen.whole.max(self.site.world.now - healed);
+        until(self.cluster, crate::runner::WHOLE, |cluster| crate::runner::apart(cluster).is_none());
+        self.seen.whole = self.seen.whole.max(self.cluster.world.now - healed);
     }
 }
 
 /// Plays a day, and returns what was wrong first.
-pub fn play_cut(plan: &CutPlan, flaw: Flaw) -> Result<CutSeen, String> {
-    let mut site = Site::new(&plan.site, flaw);
-    site.world.observer.replies = Some(Vec::new());
+pub fn run_partitions(plan: &PartitionSchedule, flaw: Flaw) -> Result<PartitionCoverage, String> {
+    let mut cluster = Cluster::new(&plan.cluster, flaw);
+    cluster.world.observer.replies = Some(Vec::new());
     let mut day = Day {
-        rng: Rng::with_seed(plan.site.seed),
-        seen: CutSeen::default(),
+        rng: Rng::with_seed(plan.cluster.seed),
+        seen: PartitionCoverage::default(),
         callers: BTreeMap::new(),
         next: 1.5,
         since: 0.0,
@@ -426,20 +428,20 @@
         leaders: Vec::new(),
         dead: None,
         led: BTreeMap::new(),
-        site: &mut site,
+        cluster: &mut cluster,
     };
     for cut in &plan.cuts {
-        if day.site.world.observer.broken.is_none() {
+        if day.cluster.world.observer.violation.is_none() {
             day.play(cut);
         }
     }
     let seen = day.seen;
-    if site.world.observer.broken.is_none() {
-        end(&mut site);
+    if cluster.world.observer.violation.is_none() {
+        end(&mut cluster);
     }
-    match site.world.observer.broken.take() {
+    match cluster.world.observer.violation.take() {
         Some(what) => {
-            Err(format!("seed {} at {:.3} s: {what}; {:?}", plan.site.seed, site.world.now, plan.cuts))
+            Err(format!("seed {} at {:.3} s: {what}; {:?}", plan.cluster.seed, cluster.world.now, plan.cuts))
         }
         None => Ok(seen),
     }
--- a/simulation/src/process.rs
+++ b/simulation/src/process.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 /// Orders to a process.
-pub type Out = Vec<Effect<Process>>;
+pub type Effects = Vec<Effect<Process>>;
 
 /// An operator's order, owned.
 #[derive(Clone, Debug, PartialEq)]
@@ -30,84 +30,84 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// The whole has spoken.
-    GossipMessage(Answer),
+    Answer(Answer),
     /// This other process is to be asked.
-    Elsewhere(Node),
+    Redirect(Node),
     /// Nobody can tell: it may have been taken.
-    Later,
+    Unknown,
 }
 
 /// What goes over the network. The programs have these as words of `messaging`.
 #[derive(Clone)]
-pub enum Say {
+pub enum Message {
     /// Membership and news.
-    Spread(GossipMessage),
+    Gossip(GossipMessage),
     /// Agreement.
-    Queen(Msg),
+    Consensus(Msg),
     /// To the holder: sums of what this gateway added.
-    Count {
+    CounterCall {
         tag: u64,
         incarnation: u32,
         calls: Vec<(u64, f64)>,
     },
     /// The totals; none: this process is not the holder.
-    Counted {
+    CounterReply {
         tag: u64,
         epoch: u64,
         totals: Vec<f64>,
     },
     /// From a new holder: tell me what you had told.
-    Hold {
+    HandoverRequest {
         epoch: u64,
     },
     /// To a new holder, ahead of the first count; which epoch it is for.
-    Told {
+    Handover {
         epoch: u64,
         incarnation: u32,
         told: Vec<Sum>,
     },
     /// What does your clock show? And the holder's answer.
-    Clock,
-    ClockIs,
+    ClockRequest,
+    ClockReply,
     /// An operator's command with its number.
     Command(u64, Command),
 }
 
 /// Puts the words of membership and news on their ways.
-pub fn send(sends: Outgoing, out: &mut Out) {
+pub fn send(sends: Outgoing, out: &mut Effects) {
     out.extend(sends.into_iter().map(|(to, said)| match said {
-        GossipMessage::Probe(_) => Effect::SendDatagram(to, Say::Spread(said)),
-        _ => Effect::SendReliable(to, Say::Spread(said)),
+        GossipMessage::Probe(_) => Effect::SendDatagram(to, Message::Gossip(said)),
+        _ => Effect::SendReliable(to, Message::Gossip(said)),
     }));
 }
 
 /// What the truth is told.
-pub enum Told {
+pub enum Observation {
     /// This core machine takes a value for committed.
     Committed(Ballot, Rc<Value>),
     /// It won an epoch.
-    Won(u64),
+    WonEpoch(u64),
     /// It stands by an epoch: `kept`, it promised it or voted in it; else it answered the holder's beat, which
     /// binds nobody.
-    Stands { epoch: u64, kept: bool },
+    SupportedEpoch { epoch: u64, kept: bool },
     /// It heard what others hold, on its empty disk.
-    Learnt,
+    StateLearned,
     /// It answered a command.
     Replied(u64, Reply),
     /// As the holder of an epoch it took a gateway's sum.
-    Put { epoch: u64, from: Incarnation, name: u64, sum: f64 },
+    SumReceived { epoch: u64, from: Incarnation, name: u64, sum: f64 },
     /// As the holder of an epoch it heard what a gateway had told before; `before` its counters were whole.
-    Gathered { epoch: u64, from: Incarnation, told: Sum, before: bool },
+    HandoverReceived { epoch: u64, from: Incarnation, told: Sum, before: bool },
     /// As the holder of an epoch it tells a total.
-    Total { epoch: u64, name: u64, total: f64 },
+    TotalReported { epoch: u64, name: u64, total: f64 },
     /// This edge node adds to a counter.
-    Added { name: u64, amount: f64 },
+    CounterIncreased { name: u64, amount: f64 },
     /// This edge node works by a document.
-    Took(Ballot, Rc<Document>),
+    DocumentApplied(Ballot, Rc<Document>),
     /// It says that it is ready.
-    Ready,
+    BecameReady,
     /// It was told totals of names under an epoch.
-    Counted { epoch: u64, totals: Vec<(u64, f64)> },
+    TotalsReceived { epoch: u64, totals: Vec<(u64, f64)> },
 }
 
 /// A process.
@@ -128,7 +128,7 @@
     }
 
     /// It is told to end.
-    pub(crate) fn leave(&mut self, now: f64, out: &mut Out) {
+    pub(crate) fn leave(&mut self, now: f64, out: &mut Effects) {
         if let Process::Core(core) = self {
             core.leave(now, out);
         }
@@ -144,26 +144,26 @@
 }
 
 impl StateMachine for Process {
-    type Message = Say;
+    type Message = Message;
     type SavedState = PersistentState;
-    type Observation = Told;
+    type Observation = Observation;
 
-    fn tick(&mut self, now: f64, out: &mut Out) {
+    fn tick(&mut self, now: f64, out: &mut Effects) {
         match self {
             Process::Core(core) => core.tick(now, out),
             Process::Edge(edge) => edge.tick(now, out),
         }
     }
 
-    fn handle_message(&mut self, now: f64, from: Node, say: Say, out: &mut Out) {
+    fn handle_message(&mut self, now: f64, from: Node, say: Message, out: &mut Effects) {
         match (self, say) {
-            (Process::Core(core), Say::Command(id, command)) => core.command(now, id, command, out),
+            (Process::Core(core), Message::Command(id, command)) => core.command(now, id, command, out),
             (Process::Core(core), say) => core.heard(now, from, say, out),
             (Process::Edge(edge), say) => edge.heard(now, from, say, out),
         }
     }
 
-    fn save_finished(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Out) {
+    fn save_finished(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Effects) {
         if let Process::Core(core) = self {
             core.saved(now, ticket, ok, out);
         }
--- a/simulation/src/truth.rs
+++ b/simulation/src/reference_model.rs
@@ -1,8 +1,8 @@
 //! The slow plain model: what was committed, acknowledged, read and counted, and what may be said after it.
 
+use crate::counter_model::CounterModel;
 use crate::flaw::memory;
-use crate::process::{Command, Process, Reply, Told};
-use crate::sums::Sums;
+use crate::process::{Command, Observation, Process, Reply};
 use crate::world::Observer;
 use crate::Node;
 use lupinledge_config::{Answer, Config, Document, ErrorKind};
@@ -25,7 +25,7 @@
 
 /// How much was seen, so that nobody takes an empty run for a good one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct Coverage {
     /// Changes acknowledged, read-backs, and changes refused for what is in force.
     pub acks: u64,
     pub reads: u64,
@@ -38,9 +38,9 @@
     pub wins: u64,
 }
 
-impl Seen {
+impl Coverage {
     /// Adds what was seen elsewhere.
-    pub fn add(&mut self, other: &Seen) {
+    pub fn add(&mut self, other: &Coverage) {
         self.acks += other.acks;
         self.reads += other.reads;
         self.stale += other.stale;
@@ -52,15 +52,15 @@
 
 /// See the module.
 #[derive(Default)]
-pub struct Truth {
+pub struct ReferenceModel {
     /// The first thing that was wrong.
-    pub broken: Option<String>,
+    pub violation: Option<String>,
     /// How much was seen.
-    pub seen: Seen,
+    pub seen: Coverage,
     /// Until when there was trouble of the core or the network.
-    pub rough_until: f64,
+    pub disturbed_until: f64,
     /// Until when an edge node had trouble of its own.
-    pub rough: BTreeMap<Node, f64>,
+    pub edge_disturbed_until: BTreeMap<Node, f64>,
     log: BTreeMap<u64, (Rc<Value>, Rc<Document>)>,
     /// Newest index that somebody was told of.
     floor: u64,
@@ -84,7 +84,7 @@
     /// What was answered to operators since it was taken last: when, by whom, to which order; kept where wanted.
     pub(crate) replies: Option<Vec<(f64, Node, u64, Reply)>>,
     /// The counters.
-    pub(crate) sums: Sums,
+    pub(crate) sums: CounterModel,
 }
 
 /// Base of a configuration, its number.
@@ -92,10 +92,10 @@
     Config::parse(body).map_or((0, 0), |config| (config.base_version.0, config.version.0))
 }
 
-impl Truth {
+impl ReferenceModel {
     /// Something is not as it must be.
-    pub fn wrong(&mut self, what: String) {
-        self.broken.get_or_insert(what);
+    pub fn fail(&mut self, what: String) {
+        self.violation.get_or_insert(what);
     }
 
     /// A command goes out.
@@ -139,19 +139,19 @@
     }
 
     /// Is everything of the core and the network calm for long enough?
-    pub fn calm(&self, now: f64) -> bool {
-        now - self.rough_until >= CONTACT
+    pub fn is_calm(&self, now: f64) -> bool {
+        now - self.disturbed_until >= CONTACT
     }
 
     /// Had an edge node no trouble of its own for as long? One that stood still may work for a moment by what waited.
     pub fn touch(&self, now: f64, node: Node) -> bool {
-        self.rough.get(&node).is_none_or(|until| now - until >= CONTACT)
+        self.edge_disturbed_until.get(&node).is_none_or(|until| now - until >= CONTACT)
     }
 
     /// All trouble ends.
     pub fn healed(&mut self, now: f64) {
-        self.rough_until = now;
-        self.rough.values_mut().for_each(|until| *until = until.min(now));
+        self.disturbed_until = now;
+        self.edge_disturbed_until.values_mut().for_each(|until| *until = until.min(now));
     }
 
     /// What a run holds: an index of a document.
@@ -167,14 +167,14 @@
         let index = ballot.index;
         let known = self.log.entry(index).or_insert_with(|| (value.clone(), document.clone()));
         if known.0 != value {
-            return self.wrong(format!("two values are committed at {ballot:?}"));
+            return self.fail(format!("two values are committed at {ballot:?}"));
         }
         let before = self.log.range(..index).next_back();
         let after = self.log.range(index + 1..).next();
         let bad = before.is_some_and(|(_, (_, before))| !follows(before, &document))
             || after.is_some_and(|(_, (_, after))| !follows(&document, after));
         if bad {
-            return self.wrong(format!("a change is lost at {ballot:?}"));
+            return self.fail(format!("a change is lost at {ballot:?}"));
         }
         self.holding(node, run, index, document);
     }
@@ -184,34 +184,34 @@
         let edge = |d: &Document| Document::clone(d).split_accepted().0;
         let known = self.log.get(&index).map(|known| &known.1);
         if known.is_none_or(|known| *known != document && edge(known) != *document) {
-            return self.wrong(format!("{node} holds at {index} what was not committed"));
+            return self.fail(format!("{node} holds at {index} what was not committed"));
         }
         let before = self.held.insert((node, run), (index, document.clone()));
         if before.is_some_and(|(old, was)| old > index || was.version > document.version) {
-            self.wrong(format!("{node} goes back to {index}"));
+            self.fail(format!("{node} goes back to {index}"));
         }
     }
 
     fn won(&mut self, now: f64, node: Node, run: u64, epoch: u64) {
         self.seen.wins += 1;
         if self.epochs.insert(epoch, (node, run, now)).is_some() {
-            return self.wrong(format!("epoch {epoch} is held twice"));
+            return self.fail(format!("epoch {epoch} is held twice"));
         }
         // one that stood still may win what is over: it is not backed, and says nothing
         let over = self.epochs.range(epoch + 1..).next().is_some();
         let (held, floor) = (self.holds(node, run).unwrap_or(0), self.floor);
         if held < floor && !over {
-            self.wrong(format!("{node} leads with {held}, but somebody was told of {floor}"));
+            self.fail(format!("{node} leads with {held}, but somebody was told of {floor}"));
         }
     }
 
     fn stands(&mut self, node: Node, epoch: u64, kept: bool) {
         if self.wiped.contains(&node) {
-            return self.wrong(format!("{node} lost its disk and votes before it has learnt"));
+            return self.fail(format!("{node} lost its disk and votes before it has learnt"));
         }
         let before = self.votes.get(&node).copied().unwrap_or(0);
         if before > epoch {
-            return self.wrong(format!("{node} stands by epoch {epoch}, but promised {before}"));
+            return self.fail(format!("{node} stands by epoch {epoch}, but promised {before}"));
         }
         if kept && before < epoch {
             self.votes.insert(node, epoch);
@@ -220,8 +220,7 @@
     }
 
     fn replied(&mut self, now: f64, node: Node, id: u64, reply: Reply) {
-        let (Some(Question { command, floor }), Reply::GossipMessage(answer)) =
-            (self.questions.remove(&id), reply)
+        let (Some(Question { command, floor }), Reply::Answer(answer)) = (self.questions.remove(&id), reply)
         else {
             return;
         };
@@ -259,7 +258,7 @@
                 other => format!("{other:?}"),
             };
             let short = short(&command);
-            return self.wrong(format!("{node} says {said} to {short} against the whole, told of {floor}"));
+            return self.fail(format!("{node} says {said} to {short} against the whole, told of {floor}"));
         };
         self.floor = self.floor.max(index);
         match (command, answer) {
@@ -269,7 +268,7 @@
                 self.acked(now, index);
                 let base = numbers(&body).0;
                 if *self.bases.entry(base).or_insert_with(|| body.clone()) != body {
-                    self.wrong(format!("two configurations are acknowledged on base {base}"));
+                    self.fail(format!("two configurations are acknowledged on base {base}"));
                 }
             }
             _ => self.acked(now, index),
@@ -285,10 +284,10 @@
     fn counts(&mut self, now: f64, node: Node, run: u64, epoch: u64) {
         let holder = self.epochs.get(&epoch).map(|(node, run, _)| (*node, *run));
         if holder != Some((node, run)) {
-            return self.wrong(format!("{node} counts under epoch {epoch} of {holder:?}"));
+            return self.fail(format!("{node} counts under epoch {epoch} of {holder:?}"));
         }
         if self.epochs.range(epoch + 1..).any(|(_, (_, _, at))| now - at > LEASE) {
-            self.wrong(format!("{node} still counts under epoch {epoch}, which is over"));
+            self.fail(format!("{node} still counts under epoch {epoch}, which is over"));
         }
     }
 
@@ -296,17 +295,17 @@
         self.seen.counted += 1;
         if let Some((name, total)) = totals.iter().find(|(name, total)| !self.sums.told(epoch, *name, *total))
         {
-            self.wrong(format!("{node} is told {total} of counter {name} in epoch {epoch}"));
+            self.fail(format!("{node} is told {total} of counter {name} in epoch {epoch}"));
         }
     }
 
     fn ready(&mut self, now: f64, node: Node, run: u64) {
         self.seen.ready += 1;
         match self.holds(node, run) {
-            None => self.wrong(format!("{node} is ready with nothing")),
-            Some(index) if self.calm(now) && self.touch(now, node) && index < self.needed(now) => {
+            None => self.fail(format!("{node} is ready with nothing")),
+            Some(index) if self.is_calm(now) && self.touch(now, node) && index < self.needed(now) => {
                 let needed = self.needed(now);
-                self.wrong(format!(
+                self.fail(format!(
                     "{node} starts with {index}, but {needed} was acknowledged {APPLY} s before"
                 ));
             }
@@ -344,33 +343,35 @@
     }
 }
 
-impl Observer<Process> for Truth {
-    fn observe(&mut self, now: f64, node: Node, run: u64, _: &Process, told: Told) {
+impl Observer<Process> for ReferenceModel {
+    fn observe(&mut self, now: f64, node: Node, run: u64, _: &Process, told: Observation) {
         match told {
-            Told::Committed(ballot, value) => self.committed(node, run, ballot, value),
-            Told::Won(epoch) => self.won(now, node, run, epoch),
-            Told::Stands { epoch, kept } => self.stands(node, epoch, kept),
-            Told::Learnt => drop(self.wiped.remove(&node)),
-            Told::Replied(id, reply) => {
+            Observation::Committed(ballot, value) => self.committed(node, run, ballot, value),
+            Observation::WonEpoch(epoch) => self.won(now, node, run, epoch),
+            Observation::SupportedEpoch { epoch, kept } => self.stands(node, epoch, kept),
+            Observation::StateLearned => drop(self.wiped.remove(&node)),
+            Observation::Replied(id, reply) => {
                 self.answers.insert(id, reply.clone());
                 self.replies.iter_mut().for_each(|kept| kept.push((now, node, id, reply.clone())));
                 self.replied(now, node, id, reply);
             }
-            Told::Put { epoch, from, name, sum } => {
+            Observation::SumReceived { epoch, from, name, sum } => {
                 self.counts(now, node, run, epoch);
                 self.sums.put(epoch, from, name, sum);
             }
-            Told::Gathered { epoch, from, told, before } => self.sums.gathered(epoch, from, told, before),
-            Told::Total { epoch, name, total } => {
-                let calm = self.calm(now);
+            Observation::HandoverReceived { epoch, from, told, before } => {
+                self.sums.gathered(epoch, from, told, before)
+            }
+            Observation::TotalReported { epoch, name, total } => {
+                let calm = self.is_calm(now);
                 if let Err(what) = self.sums.total(epoch, name, total, calm) {
-                    self.wrong(format!("{node} {what}"));
+                    self.fail(format!("{node} {what}"));
                 }
             }
-            Told::Added { name, amount } => self.sums.added(name, amount),
-            Told::Took(ballot, document) => self.holding(node, run, ballot.index, document),
-            Told::Ready => self.ready(now, node, run),
-            Told::Counted { epoch, totals } => self.counted(node, epoch, &totals),
+            Observation::CounterIncreased { name, amount } => self.sums.added(name, amount),
+            Observation::DocumentApplied(ballot, document) => self.holding(node, run, ballot.index, document),
+            Observation::BecameReady => self.ready(now, node, run),
+            Observation::TotalsReceived { epoch, totals } => self.counted(node, epoch, &totals),
         }
     }
 }
--- a/simulation/src/resends.rs
+++ b/simulation/src/resends.rs
@@ -7,11 +7,11 @@
 //! - a zone stays as it was acknowledged last, as long as no order about it is under way;
 //! - once it is calm, each order gets a clear answer.
 
+use crate::cluster::OPERATOR;
 use crate::core::ZONES;
-use crate::play::{end, until};
-use crate::process::{Command, Reply, Say};
-use crate::site::OPERATOR;
-use crate::{Flaw, Node, Plan, Site, Step};
+use crate::process::{Command, Message, Reply};
+use crate::runner::{end, until};
+use crate::{Cluster, Flaw, Node, Schedule, Step};
 use fastrand::Rng;
 use lupinledge_config::Answer;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,7 @@
 
 /// How much happened, so that nobody takes an empty run for a good one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ResendCoverage {
     /// Orders of configurations, and those that got 200 and a refusal.
     pub orders: u64,
     pub taken: u64,
@@ -50,9 +50,9 @@
     pub late: u64,
 }
 
-impl Tally {
+impl ResendCoverage {
     /// Adds what was seen elsewhere.
-    pub fn add(&mut self, other: &Tally) {
+    pub fn add(&mut self, other: &ResendCoverage) {
         self.orders += other.orders;
         self.taken += other.taken;
         self.refused += other.refused;
@@ -100,7 +100,7 @@
     acked: BTreeSet<Rc<[u8]>>,
     nth: u64,
     calm: bool,
-    tally: Tally,
+    tally: ResendCoverage,
 }
 
 fn body(version: u64, base: u64, nth: u64) -> Rc<[u8]> {
@@ -123,14 +123,14 @@
             acked: BTreeSet::new(),
             nth: 0,
             calm: false,
-            tally: Tally::default(),
+            tally: ResendCoverage::default(),
         }
     }
 
     /// New orders, as far as there is room for them.
-    fn begin(&mut self, site: &Site) {
+    fn begin(&mut self, cluster: &Cluster) {
         while self.open.len() < ORDERS && self.rng.usize(..3) == 0 {
-            let now = site.world.now;
+            let now = cluster.world.now;
             let (command, numbers) = match self.rng.usize(..10) {
                 0 => (Command::Get, (0, 0)),
                 1..3 => {
@@ -155,7 +155,7 @@
                 }
                 // a few numbers for many: two often pick the same
                 _ => {
-                    let base = site.world.observer.version(usize::from(self.rng.usize(..12) == 0));
+                    let base = cluster.world.observer.version(usize::from(self.rng.usize(..12) == 0));
                     let version = base + 1 + self.rng.u64(..2);
                     self.nth += 1;
                     self.tally.orders += 1;
@@ -167,34 +167,34 @@
     }
 
     /// Sends what is due.
-    fn send(&mut self, site: &mut Site) {
-        let now = site.world.now;
+    fn send(&mut self, cluster: &mut Cluster) {
+        let now = cluster.world.now;
         for order in self.open.iter_mut().filter(|order| order.next <= now) {
-            let any = site.cores[self.rng.usize(..site.cores.len())];
+            let any = cluster.cores[self.rng.usize(..cluster.cores.len())];
             let to = order.to.take().unwrap_or(any);
-            let id = site.world.next_id();
+            let id = cluster.world.next_id();
             let lost = !self.calm && self.rng.u32(..100) < LOST;
             order.tries.push(Try { id, at: now, lost, seen: false });
             order.next = now + SILENCE + PAUSE * self.rng.f64();
             self.tally.tries += 1;
-            site.world.observer.asked(id, order.command.clone());
-            site.world.send(OPERATOR, to, Say::Command(id, order.command.clone()), true);
+            cluster.world.observer.asked(id, order.command.clone());
+            cluster.world.send(OPERATOR, to, Message::Command(id, order.command.clone()), true);
         }
     }
 
     /// Looks at all answers that were given, those lost on their way too.
-    fn hear(&mut self, site: &mut Site) -> Result<(), String> {
-        let now = site.world.now;
+    fn hear(&mut self, cluster: &mut Cluster) -> Result<(), String> {
+        let now = cluster.world.now;
         let mut orders: Vec<Order> = self.open.drain(..).chain(self.closed.drain(..)).collect();
         for order in &mut orders {
             for nth in 0..order.tries.len() {
                 let Try { id, at, lost, seen } = order.tries[nth];
-                let Some(reply) = site.world.observer.answers.get(&id).filter(|_| !seen).cloned() else {
+                let Some(reply) = cluster.world.observer.answers.get(&id).filter(|_| !seen).cloned() else {
                     continue;
                 };
                 order.tries[nth].seen = true;
-                if let Reply::GossipMessage(answer) = &reply {
-                    let newest = site.world.observer.version(0);
+                if let Reply::Answer(answer) = &reply {
+                    let newest = cluster.world.observer.version(0);
                     self.judged(order, nth, answer, newest)?;
                     if let Some(zone) = about(&order.command).filter(|_| order.clear) {
                         self.tally.late += 1;
@@ -207,23 +207,23 @@
                     continue;
                 }
                 match reply {
-                    Reply::GossipMessage(_) => {
+                    Reply::Answer(_) => {
                         order.clear = true;
                         if let Some(zone) = about(&order.command) {
                             self.tally.zones += 1;
                             self.zones.insert(zone, matches!(order.command, Command::Evacuate(_)));
                         }
                     }
-                    Reply::Elsewhere(_) if newest => {
-                        (order.to, order.next) = (site.leaders().first().copied(), now + LOOK / 2.0);
+                    Reply::Redirect(_) if newest => {
+                        (order.to, order.next) = (cluster.leaders().first().copied(), now + LOOK / 2.0);
                     }
-                    Reply::Later if newest => order.next = now + PAUSE,
+                    Reply::Unknown if newest => order.next = now + PAUSE,
                     _ => {}
                 }
             }
         }
         (self.closed, self.open) = orders.into_iter().partition(|order| order.clear);
-        self.truth(site)
+        self.truth(cluster)
     }
 
     /// One answer, whoever hears it.
@@ -253,8 +253,8 @@
     }
 
     /// What is in force, against what was said.
-    fn truth(&self, site: &Site) -> Result<(), String> {
-        let truth = &site.world.observer;
+    fn truth(&self, cluster: &Cluster) -> Result<(), String> {
+        let truth = &cluster.world.observer;
         if let Some(body) = truth.bodies().find(|body| self.refused.contains(*body)) {
             let text = String::from_utf8_lossy(&body[..body.len().min(50)]).into_owned();
             return Err(format!("refused, and in force: {text}"));
@@ -262,7 +262,7 @@
         let Some((_, _, document)) = truth.newest() else { return Ok(()) };
         for (zone, evacuated) in &self.zones {
             let under_way = |order: &Order| {
-                let air = |t: &Try| !t.seen && site.world.now - t.at < AIR;
+                let air = |t: &Try| !t.seen && cluster.world.now - t.at < AIR;
                 about(&order.command) == Some(zone) && (!order.clear || order.tries.iter().any(air))
             };
             if self.open.iter().chain(&self.closed).any(under_way) {
@@ -284,7 +284,7 @@
 }
 
 /// Trouble of the core.
-fn trouble(rng: &mut Rng, site: &mut Site) {
+fn trouble(rng: &mut Rng, cluster: &mut Cluster) {
     let place = rng.u8(..);
     let step = match rng.u32(..100) {
         0..10 => Step::Kill(place),
@@ -292,71 +292,71 @@
         13..20 => Step::Wipe(place),
         20..28 => Step::Freeze(place, 300 + rng.u16(..4000)),
         28..36 => Step::Cut(rng.u16(..), 500 + rng.u16(..5000)),
-        36..40 => Step::OneWay(500 + rng.u16(..4000)),
-        40..44 => Step::Trip(1000 + rng.u16(..3000)),
-        44..47 => Step::Refuse(place, 2 + rng.u8(..3)),
+        36..40 => Step::CutOneWay(500 + rng.u16(..4000)),
+        40..44 => Step::KillOnVote(1000 + rng.u16(..3000)),
+        44..47 => Step::FailSaves(place, 2 + rng.u8(..3)),
         47..49 => Step::Replace(place),
-        49..52 => Step::Weather(rng.u8(..30), rng.u8(..10), 500 + rng.u16(..3000)),
+        49..52 => Step::DegradeNetwork(rng.u8(..30), rng.u8(..10), 500 + rng.u16(..3000)),
         // the disks of all but the holder: it goes on, and nothing is settled
         52..60 => {
-            let (holders, until) = (site.leaders(), 300 + rng.u16(..5000));
-            let others = (0..site.cores.len() as u8).filter(|&n| !holders.contains(&site.core(n)));
+            let (holders, until) = (cluster.leaders(), 300 + rng.u16(..5000));
+            let others = (0..cluster.cores.len() as u8).filter(|&n| !holders.contains(&cluster.core_at(n)));
             let others: Vec<u8> = others.collect();
-            others.into_iter().for_each(|n| site.step(&Step::Stall(n, until)));
+            others.into_iter().for_each(|n| cluster.apply_step(&Step::Stall(n, until)));
             return;
         }
         // the holder alone is cut off from some or all
         60..66 => {
-            let holder = site.leaders().first().copied();
-            let Some(place) = site.cores.iter().position(|node| Some(*node) == holder) else { return };
+            let holder = cluster.leaders().first().copied();
+            let Some(place) = cluster.cores.iter().position(|node| Some(*node) == holder) else { return };
             Step::Cut(1 << place, 500 + rng.u16(..6000))
         }
         _ => Step::Start,
     };
-    site.step(&step);
+    cluster.apply_step(&step);
 }
 
 /// Plays the schedule of a seed, and returns what was wrong first.
-pub fn resends(seed: u64, flaw: Flaw) -> Result<Tally, String> {
-    let plan = Plan { edges: 2, ..Plan::new(seed).only(&[]) };
-    let mut site = Site::new(&plan, flaw);
+pub fn resends(seed: u64, flaw: Flaw) -> Result<ResendCoverage, String> {
+    let plan = Schedule { edges: 2, ..Schedule::new(seed).only(&[]) };
+    let mut cluster = Cluster::new(&plan, flaw);
     let mut operators = Operators::new(seed);
     let mut rng = Rng::with_seed(seed ^ 0x0074_726f_7562_6c65);
     let (ends, mut next) = (10.0 + rng.f64() * 20.0, 3.0);
-    let broken = |site: &mut Site, now: f64| match site.world.observer.broken.take() {
+    let broken = |cluster: &mut Cluster, now: f64| match cluster.world.observer.violation.take() {
         Some(what) => Err(format!("seed {seed}, at {now:.3} s: {what}")),
         None => Ok(()),
     };
-    while site.world.now < ends {
-        if site.world.now >= next {
-            next = site.world.now + 0.1 + rng.f64();
-            trouble(&mut rng, &mut site);
+    while cluster.world.now < ends {
+        if cluster.world.now >= next {
+            next = cluster.world.now + 0.1 + rng.f64();
+            trouble(&mut rng, &mut cluster);
         }
-        operators.begin(&site);
-        operators.send(&mut site);
-        site.pass(LOOK);
-        let now = site.world.now;
-        broken(&mut site, now)?;
-        operators.hear(&mut site).map_err(|what| format!("seed {seed}, at {now:.3} s: {what}"))?;
+        operators.begin(&cluster);
+        operators.send(&mut cluster);
+        cluster.run(LOOK);
+        let now = cluster.world.now;
+        broken(&mut cluster, now)?;
+        operators.hear(&mut cluster).map_err(|what| format!("seed {seed}, at {now:.3} s: {what}"))?;
     }
-    site.calm();
+    cluster.heal();
     operators.calm = true;
     let mut wrong = None;
-    let done = until(&mut site, CLEAR, |site| {
-        operators.send(site);
-        wrong = wrong.take().or(operators.hear(site).err());
+    let done = until(&mut cluster, CLEAR, |cluster| {
+        operators.send(cluster);
+        wrong = wrong.take().or(operators.hear(cluster).err());
         wrong.is_some() || operators.open.is_empty()
     });
-    let now = site.world.now;
-    broken(&mut site, now)?;
+    let now = cluster.world.now;
+    broken(&mut cluster, now)?;
     if let Some(what) = wrong {
         return Err(format!("seed {seed}, at {now:.3} s: {what}"));
     }
     if !done {
         return Err(format!("seed {seed}: {} orders without an answer", operators.open.len()));
     }
-    end(&mut site);
-    broken(&mut site, now)?;
-    operators.hear(&mut site).map_err(|what| format!("seed {seed}, at the end: {what}"))?;
+    end(&mut cluster);
+    broken(&mut cluster, now)?;
+    operators.hear(&mut cluster).map_err(|what| format!("seed {seed}, at the end: {what}"))?;
     Ok(operators.tally)
 }
--- a/simulation/tests/away.rs
+++ b/simulation/tests/absent_member.rs
@@ -1,6 +1,6 @@
 //! Days of many changes with a member of the core away, and planted faults.
 
-use lupinledge_simulation::away::{day, CATCH_UP};
+use lupinledge_simulation::absent_member::{run_absence, CATCH_UP};
 use lupinledge_simulation::Flaw;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
@@ -21,7 +21,8 @@
                 if seed >= DAYS {
                     return;
                 }
-                let day = day(seed, CHANGES, Flaw::None).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
+                let day = run_absence(seed, CHANGES, Flaw::None)
+                    .unwrap_or_else(|what| panic!("seed {seed}: {what}"));
                 days.lock().unwrap().push((seed, day));
             });
         }
@@ -38,15 +39,16 @@
 #[test]
 fn many_shorter_days() {
     for seed in 1_000..1_100 {
-        day(seed, FEWER, Flaw::None).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
+        run_absence(seed, FEWER, Flaw::None).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
     }
 }
 
 #[test]
 fn each_planted_fault_is_caught() {
     let found: Vec<_> = std::thread::scope(|scope| {
-        let look =
-            |flaw| (0..CAUGHT).find_map(|seed| day(seed, FEWER, flaw).err().map(|what| (seed + 1, what)));
+        let look = |flaw| {
+            (0..CAUGHT).find_map(|seed| run_absence(seed, FEWER, flaw).err().map(|what| (seed + 1, what)))
+        };
         let threads = Flaw::AWAY.map(|flaw| scope.spawn(move || (flaw, look(flaw))));
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
@@ -69,7 +71,7 @@
                 if seed >= to {
                     return;
                 }
-                if let Err(what) = day(seed, FEWER, Flaw::None) {
+                if let Err(what) = run_absence(seed, FEWER, Flaw::None) {
                     println!("{seed}: {what}");
                     *bad.lock().unwrap() += 1;
                 }
--- a/simulation/tests/cuts.rs
+++ b/simulation/tests/partitions.rs
@@ -1,6 +1,6 @@
 //! Members of the core cut off for twenty seconds, by seed, with operators at every member, and planted faults.
 
-use lupinledge_simulation::{play_cut, CutPlan, CutSeen, Flaw};
+use lupinledge_simulation::{run_partitions, Flaw, PartitionCoverage, PartitionSchedule};
 use std::sync::Mutex;
 
 /// Days of one test; four tests share the cores of a machine.
@@ -9,9 +9,9 @@
 const CAUGHT: u64 = 300;
 
 fn quarter(nth: u64) {
-    let mut sums = CutSeen::default();
+    let mut sums = PartitionCoverage::default();
     for seed in nth * EACH..(nth + 1) * EACH {
-        match play_cut(&CutPlan::new(seed), Flaw::None) {
+        match run_partitions(&PartitionSchedule::new(seed), Flaw::None) {
             Ok(seen) => sums.add(&seen),
             Err(what) => panic!("{what}"),
         }
@@ -37,8 +37,9 @@
         for flaw in Flaw::CUTS {
             let found = &found;
             scope.spawn(move || {
-                let caught = (0..CAUGHT)
-                    .find_map(|seed| play_cut(&CutPlan::new(seed), flaw).err().map(|w| (seed + 1, w)));
+                let caught = (0..CAUGHT).find_map(|seed| {
+                    run_partitions(&PartitionSchedule::new(seed), flaw).err().map(|w| (seed + 1, w))
+                });
                 found.lock().unwrap().push((flaw, caught));
             });
         }
@@ -57,9 +58,9 @@
     let (from, to): (u64, u64) = (bound("FROM", 4 * EACH), bound("TO", 20 * EACH));
     let flaw = std::env::var("MODEL_FLAW").unwrap_or_default();
     let flaw = Flaw::CUTS.into_iter().find(|f| format!("{f:?}") == flaw).unwrap_or_default();
-    let (mut sums, mut bad) = (CutSeen::default(), 0);
+    let (mut sums, mut bad) = (PartitionCoverage::default(), 0);
     for seed in from..to {
-        match play_cut(&CutPlan::new(seed), flaw) {
+        match run_partitions(&PartitionSchedule::new(seed), flaw) {
             Ok(seen) => sums.add(&seen),
             Err(what) => {
                 println!("{what}");
--- a/simulation/tests/resends.rs
+++ b/simulation/tests/resends.rs
@@ -1,6 +1,6 @@
 //! Orders sent again until they have a clear answer, by seed, and planted faults.
 
-use lupinledge_simulation::resends::{resends, Tally};
+use lupinledge_simulation::resends::{resends, ResendCoverage};
 use lupinledge_simulation::Flaw;
 use std::sync::Mutex;
 
@@ -10,7 +10,7 @@
 const CAUGHT: u64 = 400;
 
 fn quarter(nth: u64) {
-    let mut sums = Tally::default();
+    let mut sums = ResendCoverage::default();
     for seed in nth * EACH..(nth + 1) * EACH {
         match resends(seed, Flaw::None) {
             Ok(tally) => sums.add(&tally),
--- a/simulation/tests/schedules.rs
+++ b/simulation/tests/schedules.rs
@@ -1,6 +1,6 @@
 //! Schedules of faults and orders by seed against the whole system's pure parts, and planted faults.
 
-use lupinledge_simulation::{play, report, Course, Flaw, Plan, Seen};
+use lupinledge_simulation::{failure_report, run_schedule, Coverage, Flaw, RunSummary, Schedule};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
 
@@ -10,12 +10,12 @@
 const CAUGHT: u64 = 400;
 
 fn eighth(nth: u64) {
-    let sums = Mutex::new(Seen::default());
+    let sums = Mutex::new(Coverage::default());
     bolero::check!().exhaustive().with_generator(nth * EACH..(nth + 1) * EACH).cloned().for_each(|seed| {
-        let plan = Plan::new(seed);
-        match play(&plan, Flaw::None) {
-            Ok(Course { seen, .. }) => sums.lock().unwrap().add(&seen),
-            Err(what) => panic!("{}", report(&plan, Flaw::None, &what)),
+        let plan = Schedule::new(seed);
+        match run_schedule(&plan, Flaw::None) {
+            Ok(RunSummary { seen, .. }) => sums.lock().unwrap().add(&seen),
+            Err(what) => panic!("{}", failure_report(&plan, Flaw::None, &what)),
         }
     });
     let sums = sums.into_inner().unwrap();
@@ -33,14 +33,14 @@
 #[test]
 fn the_same_seed_goes_the_same_way() {
     for seed in 0..20 {
-        let plan = Plan::new(seed);
-        assert_eq!(play(&plan, Flaw::None), play(&plan, Flaw::None), "seed {seed}");
+        let plan = Schedule::new(seed);
+        assert_eq!(run_schedule(&plan, Flaw::None), run_schedule(&plan, Flaw::None), "seed {seed}");
     }
 }
 
 /// After how many schedules the checks catch a fault, and by what.
 fn caught(flaw: Flaw) -> Option<(u64, String)> {
-    (0..CAUGHT).find_map(|seed| play(&Plan::new(seed), flaw).err().map(|what| (seed + 1, what)))
+    (0..CAUGHT).find_map(|seed| run_schedule(&Schedule::new(seed), flaw).err().map(|what| (seed + 1, what)))
 }
 
 #[test]
@@ -65,7 +65,7 @@
 #[test]
 fn replay() {
     let Ok(seed) = std::env::var("MODEL_SEED") else { return };
-    let mut plan = Plan::new(seed.parse().expect("MODEL_SEED is a number"));
+    let mut plan = Schedule::new(seed.parse().expect("MODEL_SEED is a number"));
     if let Ok(keep) = std::env::var("MODEL_KEEP") {
         let places: Vec<usize> = keep.split(',').filter_map(|place| place.parse().ok()).collect();
         plan = plan.only(&places);
@@ -73,9 +73,9 @@
     let flaw = std::env::var("MODEL_FLAW").unwrap_or_default();
     let flaw = Flaw::ALL.into_iter().find(|f| format!("{f:?}") == flaw).unwrap_or_default();
     println!("{plan:#?}");
-    match play(&plan, flaw) {
+    match run_schedule(&plan, flaw) {
         Ok(course) => println!("{course:?}"),
-        Err(what) => panic!("{}", report(&plan, flaw, &what)),
+        Err(what) => panic!("{}", failure_report(&plan, flaw, &what)),
     }
 }
 
@@ -94,7 +94,7 @@
                 if seed >= to {
                     return;
                 }
-                if let Err(what) = play(&Plan::new(seed), Flaw::None) {
+                if let Err(what) = run_schedule(&Schedule::new(seed), Flaw::None) {
                     println!("{seed}: {what}");
                     *bad.lock().unwrap() += 1;
                 }
