--- a/simulation/src/cluster.rs
+++ b/simulation/src/cluster.rs
@@ -127,7 +127,7 @@
 
     /// Those who took themselves for a holder backed by a majority when they last ran.
     pub fn leaders(&self) -> Vec<Node> {
-        let leads = |node: &Node| self.world.process(*node)?.core()?.leads();
+        let leads = |node: &Node| self.world.process(*node)?.core()?.leading_epoch();
         self.cores.iter().copied().filter(|node| leads(node).is_some()).collect()
     }
 
--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -1,6 +1,6 @@
-//! A process of the core, of its pure parts: agreement, commands, news, counters.
+//! A core process assembled from the system's deterministic parts: consensus, commands, membership and counters.
 
-use crate::process::{card, send, Command, Effects, Message, Observation, Reply};
+use crate::process::{card, send_gossip, Command, Effects, Message, Observation, Reply};
 use crate::world::{Effect, StartContext};
 use crate::{Flaw, Node};
 use lupinledge_config::change_queue::CallerId;
@@ -11,51 +11,54 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// So long an operator waits for an answer, seconds.
+/// How long an operator waits for a reply to a change, seconds.
 pub const ANSWER_WAIT: f64 = 0.9;
-/// The zones that there are.
+/// All zones.
 pub const ZONES: [&str; 3] = ["region-0-a", "region-1-a", "region-1-b"];
 
-/// A question to the agreement under way.
-struct Asked {
-    /// Who is answered; `None`: all who wait for the change whose turn it is, and the next one waits for it.
+/// A proposal or read barrier in progress.
+struct PendingRequest {
+    /// The commands that get the reply. `None`: all callers of the running change, and the next change waits for it.
     ids: Option<Vec<u64>>,
     command: Command,
-    /// What is said if the whole confirms that it is still at this epoch and document.
-    said: Option<(Answer, u64, Ballot)>,
+    /// For a read barrier: the answer to give if the cluster confirms this epoch and the document is still the one
+    /// of this ballot.
+    answer_if_current: Option<(Answer, u64, Ballot)>,
 }
 
-/// See the module.
+/// A core process.
 pub struct Core {
-    /// The agreement.
+    /// The consensus replica.
     pub replica: Replica,
-    /// Membership and news.
+    /// Membership and updates.
     pub disseminator: Disseminator,
     pub(crate) flaw: Flaw,
-    agreed: Option<(Ballot, Rc<Document>)>,
-    /// Of it what the edge is told.
-    told: Rc<[u8]>,
-    leads: Option<u64>,
-    /// The epoch whose holder was heard last, or that was held here, and the holder.
-    known: (u64, Node),
-    pub(crate) duty: CounterHolder,
-    /// The epoch that its counters are of, and when they are to be looked at.
-    pub(crate) counts: (Option<u64>, f64),
-    tickets: u64,
-    asked: BTreeMap<u64, Asked>,
-    pub(crate) turns: ChangeQueue<Command>,
-    /// Who waits for a change: the number of the command, and until when.
+    committed: Option<(Ballot, Rc<Document>)>,
+    /// The part of the committed document that edge nodes receive, encoded.
+    edge_document: Rc<[u8]>,
+    leading_epoch: Option<u64>,
+    /// The epoch, with its holder, that this process held or received a message from last.
+    last_holder: (u64, Node),
+    pub(crate) counter_holder: CounterHolder,
+    /// The epoch that the counters belong to, and when to poll them next.
+    pub(crate) counter_state: (Option<u64>, f64),
+    last_ticket: u64,
+    pending: BTreeMap<u64, PendingRequest>,
+    pub(crate) changes: ChangeQueue<Command>,
+    /// Callers that wait for a change: the id of their command, and when the wait ends.
     callers: BTreeMap<CallerId, (u64, f64)>,
-    hint_at: f64,
+    next_hint: f64,
     seeds: Vec<Node>,
     me: Node,
-    /// For planted faults: the state saved before, and whether it asked for what is committed.
-    before: Option<PersistentState>,
+    /// For [`Flaw::SaveBefore`]: the state of the previous save.
+    previous_save: Option<PersistentState>,
+    /// For [`Flaw::FetchOnce`]: whether this process has asked for a committed value.
     fetched: bool,
 }
 
 impl Core {
-    /// Begins from what the disk holds; `seeds` found, once.
+    /// Starts from the state on the disk. On an empty disk that was never written, the process forms the cluster
+    /// with the other `seeds`.
     pub fn new(
         me: Node,
         context: StartContext<PersistentState>,
@@ -68,57 +71,58 @@
         let bootstrap = !disk_written || flaw == Flaw::WipedFounds;
         let replica =
             Replica::new(now, Settings { me, seeds: seeds.to_vec(), bootstrap, seed, tolerate }, saved_state);
-        let swarm = lupinledge_membership::Settings::new(me, run_id, card(me, true), seeds.to_vec(), seed);
+        let membership =
+            lupinledge_membership::Settings::new(me, run_id, card(me, true), seeds.to_vec(), seed);
         Core {
             replica,
-            disseminator: Disseminator::new(now, swarm, false),
+            disseminator: Disseminator::new(now, membership, false),
             flaw,
-            agreed: None,
-            told: Rc::from([]),
-            leads: None,
-            known: (0, 0),
-            duty: CounterHolder::default(),
-            counts: (None, now),
-            tickets: 0,
-            asked: BTreeMap::new(),
-            turns: ChangeQueue::default(),
+            committed: None,
+            edge_document: Rc::from([]),
+            leading_epoch: None,
+            last_holder: (0, 0),
+            counter_holder: CounterHolder::default(),
+            counter_state: (None, now),
+            last_ticket: 0,
+            pending: BTreeMap::new(),
+            changes: ChangeQueue::default(),
             callers: BTreeMap::new(),
-            hint_at: now,
+            next_hint: now,
             seeds: seeds.to_vec(),
             me,
-            before: None,
+            previous_save: None,
             fetched: false,
         }
     }
 
-    /// The epoch in which this process spoke for the whole when it last ran.
-    pub fn leads(&self) -> Option<u64> {
-        self.leads
+    /// The epoch that this process led with a majority when it last ran.
+    pub fn leading_epoch(&self) -> Option<u64> {
+        self.leading_epoch
     }
 
-    /// Commands without a reply yet.
+    /// Number of commands without a reply.
     pub fn pending_commands(&self) -> usize {
-        self.asked.len() + self.turns.queued()
+        self.pending.len() + self.changes.queued()
     }
 
     pub(crate) fn next_wake(&self) -> f64 {
         let callers = self.callers.values().map(|caller| caller.1).fold(f64::INFINITY, f64::min);
-        self.replica.next_wake().min(self.disseminator.next_wake()).min(self.counts.1).min(callers)
+        self.replica.next_wake().min(self.disseminator.next_wake()).min(self.counter_state.1).min(callers)
     }
 
     pub(crate) fn tick(&mut self, now: f64, out: &mut Effects) {
-        self.turn(now, out, |replica, out| replica.tick(now, out));
+        self.run_replica(now, out, |replica, out| replica.tick(now, out));
         if now >= self.disseminator.next_wake() {
-            send(self.disseminator.tick(now), out);
+            send_gossip(self.disseminator.tick(now), out);
         }
-        if now >= self.counts.1 {
-            self.look(now, out);
+        if now >= self.counter_state.1 {
+            self.poll_counters(now, out);
         }
-        self.tire(now, out);
-        if now < self.hint_at {
+        self.expire_callers(now, out);
+        if now < self.next_hint {
             return;
         }
-        self.hint_at = now + 1.0;
+        self.next_hint = now + 1.0;
         if self.flaw != Flaw::SeedsAlone {
             self.disseminator.set_seeds(self.seeds.iter().chain(self.replica.members()).copied().collect());
         }
@@ -129,35 +133,35 @@
         }
     }
 
-    /// It leaves by agreement, and serves on meanwhile.
+    /// Starts an orderly shutdown; the process serves until it is replaced.
     pub(crate) fn leave(&mut self, now: f64, out: &mut Effects) {
-        self.turn(now, out, |replica, out| replica.leave(now, out));
+        self.run_replica(now, out, |replica, out| replica.leave(now, out));
     }
 
-    pub(crate) fn saved(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Effects) {
-        self.turn(now, out, |replica, out| replica.save_finished(now, ticket, ok, out));
+    pub(crate) fn save_finished(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Effects) {
+        self.run_replica(now, out, |replica, out| replica.save_finished(now, ticket, ok, out));
     }
 
-    pub(crate) fn heard(&mut self, now: f64, from: Node, say: Message, out: &mut Effects) {
-        if let Some(counters) = self.duty.counters() {
+    pub(crate) fn handle_message(&mut self, now: f64, from: Node, message: Message, out: &mut Effects) {
+        if let Some(counters) = self.counter_holder.counters() {
             counters.record_contact(now, from);
         }
-        match say {
-            Message::Gossip(said) => {
-                let (_, sends) = self.disseminator.receive(now, from, said);
-                send(sends, out);
+        match message {
+            Message::Gossip(message) => {
+                let (_, messages) = self.disseminator.receive(now, from, message);
+                send_gossip(messages, out);
             }
             Message::Consensus(msg) => {
                 if matches!(msg, Msg::LearnReply { .. }) {
                     out.push(Effect::Observe(Observation::StateLearned));
                 }
-                self.turn(now, out, |replica, out| replica.handle_message(now, from, msg, out));
+                self.run_replica(now, out, |replica, out| replica.handle_message(now, from, msg, out));
             }
             Message::CounterCall { tag, incarnation, calls } => {
-                self.count(now, (from, incarnation), tag, &calls, out)
+                self.handle_counter_call(now, (from, incarnation), tag, &calls, out)
             }
-            Message::Handover { epoch, incarnation, told } => {
-                self.gather(now, epoch, (from, incarnation), &told, out)
+            Message::Handover { epoch, incarnation, entries } => {
+                self.receive_handover(now, epoch, (from, incarnation), &entries, out)
             }
             Message::ClockRequest if self.replica.leading_epoch(now).is_some() => {
                 out.push(Effect::SendDatagram(from, Message::ClockReply))
@@ -170,216 +174,231 @@
         }
     }
 
-    /// One step of the agreement, and what it orders.
-    fn turn(&mut self, now: f64, out: &mut Effects, step: impl FnOnce(&mut Replica, &mut Vec<Output>)) {
-        let mut orders = Vec::new();
-        step(&mut self.replica, &mut orders);
-        for order in orders {
-            match order {
+    /// Makes one call into the replica and carries out its outputs.
+    fn run_replica(
+        &mut self,
+        now: f64,
+        out: &mut Effects,
+        call: impl FnOnce(&mut Replica, &mut Vec<Output>),
+    ) {
+        let mut outputs = Vec::new();
+        call(&mut self.replica, &mut outputs);
+        for output in outputs {
+            match output {
                 Output::Send(_, Msg::Fetch { .. }) if self.flaw == Flaw::FetchOnce && self.fetched => {}
                 Output::Send(_, Msg::CommittedValue { .. }) if self.flaw == Flaw::FetchDeaf => {}
                 Output::Send(to, msg) => {
                     self.fetched |= matches!(msg, Msg::Fetch { .. });
-                    let stands = match &msg {
+                    let supported = match &msg {
                         Msg::Promise { epoch, .. } => Some((*epoch, true)),
                         Msg::Accepted { ballot, .. } => Some((ballot.epoch, true)),
                         Msg::HeartbeatOk { epoch, .. } => Some((*epoch, false)),
                         _ => None,
                     };
-                    out.extend(
-                        stands.map(|(epoch, kept)| {
-                            Effect::Observe(Observation::SupportedEpoch { epoch, kept })
-                        }),
-                    );
+                    out.extend(supported.map(|(epoch, durable)| {
+                        Effect::Observe(Observation::SupportedEpoch { epoch, durable })
+                    }));
                     out.push(Effect::SendDatagram(to, Message::Consensus(msg)));
                 }
-                Output::Save(ticket, mut kept) => {
+                Output::Save(ticket, mut state) => {
                     if self.flaw == Flaw::PromiseUnsaved {
-                        kept.promised = kept.ballot.epoch;
+                        state.promised = state.ballot.epoch;
                     }
                     if self.flaw == Flaw::SaveBefore {
-                        let now = kept.clone();
-                        kept = self.before.replace(now).unwrap_or(kept);
+                        let latest = state.clone();
+                        state = self.previous_save.replace(latest).unwrap_or(state);
                     }
-                    out.push(Effect::Save(ticket, kept));
+                    out.push(Effect::Save(ticket, state));
                 }
                 Output::Committed(ballot, value) => {
                     let document = match value.body.is_empty() {
                         true => Document::default(),
-                        false => rmp_serde::from_slice(&value.body).expect("written by `settle`"),
+                        false => rmp_serde::from_slice(&value.body).expect("encoded by `execute`"),
                     };
-                    if self.agreed.as_ref().is_none_or(|agreed| agreed.0 < ballot) {
+                    if self.committed.as_ref().is_none_or(|committed| committed.0 < ballot) {
                         let edge = document.clone().split_accepted().0;
                         let bytes =
                             if value.body.is_empty() { Ok(Vec::new()) } else { rmp_serde::to_vec(&edge) };
-                        self.told = bytes.expect("a document can be written").into();
-                        self.agreed = Some((ballot, Rc::new(document)));
+                        self.edge_document = bytes.expect("a document can be encoded").into();
+                        self.committed = Some((ballot, Rc::new(document)));
                     }
                     out.push(Effect::Observe(Observation::Committed(ballot, value)));
                 }
                 Output::BecameLeader(epoch) => out.push(Effect::Observe(Observation::WonEpoch(epoch))),
                 Output::LostLeadership => {}
-                Output::Done { ticket, outcome } => self.settled(now, ticket, outcome, out),
+                Output::Done { ticket, outcome } => self.on_outcome(now, ticket, outcome, out),
             }
         }
-        let led = std::mem::replace(&mut self.leads, self.replica.leading_epoch(now));
-        if led != self.leads {
-            self.counts.1 = now;
+        let previous = std::mem::replace(&mut self.leading_epoch, self.replica.leading_epoch(now));
+        if previous != self.leading_epoch {
+            self.counter_state.1 = now;
         }
-        self.news(now, out);
+        self.publish(now, out);
     }
 
-    /// Tells what is known of the duty and the document; the holder as their origin.
-    fn news(&mut self, now: f64, out: &mut Effects) {
-        let known = self.leads.map(|epoch| (epoch, self.me));
-        let known = known.or(self.replica.leader(now).map(|(node, epoch)| (epoch, node)));
-        self.known = known.unwrap_or(self.known);
-        let held = self.disseminator.store().newest();
-        let newer = self.agreed.as_ref().filter(|(ballot, _)| {
+    /// Publishes the current holder and the committed document if they are newer than what the disseminator holds.
+    /// Only the holder publishes as their origin.
+    fn publish(&mut self, now: f64, out: &mut Effects) {
+        let holder = self.leading_epoch.map(|epoch| (epoch, self.me));
+        let holder = holder.or(self.replica.leader(now).map(|(node, epoch)| (epoch, node)));
+        self.last_holder = holder.unwrap_or(self.last_holder);
+        let published = self.disseminator.store().newest();
+        let newer = self.committed.as_ref().filter(|(ballot, _)| {
             *ballot > Ballot::default()
-                && held.state.as_ref().is_none_or(|held| held.0 < (ballot.epoch, ballot.index))
+                && published.state.as_ref().is_none_or(|state| state.0 < (ballot.epoch, ballot.index))
         });
-        if newer.is_none() && held.epoch >= known {
+        if newer.is_none() && published.epoch >= holder {
             return;
         }
-        let state = newer.map(|(ballot, _)| ((ballot.epoch, ballot.index), self.told.clone()));
-        let source = if self.leads.is_some() { Source::Origin } else { Source::Settled };
-        let (_, sends) = self.disseminator.publish(Update { epoch: known, state, list: None }, source);
-        send(sends, out);
+        let state = newer.map(|(ballot, _)| ((ballot.epoch, ballot.index), self.edge_document.clone()));
+        let source = if self.leading_epoch.is_some() { Source::Origin } else { Source::Settled };
+        let (_, messages) = self.disseminator.publish(Update { epoch: holder, state, list: None }, source);
+        send_gossip(messages, out);
     }
 
-    /// A command of an operator.
+    /// Handles an operator's command.
     pub(crate) fn command(&mut self, now: f64, id: u64, command: Command, out: &mut Effects) {
         if command == Command::Get || self.flaw == Flaw::NoTurn {
-            return self.settle(now, Some(vec![id]), &command, out);
+            return self.execute(now, Some(vec![id]), &command, out);
         }
         let body = match &command {
             Command::Put(body) => Some(body.clone()),
             _ => None,
         };
-        match self.turns.enqueue(command, body.as_deref()) {
+        match self.changes.enqueue(command, body.as_deref()) {
             Some(caller) => {
                 self.callers.insert(caller, (id, now + ANSWER_WAIT));
-                self.next(now, out);
+                self.run_changes(now, out);
             }
             None => out.push(Effect::Observe(Observation::Replied(id, Reply::Unknown))),
         }
     }
 
-    /// Runs the changes that wait, one at a time.
-    fn next(&mut self, now: f64, out: &mut Effects) {
-        while let Some(command) = self.turns.start_next() {
-            self.settle(now, None, &command, out);
+    /// Runs the queued changes, one at a time.
+    fn run_changes(&mut self, now: f64, out: &mut Effects) {
+        while let Some(command) = self.changes.start_next() {
+            self.execute(now, None, &command, out);
         }
     }
 
-    /// Callers that have waited long are told to come back.
-    fn tire(&mut self, now: f64, out: &mut Effects) {
-        let tired: Vec<CallerId> = self.callers.iter().filter(|c| c.1 .1 <= now).map(|c| *c.0).collect();
-        for caller in tired {
-            self.turns.remove_caller(caller);
+    /// Replies to callers whose wait has ended that the outcome is unknown.
+    fn expire_callers(&mut self, now: f64, out: &mut Effects) {
+        let expired: Vec<CallerId> = self.callers.iter().filter(|c| c.1 .1 <= now).map(|c| *c.0).collect();
+        for caller in expired {
+            self.changes.remove_caller(caller);
             let id = self.callers.remove(&caller).map(|caller| caller.0);
             out.extend(id.map(|id| Effect::Observe(Observation::Replied(id, Reply::Unknown))));
         }
-        if self.flaw == Flaw::TurnTimed && self.turns.is_running() && !self.turns.has_waiting_callers() {
-            self.turns.finish();
-            self.next(now, out);
+        if self.flaw == Flaw::TurnTimed && self.changes.is_running() && !self.changes.has_waiting_callers() {
+            self.changes.finish();
+            self.run_changes(now, out);
         }
     }
 
     fn reply(&mut self, ids: Option<Vec<u64>>, reply: Reply, out: &mut Effects) {
-        let ids = ids.unwrap_or_else(|| self.ended());
+        let ids = ids.unwrap_or_else(|| self.finish_change());
         out.extend(ids.into_iter().map(|id| Effect::Observe(Observation::Replied(id, reply.clone()))));
     }
 
-    /// The change whose turn it was is settled, or there is only something to be said; returns who is to be told.
-    fn ended(&mut self) -> Vec<u64> {
-        let callers = self.turns.finish().into_iter();
+    /// Ends the running change, because it is settled or needs no proposal; returns the commands that get the reply.
+    fn finish_change(&mut self) -> Vec<u64> {
+        let callers = self.changes.finish().into_iter();
         callers.filter_map(|caller| self.callers.remove(&caller)).map(|caller| caller.0).collect()
     }
 
-    /// What is to be said where this process does not speak for the whole.
-    fn elsewhere(&self, now: f64) -> Reply {
-        let (epoch, told) = self.disseminator.store().epoch();
+    /// The reply of a process that is not the leader: a redirect to the holder if one is known, else unknown.
+    fn redirect(&self, now: f64) -> Reply {
+        let (epoch, published) = self.disseminator.store().epoch();
         let alive = |m: &Member| m.card.core && m.standing == Standing::Alive;
-        let there = told != self.me && self.disseminator.membership().member(told).is_some_and(alive);
-        let told =
-            (there && epoch >= self.known.0 && self.replica.is_isolated_from(now, told)).then_some(told);
-        let stale = (self.flaw == Flaw::StaleRedirect).then_some(self.known.1);
+        let reachable =
+            published != self.me && self.disseminator.membership().member(published).is_some_and(alive);
+        let published =
+            (reachable && epoch >= self.last_holder.0 && self.replica.is_isolated_from(now, published))
+                .then_some(published);
+        let stale = (self.flaw == Flaw::StaleRedirect).then_some(self.last_holder.1);
         let to = self
             .replica
             .redirect_target(now)
-            .or(told)
+            .or(published)
             .or(stale)
             .filter(|node| *node != self.me && *node != 0);
         to.map_or(Reply::Unknown, Reply::Redirect)
     }
 
-    fn settle(&mut self, now: f64, ids: Option<Vec<u64>>, command: &Command, out: &mut Effects) {
-        let alone =
+    /// Decides a command on the committed document, and replies, starts a read barrier or proposes a new document.
+    /// `ids` as in [`PendingRequest`].
+    fn execute(&mut self, now: f64, ids: Option<Vec<u64>>, command: &Command, out: &mut Effects) {
+        let without_majority =
             self.replica.leader(now).filter(|(node, _)| self.flaw == Flaw::LeadsAlone && *node == self.me);
-        let leads = alone.map(|(_, epoch)| epoch).or_else(|| self.replica.leading_epoch(now));
-        let (Some(epoch), Some((ballot, document))) = (leads, self.agreed.clone()) else {
-            let reply = self.elsewhere(now);
+        let leading = without_majority.map(|(_, epoch)| epoch).or_else(|| self.replica.leading_epoch(now));
+        let (Some(epoch), Some((ballot, document))) = (leading, self.committed.clone()) else {
+            let reply = self.redirect(now);
             return self.reply(ids, reply, out);
         };
-        let judged = self.flaw.judge(&document, command);
-        self.tickets += 1;
-        let ticket = self.tickets;
-        match judged {
+        let decision = self.flaw.decide(&document, command);
+        self.last_ticket += 1;
+        let ticket = self.last_ticket;
+        match decision {
             Decision::Reply(answer) => self.reply(ids, Reply::Answer(answer), out),
             Decision::ReplyIfNewest(answer) if matches!(self.flaw, Flaw::NoConfirm | Flaw::LeadsAlone) => {
                 self.reply(ids, Reply::Answer(answer), out);
             }
             Decision::ReplyIfNewest(answer) => {
-                // the next change is not held up by it
-                let ids = ids.unwrap_or_else(|| self.ended());
+                // The next change does not wait for the read barrier.
+                let ids = ids.unwrap_or_else(|| self.finish_change());
                 if ids.is_empty() {
                     return;
                 }
-                let (command, said) = (command.clone(), Some((answer, epoch, ballot)));
-                self.asked.insert(ticket, Asked { ids: Some(ids), command, said });
-                self.turn(now, out, |replica, out| replica.read_barrier(now, ticket, out));
+                let (command, answer_if_current) = (command.clone(), Some((answer, epoch, ballot)));
+                self.pending.insert(ticket, PendingRequest { ids: Some(ids), command, answer_if_current });
+                self.run_replica(now, out, |replica, out| replica.read_barrier(now, ticket, out));
             }
             Decision::Propose(document) => {
-                let body = rmp_serde::to_vec(&document).expect("a document can be written");
+                let body = rmp_serde::to_vec(&document).expect("a document can be encoded");
                 if self.flaw == Flaw::EarlyDone {
                     self.reply(ids, Reply::Answer(Answer::Done), out);
                 } else {
-                    self.asked.insert(ticket, Asked { ids, command: command.clone(), said: None });
+                    self.pending.insert(
+                        ticket,
+                        PendingRequest { ids, command: command.clone(), answer_if_current: None },
+                    );
                 }
-                self.turn(now, out, |replica, out| replica.propose(now, ticket, body, out));
+                self.run_replica(now, out, |replica, out| replica.propose(now, ticket, body, out));
             }
         }
     }
 
-    fn settled(&mut self, now: f64, ticket: u64, how: Outcome, out: &mut Effects) {
-        let Some(Asked { ids, command, said }) = self.asked.remove(&ticket) else { return };
-        let reply = match (said, how) {
+    /// Replies to the commands of a proposal or read barrier that has ended.
+    fn on_outcome(&mut self, now: f64, ticket: u64, outcome: Outcome, out: &mut Effects) {
+        let Some(PendingRequest { ids, command, answer_if_current }) = self.pending.remove(&ticket) else {
+            return;
+        };
+        let reply = match (answer_if_current, outcome) {
             (Some((answer, epoch, ballot)), Outcome::Confirmed) => {
-                let agreed = self.agreed.as_ref().filter(|_| self.replica.leading_epoch(now) == Some(epoch));
-                match agreed {
-                    Some(now) if now.0 == ballot => Reply::Answer(answer),
+                let committed =
+                    self.committed.as_ref().filter(|_| self.replica.leading_epoch(now) == Some(epoch));
+                match committed {
+                    Some(current) if current.0 == ballot => Reply::Answer(answer),
                     Some((_, document)) => {
                         match document.decide(command.as_order(), |z| ZONES.contains(&z)) {
                             Decision::ReplyIfNewest(answer) => Reply::Answer(answer),
                             _ => Reply::Unknown,
                         }
                     }
-                    None => self.elsewhere(now),
+                    None => self.redirect(now),
                 }
             }
             (None, Outcome::Committed(_)) => Reply::Answer(Answer::Done),
-            (None, Outcome::NotLeader) | (Some(_), _) => self.elsewhere(now),
+            (None, Outcome::NotLeader) | (Some(_), _) => self.redirect(now),
             (None, _) => Reply::Unknown,
         };
         self.reply(ids, reply, out);
-        self.next(now, out);
+        self.run_changes(now, out);
     }
 }
 
 impl Command {
-    /// As the documents judge it.
+    /// The command in the form that documents decide on.
     pub fn as_order(&self) -> lupinledge_config::Order<'_> {
         use lupinledge_config::Order;
         match self {
--- a/simulation/src/core_counters.rs
+++ b/simulation/src/core_counters.rs
@@ -1,43 +1,44 @@
-//! The counters of a core process, while it holds the duty.
+//! How a core process serves the counters while it leads an epoch.
 
 use crate::core::Core;
 use crate::edge::{NAMES, NAME_LIFE};
 use crate::process::{Effects, Message, Observation};
 use crate::world::Effect;
 use crate::Flaw;
-use lupinledge_counters::handover::{HandoverEntry as Sum, HandoverPart};
+use lupinledge_counters::handover::{HandoverEntry, HandoverPart};
 use lupinledge_counters::holder::{Answer, GatewayStatus, HandoverStatus};
 use lupinledge_counters::Incarnation;
 use lupinledge_membership::{Member, Standing};
 
-/// The counters are looked at so often, and while they are not whole, seconds.
-const LOOK: f64 = 0.25;
-const ASK: f64 = 0.05;
+/// Seconds between two polls of the counters, and while handovers are being collected.
+const POLL_INTERVAL: f64 = 0.25;
+const COLLECT_INTERVAL: f64 = 0.05;
 
 impl Core {
-    /// Turns to the counters of the epoch that is held; `None` where none is.
-    fn hold(&mut self, now: f64) -> Option<u64> {
-        let unheld = self.counts.0.filter(|_| self.flaw == Flaw::CountsUnheld);
+    /// Switches to the counters of the epoch that this process leads; `None` if it leads none.
+    fn start_counters(&mut self, now: f64) -> Option<u64> {
+        let unheld = self.counter_state.0.filter(|_| self.flaw == Flaw::CountsUnheld);
         let epoch = self.replica.leading_epoch(now).or(unheld)?;
-        self.duty.start_epoch(now, epoch);
-        self.counts.0 = Some(epoch);
+        self.counter_holder.start_epoch(now, epoch);
+        self.counter_state.0 = Some(epoch);
         Some(epoch)
     }
 
-    pub(crate) fn look(&mut self, now: f64, out: &mut Effects) {
-        self.counts.1 = now + LOOK;
-        let Some(epoch) = self.hold(now) else { return };
-        let seen = |m: &Member| {
+    /// Asks gateways for missing handovers, and answers the calls that waited once the totals are complete.
+    pub(crate) fn poll_counters(&mut self, now: f64, out: &mut Effects) {
+        self.counter_state.1 = now + POLL_INTERVAL;
+        let Some(epoch) = self.start_counters(now) else { return };
+        let status = |m: &Member| {
             let (alive, gone) = (m.standing == Standing::Alive, m.standing == Standing::Gone);
             GatewayStatus { node: m.node, alive, leaving: m.card.leaving, gone }
         };
         let gateways: Vec<GatewayStatus> =
-            self.disseminator.membership().members().filter(|m| !m.card.core).map(seen).collect();
-        let look = self.duty.poll(now, &gateways);
-        if matches!(look, HandoverStatus::Collecting(_)) {
-            self.counts.1 = now + ASK;
+            self.disseminator.membership().members().filter(|m| !m.card.core).map(status).collect();
+        let handover = self.counter_holder.poll(now, &gateways);
+        if matches!(handover, HandoverStatus::Collecting(_)) {
+            self.counter_state.1 = now + COLLECT_INTERVAL;
         }
-        match look {
+        match handover {
             HandoverStatus::Serving(_) if self.flaw == Flaw::CountsAsked => {}
             HandoverStatus::Serving(nodes) | HandoverStatus::Collecting(nodes) => {
                 out.extend(
@@ -60,21 +61,39 @@
         out.push(Effect::SendReliable(from.0, Message::CounterReply { tag, epoch, totals }));
     }
 
-    /// What was told for another epoch that this process held, and waited, is none.
-    pub(crate) fn gather(&mut self, now: f64, of: u64, from: Incarnation, told: &[Sum], out: &mut Effects) {
-        let Some(epoch) = self.hold(now).filter(|epoch| *epoch == of) else { return };
-        let before = self.duty.counters().is_some_and(|counters| !counters.is_complete());
-        for sum in told {
-            out.push(Effect::Observe(Observation::SumReceived { epoch, from, name: sum.name, sum: sum.sum }));
-            out.push(Effect::Observe(Observation::HandoverReceived { epoch, from, told: *sum, before }));
+    /// Receives a gateway's handover. It is ignored if it was sent for another epoch than the one that this process
+    /// leads, as happens when it is delayed.
+    pub(crate) fn receive_handover(
+        &mut self,
+        now: f64,
+        for_epoch: u64,
+        from: Incarnation,
+        entries: &[HandoverEntry],
+        out: &mut Effects,
+    ) {
+        let Some(epoch) = self.start_counters(now).filter(|epoch| *epoch == for_epoch) else { return };
+        let incomplete = self.counter_holder.counters().is_some_and(|counters| !counters.is_complete());
+        for entry in entries {
+            out.push(Effect::Observe(Observation::SumReceived {
+                epoch,
+                from,
+                name: entry.name,
+                sum: entry.sum,
+            }));
+            out.push(Effect::Observe(Observation::HandoverReceived {
+                epoch,
+                from,
+                entry: *entry,
+                incomplete,
+            }));
         }
         if self.flaw != Flaw::CountsDeaf {
-            self.duty.receive_handover(now, epoch, from, &HandoverPart::single(told.to_vec()));
+            self.counter_holder.receive_handover(now, epoch, from, &HandoverPart::single(entries.to_vec()));
         }
     }
 
-    /// Takes the sums of a gateway, as the holder; else tells it that this is not the holder.
-    pub(crate) fn count(
+    /// Adds a gateway's sums if this process is the holder; otherwise replies that it is not.
+    pub(crate) fn handle_counter_call(
         &mut self,
         now: f64,
         from: Incarnation,
@@ -82,7 +101,7 @@
         calls: &[(u64, f64)],
         out: &mut Effects,
     ) {
-        let Some(epoch) = self.hold(now) else {
+        let Some(epoch) = self.start_counters(now) else {
             return out.push(Effect::SendReliable(
                 from.0,
                 Message::CounterReply { tag, epoch: 0, totals: Vec::new() },
@@ -92,7 +111,7 @@
             out.push(Effect::Observe(Observation::SumReceived { epoch, from, name: *name, sum: *sum }));
         }
         let calls = calls.iter().map(|(name, sum)| (*name, *sum, NAME_LIFE));
-        if let Some(totals) = self.duty.apply_call(now, from, tag, calls) {
+        if let Some(totals) = self.counter_holder.apply_call(now, from, tag, calls) {
             self.answer(epoch, Answer { from, tag, totals }, out);
         }
     }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -1,7 +1,7 @@
-//! A process of the edge, of its pure parts: membership, news, calls to the counters.
+//! An edge process (a gateway) assembled from the system's deterministic parts: membership, updates and counter calls.
 
 use crate::patch_flaws;
-use crate::process::{card, send, Effects, Message, Observation};
+use crate::process::{card, send_gossip, Effects, Message, Observation};
 use crate::world::{Effect, StartContext};
 use crate::{Flaw, Node};
 use lupinledge_config::Document;
@@ -12,15 +12,16 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Seconds between two calls to the counters, and how long a name lives there.
-const COUNT: f64 = 0.5;
+/// Seconds between two calls to the counter holder.
+const CALL_INTERVAL: f64 = 0.5;
+/// Seconds that a counter's name is kept after its last use.
 pub const NAME_LIFE: f64 = 600.0;
-/// The clock is asked for so often, and so long, seconds.
-const CLOCK: f64 = 0.3;
-const CLOCK_WAIT: f64 = 3.0;
-/// Calls without an answer.
-const WAITING_MOST: usize = 64;
-/// The counters that all edge nodes add to: of two customers, names of use.
+/// Seconds between two requests for the holder's clock, and after which a node starts without it.
+const CLOCK_INTERVAL: f64 = 0.3;
+const CLOCK_TIMEOUT: f64 = 3.0;
+/// Maximum number of calls without a reply.
+const MAX_CALLS: usize = 64;
+/// The counters that all edge nodes add to: usage counters of two customers.
 pub const NAMES: [u64; 2] = [1 << 24, 2 << 24];
 
 struct Call {
@@ -29,190 +30,207 @@
     sums: Vec<f64>,
 }
 
-/// See the module.
+/// An edge process.
 pub struct Edge {
-    /// Membership and news.
+    /// Membership and updates.
     pub disseminator: Disseminator,
-    /// By what it works.
+    /// The document that the process serves by.
     pub document: Option<(Ballot, Rc<Document>)>,
-    /// Clients come here.
+    /// Whether the process accepts clients.
     pub ready: bool,
     flaw: Flaw,
-    /// When it took a document last.
-    took: f64,
-    old: patch_flaws::Old,
+    /// When it last received a document.
+    document_received_at: f64,
+    documents: patch_flaws::DocumentsByChecksum,
     pub(crate) incarnation: u32,
-    own: LocalSums,
+    local_sums: LocalSums,
     holder: (u64, Node),
-    /// Whom to ask for the clock, when next, and whether it is known.
     seeds: Vec<Node>,
-    began: f64,
-    clock_at: f64,
-    clock: bool,
-    count_at: f64,
-    tag: u64,
+    started_at: f64,
+    next_clock_request: f64,
+    /// Whether the holder's clock is known.
+    clock_known: bool,
+    next_call: f64,
+    last_tag: u64,
     calls: VecDeque<Call>,
 }
 
 impl Edge {
-    /// Begins with nothing.
+    /// Starts without a document.
     pub fn new(me: Node, context: StartContext<PersistentState>, seeds: &[Node], flaw: Flaw) -> Edge {
         let StartContext { now, run_id, seed, .. } = context;
-        let swarm = lupinledge_membership::Settings::new(me, run_id, card(me, false), seeds.to_vec(), seed);
+        let membership =
+            lupinledge_membership::Settings::new(me, run_id, card(me, false), seeds.to_vec(), seed);
         Edge {
-            disseminator: Disseminator::new(now, swarm, true),
+            disseminator: Disseminator::new(now, membership, true),
             document: None,
             ready: false,
             flaw,
-            took: f64::NEG_INFINITY,
-            old: patch_flaws::Old::new(),
+            document_received_at: f64::NEG_INFINITY,
+            documents: patch_flaws::DocumentsByChecksum::new(),
             incarnation: run_id as u32,
-            own: LocalSums::default(),
+            local_sums: LocalSums::default(),
             holder: (0, 0),
             seeds: seeds.to_vec(),
-            began: now,
-            clock_at: now,
-            clock: false,
-            count_at: now,
-            tag: 0,
+            started_at: now,
+            next_clock_request: now,
+            clock_known: false,
+            next_call: now,
+            last_tag: 0,
             calls: VecDeque::new(),
         }
     }
 
     pub(crate) fn next_wake(&self) -> f64 {
-        let clock = if self.clock { f64::INFINITY } else { self.clock_at };
-        self.disseminator.next_wake().min(self.count_at).min(clock)
+        let clock_request = if self.clock_known { f64::INFINITY } else { self.next_clock_request };
+        self.disseminator.next_wake().min(self.next_call).min(clock_request)
     }
 
     pub(crate) fn tick(&mut self, now: f64, out: &mut Effects) {
         if now >= self.disseminator.next_wake() {
-            let sends = self.disseminator.tick(now);
-            self.send(sends, out);
+            let messages = self.disseminator.tick(now);
+            self.send(messages, out);
         }
-        if now >= self.count_at {
-            self.count_at = now + COUNT;
-            self.count(now, out);
+        if now >= self.next_call {
+            self.next_call = now + CALL_INTERVAL;
+            self.call_holder(now, out);
         }
-        if !self.clock && now >= self.clock_at {
-            self.clock_at = if now < self.began + CLOCK_WAIT { now + CLOCK } else { f64::INFINITY };
+        if !self.clock_known && now >= self.next_clock_request {
+            self.next_clock_request =
+                if now < self.started_at + CLOCK_TIMEOUT { now + CLOCK_INTERVAL } else { f64::INFINITY };
             let holder = Some(self.holder.1).filter(|node| *node != 0 && !self.seeds.contains(node));
-            let asked = self.seeds.iter().copied().chain(holder);
-            out.extend(asked.map(|node| Effect::SendDatagram(node, Message::ClockRequest)));
+            let nodes = self.seeds.iter().copied().chain(holder);
+            out.extend(nodes.map(|node| Effect::SendDatagram(node, Message::ClockRequest)));
         }
-        self.show(now, out);
+        self.update_readiness(now, out);
     }
 
-    fn send(&self, mut sends: lupinledge_membership::Outgoing, out: &mut Effects) {
+    fn send(&self, mut messages: lupinledge_membership::Outgoing, out: &mut Effects) {
         if self.flaw == Flaw::DeafEdge && self.ready {
-            sends.retain(|(_, said)| !matches!(said, GossipMessage::Fetch(_)));
+            messages.retain(|(_, message)| !matches!(message, GossipMessage::Fetch(_)));
         }
-        send(sends, out);
+        send_gossip(messages, out);
     }
 
-    pub(crate) fn heard(&mut self, now: f64, from: Node, say: Message, out: &mut Effects) {
-        match say {
-            Message::Gossip(said) => {
-                if let Some((ballot, bytes)) = patch_flaws::older(self.flaw, &mut self.old, &said) {
-                    self.follow(ballot, &bytes, out);
+    pub(crate) fn handle_message(&mut self, now: f64, from: Node, message: Message, out: &mut Effects) {
+        match message {
+            Message::Gossip(message) => {
+                if let Some((ballot, bytes)) =
+                    patch_flaws::accept_older(self.flaw, &mut self.documents, &message)
+                {
+                    self.apply_document(ballot, &bytes, out);
                 }
                 if let Some((ballot, bytes)) =
-                    patch_flaws::spoilt(self.flaw, self.disseminator.store(), &said)
+                    patch_flaws::misapplied(self.flaw, self.disseminator.store(), &message)
                 {
-                    self.follow(ballot, &bytes, out);
+                    self.apply_document(ballot, &bytes, out);
                 }
-                let (fresh, sends) = self.disseminator.receive(now, from, said);
-                self.send(sends, out);
-                let fresh = fresh.map(|news| patch_flaws::merged(self.flaw, now, &mut self.took, news));
-                fresh.into_iter().for_each(|news| self.news(now, news, out));
+                let (fresh, messages) = self.disseminator.receive(now, from, message);
+                self.send(messages, out);
+                let fresh = fresh.map(|update| {
+                    patch_flaws::drop_rapid_state(self.flaw, now, &mut self.document_received_at, update)
+                });
+                fresh.into_iter().for_each(|update| self.apply_update(now, update, out));
             }
-            // ahead of the digests
+            // This names the new holder before the gossip digests do.
             Message::HandoverRequest { epoch } => {
-                let news = Update { epoch: Some((epoch, from)), ..Update::default() };
-                let (fresh, sends) = self.disseminator.publish(news, lupinledge_membership::Source::Settled);
-                self.send(sends, out);
-                fresh.into_iter().for_each(|news| self.news(now, news, out));
+                let update = Update { epoch: Some((epoch, from)), ..Update::default() };
+                let (fresh, messages) =
+                    self.disseminator.publish(update, lupinledge_membership::Source::Settled);
+                self.send(messages, out);
+                fresh.into_iter().for_each(|update| self.apply_update(now, update, out));
                 if self.holder == (epoch, from) {
-                    self.tell(now, out);
+                    self.send_handover(now, out);
                 }
             }
             Message::CounterReply { tag, epoch, totals } => {
-                self.counted(now, (from, tag), epoch, &totals, out)
+                self.handle_counter_reply(now, (from, tag), epoch, &totals, out)
             }
-            Message::ClockReply => self.clock = true,
+            Message::ClockReply => self.clock_known = true,
             _ => {}
         }
-        self.show(now, out);
+        self.update_readiness(now, out);
     }
 
-    fn news(&mut self, now: f64, fresh: Update, out: &mut Effects) {
-        if let Some(holder) = fresh.epoch {
+    fn apply_update(&mut self, now: f64, update: Update, out: &mut Effects) {
+        if let Some(holder) = update.epoch {
             self.holder = holder;
             self.calls.clear();
-            self.tell(now, out);
+            self.send_handover(now, out);
         }
-        if let Some((ballot, bytes)) = &fresh.state {
-            self.follow(*ballot, bytes, out);
+        if let Some((ballot, bytes)) = &update.state {
+            self.apply_document(*ballot, bytes, out);
         }
     }
 
-    /// As in the data plane's start: with the holder and its clock known (or not in time), and a document.
-    fn show(&mut self, now: f64, out: &mut Effects) {
-        let clock = self.clock || now >= self.began + CLOCK_WAIT;
-        let known = clock && self.document.is_some() || self.flaw == Flaw::ReadyBare;
-        if !self.ready && known && self.holder.1 != 0 {
+    /// Becomes ready as the data plane does at startup: with a document, a known holder, and the holder's clock known
+    /// or waited for long enough.
+    fn update_readiness(&mut self, now: f64, out: &mut Effects) {
+        let clock = self.clock_known || now >= self.started_at + CLOCK_TIMEOUT;
+        let complete = clock && self.document.is_some() || self.flaw == Flaw::ReadyBare;
+        if !self.ready && complete && self.holder.1 != 0 {
             self.ready = true;
             self.disseminator.set_card(|card| card.ready = true);
             out.push(Effect::Observe(Observation::BecameReady));
         }
     }
 
-    fn follow(&mut self, (epoch, index): (u64, u64), bytes: &[u8], out: &mut Effects) {
+    fn apply_document(&mut self, (epoch, index): (u64, u64), bytes: &[u8], out: &mut Effects) {
         let document = match bytes.is_empty() {
             true => Document::default(),
-            false => rmp_serde::from_slice(bytes).expect("written by the core"),
+            false => rmp_serde::from_slice(bytes).expect("encoded by the core"),
         };
         let (ballot, document) = (Ballot { epoch, index }, Rc::new(document));
         self.document = Some((ballot, document.clone()));
         out.push(Effect::Observe(Observation::DocumentApplied(ballot, document)));
     }
 
-    /// Tells a new holder what the one before was told.
-    fn tell(&self, now: f64, out: &mut Effects) {
-        let told = self.own.handover(now);
+    /// Sends the holder the sums that were reported to the holders before it.
+    fn send_handover(&self, now: f64, out: &mut Effects) {
+        let entries = self.local_sums.handover(now);
         let (epoch, holder) = self.holder;
         out.push(Effect::SendReliable(
             holder,
-            Message::Handover { epoch, incarnation: self.incarnation, told },
+            Message::Handover { epoch, incarnation: self.incarnation, entries },
         ));
     }
 
-    /// Adds one to each counter at the holder.
-    fn count(&mut self, now: f64, out: &mut Effects) {
+    /// Adds one to each counter and sends the sums to the holder.
+    fn call_holder(&mut self, now: f64, out: &mut Effects) {
         if self.holder.1 == 0 {
             return;
         }
         let mut sums = Vec::new();
         for name in NAMES {
-            sums.push(self.own.add(now, name, 1.0, NAME_LIFE).expect("there is room"));
+            sums.push(self.local_sums.add(now, name, 1.0, NAME_LIFE).expect("there is room"));
             out.push(Effect::Observe(Observation::CounterIncreased { name, amount: 1.0 }));
         }
-        self.tag += 1;
-        if self.calls.len() == WAITING_MOST {
+        self.last_tag += 1;
+        if self.calls.len() == MAX_CALLS {
             self.calls.pop_front();
         }
-        let (tag, to, incarnation) = (self.tag, self.holder.1, self.incarnation);
+        let (tag, to, incarnation) = (self.last_tag, self.holder.1, self.incarnation);
         let calls = NAMES.into_iter().zip(sums.iter().copied()).collect();
         self.calls.push_back(Call { tag, to, sums });
         out.push(Effect::SendReliable(to, Message::CounterCall { tag, incarnation, calls }));
     }
 
-    fn counted(&mut self, now: f64, (from, tag): (Node, u64), epoch: u64, totals: &[f64], out: &mut Effects) {
-        let Some(at) = self.calls.iter().position(|call| call.tag == tag && call.to == from) else { return };
-        let Some(call) = self.calls.remove(at) else { return };
+    fn handle_counter_reply(
+        &mut self,
+        now: f64,
+        (from, tag): (Node, u64),
+        epoch: u64,
+        totals: &[f64],
+        out: &mut Effects,
+    ) {
+        let Some(position) = self.calls.iter().position(|call| call.tag == tag && call.to == from) else {
+            return;
+        };
+        let Some(call) = self.calls.remove(position) else { return };
         if totals.len() == NAMES.len() {
             let totals: Vec<(u64, f64)> = NAMES.into_iter().zip(totals.iter().copied()).collect();
             for ((name, total), sum) in totals.iter().zip(&call.sums) {
-                self.own.record_total(now, *name, *sum, Total { counted: *total, level: None });
+                self.local_sums.record_total(now, *name, *sum, Total { counted: *total, level: None });
             }
             out.push(Effect::Observe(Observation::TotalsReceived { epoch, totals }));
         }
--- a/simulation/src/flaw.rs
+++ b/simulation/src/flaw.rs
@@ -105,7 +105,7 @@
 
 impl Flaw {
     /// What a command comes to on top of a document.
-    pub(crate) fn judge(self, document: &Document, command: &Command) -> Decision {
+    pub(crate) fn decide(self, document: &Document, command: &Command) -> Decision {
         let known = |zone: &str| ZONES.contains(&zone);
         let plain = document.decide(command.as_order(), known);
         let Command::Put(body) = command else { return plain };
--- a/simulation/src/process.rs
+++ b/simulation/src/process.rs
@@ -1,4 +1,5 @@
-//! A process of either kind, and what the processes say.
+//! The processes of the cluster (core or edge), the messages between them, and what they report to the reference
+//! model.
 
 use crate::core::Core;
 use crate::edge::Edge;
@@ -6,120 +7,108 @@
 use crate::Node;
 use lupinledge_config::{Answer, Document};
 use lupinledge_consensus::{Ballot, Msg, PersistentState, Value};
-use lupinledge_counters::{handover::HandoverEntry as Sum, Incarnation};
+use lupinledge_counters::{handover::HandoverEntry, Incarnation};
 use lupinledge_membership::{Card, GossipMessage, Outgoing};
 use std::rc::Rc;
 
-/// Orders to a process.
+/// The effects that a call into a process returns.
 pub type Effects = Vec<Effect<Process>>;
 
-/// An operator's order, owned.
+/// An operator's command; owns its data, unlike [`lupinledge_config::Order`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// See [`lupinledge_config::Order`].
+    /// Put a configuration, given as JSON.
     Put(Rc<[u8]>),
-    /// The same.
+    /// Read the configuration in force.
     Get,
-    /// The same.
+    /// Evacuate a zone.
     Evacuate(&'static str),
-    /// The same.
+    /// End the evacuation of a zone.
     Restore(&'static str),
 }
 
-/// What comes of a command.
+/// The reply to a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The whole has spoken.
+    /// An answer on behalf of the cluster.
     Answer(Answer),
-    /// This other process is to be asked.
+    /// The command has to be sent to this node instead.
     Redirect(Node),
-    /// Nobody can tell: it may have been taken.
+    /// The outcome is unknown: the command may have been carried out. The operator has to send it again.
     Unknown,
 }
 
-/// What goes over the network. The programs have these as words of `messaging`.
+/// A message on the simulated network. The real programs encode these with the `messaging` crate.
 #[derive(Clone)]
 pub enum Message {
-    /// Membership and news.
+    /// Membership and updates.
     Gossip(GossipMessage),
-    /// Agreement.
+    /// Consensus protocol.
     Consensus(Msg),
-    /// To the holder: sums of what this gateway added.
-    CounterCall {
-        tag: u64,
-        incarnation: u32,
-        calls: Vec<(u64, f64)>,
-    },
-    /// The totals; none: this process is not the holder.
-    CounterReply {
-        tag: u64,
-        epoch: u64,
-        totals: Vec<f64>,
-    },
-    /// From a new holder: tell me what you had told.
-    HandoverRequest {
-        epoch: u64,
-    },
-    /// To a new holder, ahead of the first count; which epoch it is for.
-    Handover {
-        epoch: u64,
-        incarnation: u32,
-        told: Vec<Sum>,
-    },
-    /// What does your clock show? And the holder's answer.
+    /// To the counter holder: the sums that this gateway has added so far, by counter name.
+    CounterCall { tag: u64, incarnation: u32, calls: Vec<(u64, f64)> },
+    /// The totals for a [`Message::CounterCall`]; empty if the sender is not the holder.
+    CounterReply { tag: u64, epoch: u64, totals: Vec<f64> },
+    /// From a new holder: asks a gateway to hand over its sums.
+    HandoverRequest { epoch: u64 },
+    /// To a new holder, before the first call: the sums that the gateway reported to earlier holders.
+    Handover { epoch: u64, incarnation: u32, entries: Vec<HandoverEntry> },
+    /// Asks for the holder's clock.
     ClockRequest,
+    /// The holder's reply to [`Message::ClockRequest`].
     ClockReply,
-    /// An operator's command with its number.
+    /// An operator's command with its id.
     Command(u64, Command),
 }
 
-/// Puts the words of membership and news on their ways.
-pub fn send(sends: Outgoing, out: &mut Effects) {
-    out.extend(sends.into_iter().map(|(to, said)| match said {
-        GossipMessage::Probe(_) => Effect::SendDatagram(to, Message::Gossip(said)),
-        _ => Effect::SendReliable(to, Message::Gossip(said)),
+/// Sends gossip messages: probes as datagrams, everything else over a connection.
+pub fn send_gossip(messages: Outgoing, out: &mut Effects) {
+    out.extend(messages.into_iter().map(|(to, message)| match message {
+        GossipMessage::Probe(_) => Effect::SendDatagram(to, Message::Gossip(message)),
+        _ => Effect::SendReliable(to, Message::Gossip(message)),
     }));
 }
 
-/// What the truth is told.
+/// What a process reports to the reference model.
 pub enum Observation {
-    /// This core machine takes a value for committed.
+    /// A core node considers a value committed.
     Committed(Ballot, Rc<Value>),
-    /// It won an epoch.
+    /// A core node won an epoch.
     WonEpoch(u64),
-    /// It stands by an epoch: `kept`, it promised it or voted in it; else it answered the holder's beat, which
-    /// binds nobody.
-    SupportedEpoch { epoch: u64, kept: bool },
-    /// It heard what others hold, on its empty disk.
+    /// A core node supports an epoch. If `durable`, it promised the epoch or voted in it; otherwise it answered the
+    /// leader's heartbeat, which binds nobody.
+    SupportedEpoch { epoch: u64, durable: bool },
+    /// A core node whose disk was empty has learned the state of the others.
     StateLearned,
-    /// It answered a command.
+    /// A core node replied to a command.
     Replied(u64, Reply),
-    /// As the holder of an epoch it took a gateway's sum.
+    /// The counter holder of an epoch received a gateway's sum.
     SumReceived { epoch: u64, from: Incarnation, name: u64, sum: f64 },
-    /// As the holder of an epoch it heard what a gateway had told before; `before` its counters were whole.
-    HandoverReceived { epoch: u64, from: Incarnation, told: Sum, before: bool },
-    /// As the holder of an epoch it tells a total.
+    /// The counter holder of an epoch received a gateway's handover for one counter. `incomplete` is true if the
+    /// holder's counters were still incomplete.
+    HandoverReceived { epoch: u64, from: Incarnation, entry: HandoverEntry, incomplete: bool },
+    /// The counter holder of an epoch reported a total to a gateway.
     TotalReported { epoch: u64, name: u64, total: f64 },
-    /// This edge node adds to a counter.
+    /// An edge node added to a counter.
     CounterIncreased { name: u64, amount: f64 },
-    /// This edge node works by a document.
+    /// An edge node applied a document.
     DocumentApplied(Ballot, Rc<Document>),
-    /// It says that it is ready.
+    /// An edge node announced that it is ready.
     BecameReady,
-    /// It was told totals of names under an epoch.
+    /// An edge node received the totals of counters, by name, from the holder of an epoch.
     TotalsReceived { epoch: u64, totals: Vec<(u64, f64)> },
 }
 
-/// A process.
+/// A process of the cluster.
 pub enum Process {
-    /// On a core machine.
+    /// A core process: consensus, commands and counters.
     Core(Box<Core>),
-    /// On an edge machine.
+    /// An edge process: a gateway.
     Edge(Box<Edge>),
 }
 
 impl Process {
-    /// If it is one of the core.
+    /// The core process, if it is one.
     pub fn core(&self) -> Option<&Core> {
         match self {
             Process::Core(core) => Some(core),
@@ -127,14 +116,14 @@
         }
     }
 
-    /// It is told to end.
+    /// Asks a core process to shut down in an orderly way; edge processes ignore this.
     pub(crate) fn leave(&mut self, now: f64, out: &mut Effects) {
         if let Process::Core(core) = self {
             core.leave(now, out);
         }
     }
 
-    /// If it is one of the edge.
+    /// The edge process, if it is one.
     pub fn edge(&self) -> Option<&Edge> {
         match self {
             Process::Core(_) => None,
@@ -155,17 +144,17 @@
         }
     }
 
-    fn handle_message(&mut self, now: f64, from: Node, say: Message, out: &mut Effects) {
-        match (self, say) {
+    fn handle_message(&mut self, now: f64, from: Node, message: Message, out: &mut Effects) {
+        match (self, message) {
             (Process::Core(core), Message::Command(id, command)) => core.command(now, id, command, out),
-            (Process::Core(core), say) => core.heard(now, from, say, out),
-            (Process::Edge(edge), say) => edge.heard(now, from, say, out),
+            (Process::Core(core), message) => core.handle_message(now, from, message, out),
+            (Process::Edge(edge), message) => edge.handle_message(now, from, message, out),
         }
     }
 
     fn save_finished(&mut self, now: f64, ticket: u64, ok: bool, out: &mut Effects) {
         if let Process::Core(core) = self {
-            core.saved(now, ticket, ok, out);
+            core.save_finished(now, ticket, ok, out);
         }
     }
 
@@ -177,11 +166,11 @@
     }
 }
 
-/// The card of a machine; they stand in two regions.
+/// The membership card of a machine. Machines are spread over two regions by their address.
 pub fn card(node: Node, core: bool) -> Card {
     let region = format!("region-{}", node / 10 % 2);
-    let at = |port| Some(std::net::SocketAddr::from((std::net::Ipv4Addr::from(node), port)));
-    let (client_address, control_address) = if core { (None, at(2)) } else { (at(1), None) };
+    let address = |port| Some(std::net::SocketAddr::from((std::net::Ipv4Addr::from(node), port)));
+    let (client_address, control_address) = if core { (None, address(2)) } else { (address(1), None) };
     let (zone, ready, leaving, drift, load) = (format!("{region}-a"), false, false, None, 0);
     Card { core, zone, region, client_address, control_address, ready, leaving, drift, load }
 }
--- a/simulation/src/reference_model.rs
+++ b/simulation/src/reference_model.rs
@@ -348,7 +348,7 @@
         match told {
             Observation::Committed(ballot, value) => self.committed(node, run, ballot, value),
             Observation::WonEpoch(epoch) => self.won(now, node, run, epoch),
-            Observation::SupportedEpoch { epoch, kept } => self.stands(node, epoch, kept),
+            Observation::SupportedEpoch { epoch, durable } => self.stands(node, epoch, durable),
             Observation::StateLearned => drop(self.wiped.remove(&node)),
             Observation::Replied(id, reply) => {
                 self.answers.insert(id, reply.clone());
@@ -359,8 +359,8 @@
                 self.counts(now, node, run, epoch);
                 self.sums.put(epoch, from, name, sum);
             }
-            Observation::HandoverReceived { epoch, from, told, before } => {
-                self.sums.gathered(epoch, from, told, before)
+            Observation::HandoverReceived { epoch, from, entry, incomplete } => {
+                self.sums.gathered(epoch, from, entry, incomplete)
             }
             Observation::TotalReported { epoch, name, total } => {
                 let calm = self.is_calm(now);
