--- a/simulation/src/absent_member.rs
+++ b/simulation/src/absent_member.rs
@@ -1,39 +1,44 @@
-//! A run_absence of many changes with one member of the core away, that comes back and is needed at once.
+//! Runs with many changes while one core member is absent. It returns and is needed as a member at once.
 
 use crate::process::Process;
-use crate::runner::end;
+use crate::runner::check_recovery;
 use crate::{Cluster, Coverage, Flaw, Node, Schedule, Step};
 use fastrand::Rng;
 
-/// So soon after its return a member has what was acknowledged, and from then on lags no more than that, seconds.
+/// Seconds after its return until a member must hold what was acknowledged; from then on it may not lag behind by more.
 pub const CATCH_UP: f64 = 1.5;
-/// So soon there is a holder again after a loss, seconds.
-const BACK: f64 = 4.0;
-/// An operator who got no answer goes on after this, seconds.
-const PATIENCE: f64 = 0.3;
-const LOOK: f64 = 0.02;
-/// Bad weather at a return, seconds.
-const STORM: f64 = 0.6;
-/// Machines that hold the duty one after the other, once the member is back.
+/// Seconds after a loss until a change must be acknowledged again.
+const SERVICE_TIMEOUT: f64 = 4.0;
+/// Seconds after which an operator without a reply goes on with the next change.
+const REPLY_TIMEOUT: f64 = 0.3;
+/// Seconds between two checks of the member.
+const CHECK_INTERVAL: f64 = 0.02;
+/// Duration of heavy message loss at a return, seconds.
+const LOSS_DURATION: f64 = 0.6;
+/// Number of times that the holder is killed after the return of the member.
 const ROUNDS: usize = 4;
 
-/// How the member is away.
+/// How the member is absent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbsenceKind {
+    /// Its process is killed.
     Down,
+    /// Its process is paused.
     Frozen,
-    /// Its disk does nothing.
+    /// Its disk stalls.
     Stalled,
-    /// A save takes most of a second.
+    /// Each save takes most of a second.
     Slow,
-    /// Its disk takes nothing.
+    /// All saves fail.
     Full,
+    /// It is cut off from all others.
     Cut,
-    /// It lost its disk, too.
+    /// Its process is killed and its disk lost.
     Wiped,
 }
 
 impl AbsenceKind {
+    /// All kinds.
     pub const ALL: [AbsenceKind; 7] = [
         AbsenceKind::Down,
         AbsenceKind::Frozen,
@@ -45,66 +50,73 @@
     ];
 }
 
-/// How a run_absence went, if nothing was wrong.
+/// Results of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AbsenceSummary {
-    /// What was seen.
-    pub seen: Coverage,
-    /// How long after its return, or after somebody led again if nobody did then, the member had what was
-    /// acknowledged by then, seconds.
+    /// How often each kind of event was seen.
+    pub coverage: Coverage,
+    /// Seconds from the return of the member until it held what was acknowledged by then. If there was no leader at
+    /// the return, the time starts when there was one.
     pub caught_up: f64,
-    /// Whether it won an epoch after that.
+    /// Whether the member led after its return.
     pub led: bool,
-    /// Seconds that passed in the model.
+    /// Virtual duration of the run, seconds.
     pub seconds: f64,
 }
 
 struct AbsenceRun {
     cluster: Cluster,
     rng: Rng,
-    /// The one that goes away.
-    away: Node,
-    /// When it came back first.
-    since: f64,
-    /// Since when it runs and somebody leads, after that.
-    back: Option<f64>,
+    /// The member that is absent.
+    member: Node,
+    /// When it first returned.
+    returned_at: f64,
+    /// The time, after its return, since which the member has run and there has been a leader.
+    available_since: Option<f64>,
     caught_up: Option<f64>,
     led: bool,
 }
 
-/// Plays a run_absence of so many changes; the seed says how the member is away, among what, and what comes after.
+/// Runs `changes` changes; the seed selects how the member is absent, the cluster, and what follows the return.
 pub fn run_absence(seed: u64, changes: usize, flaw: Flaw) -> Result<AbsenceSummary, String> {
     let mut rng = Rng::with_seed(seed ^ 0x0061_7761_7921);
     let kind = AbsenceKind::ALL[seed as usize % AbsenceKind::ALL.len()];
     let cores = [(3, 3), (3, 3), (5, 5)][rng.usize(..3)];
-    let delay = [3, 30, 60][rng.usize(..3)];
-    let plan = Schedule { seed, cores, edges: 2, delay, steps: Vec::new() };
-    let cluster = Cluster::new(&plan, flaw);
-    // the first in order stands first where no holder is heard
-    let mut course =
-        AbsenceRun { cluster, rng, away: 10, since: 0.0, back: None, caught_up: None, led: false };
-    course.play(kind, changes);
-    let AbsenceRun { mut cluster, caught_up, led, .. } = course;
+    let max_delay_ms = [3, 30, 60][rng.usize(..3)];
+    let schedule = Schedule { seed, cores, edges: 2, max_delay_ms, steps: Vec::new() };
+    let cluster = Cluster::new(&schedule, flaw);
+    // The member with the lowest address is the first to become a candidate when there is no leader.
+    let mut run = AbsenceRun {
+        cluster,
+        rng,
+        member: 10,
+        returned_at: 0.0,
+        available_since: None,
+        caught_up: None,
+        led: false,
+    };
+    run.run_all(kind, changes);
+    let AbsenceRun { mut cluster, caught_up, led, .. } = run;
     match cluster.world.observer.violation.take() {
         Some(what) => Err(format!("{kind:?}, at {:.3} s: {what}", cluster.world.now)),
         None => {
-            let (seen, seconds) = (cluster.world.observer.seen, cluster.world.now);
-            Ok(AbsenceSummary { seen, caught_up: caught_up.unwrap_or(f64::NAN), led, seconds })
+            let (coverage, seconds) = (cluster.world.observer.coverage, cluster.world.now);
+            Ok(AbsenceSummary { coverage, caught_up: caught_up.unwrap_or(f64::NAN), led, seconds })
         }
     }
 }
 
 impl AbsenceRun {
-    fn play(&mut self, kind: AbsenceKind, changes: usize) {
-        self.serves("as it begins");
+    fn run_all(&mut self, kind: AbsenceKind, changes: usize) {
+        self.expect_service("at the start");
         let (first, last) = (changes / 20, changes / 10);
-        self.changes(first, |_| ());
+        self.make_changes(first, |_| ());
         match kind {
             AbsenceKind::Down => self.cluster.apply_step(&Step::Kill(0)),
             AbsenceKind::Wiped => self.cluster.apply_step(&Step::Wipe(0)),
             _ => {}
         }
-        self.changes(changes - first - last, |cluster| match kind {
+        self.make_changes(changes - first - last, |cluster| match kind {
             AbsenceKind::Frozen => cluster.apply_step(&Step::Freeze(0, 400)),
             AbsenceKind::Stalled => cluster.apply_step(&Step::Stall(0, 400)),
             AbsenceKind::Full => cluster.apply_step(&Step::FailSaves(0, 1)),
@@ -119,132 +131,141 @@
             }
             AbsenceKind::Down | AbsenceKind::Wiped => {}
         });
-        // what is under way at that moment may be half there
+        // A change in progress may have been received only partly when the member returns.
         self.cluster.run(self.rng.f64() * 0.2);
         self.cluster.heal();
-        self.since = self.cluster.world.now;
-        self.back = Some(self.since);
-        // it is needed at once, while changes go on, or while nothing else tells it of one
+        self.returned_at = self.cluster.world.now;
+        self.available_since = Some(self.returned_at);
+        // The member is needed at once, while changes go on, or while no further change informs it of the last one.
         match self.rng.u8(..4) {
             0 => {
-                let span = self.rng.f64() * 0.3;
-                self.quiet(span);
+                let duration = self.rng.f64() * 0.3;
+                self.run_without_changes(duration);
             }
-            1 => self.changes(last / 4, |_| ()),
-            2 => self.quiet(CATCH_UP + 0.5),
+            1 => self.make_changes(last / 4, |_| ()),
+            2 => self.run_without_changes(CATCH_UP + 0.5),
             _ => {
-                // half of the words get lost, and no change comes that would tell it of the last one
-                self.cluster.apply_step(&Step::DegradeNetwork(50, 0, (STORM * 1000.0) as u16));
-                self.back = Some(self.since + STORM);
-                self.quiet(STORM + CATCH_UP + 0.5);
+                // Half of the messages are lost, and no further change informs the member of the last one.
+                self.cluster.apply_step(&Step::DegradeNetwork(50, 0, (LOSS_DURATION * 1000.0) as u16));
+                self.available_since = Some(self.returned_at + LOSS_DURATION);
+                self.run_without_changes(LOSS_DURATION + CATCH_UP + 0.5);
             }
         }
         for round in 0..ROUNDS {
-            self.hand_over(round);
-            self.changes(last / ROUNDS / 2, |_| ());
+            self.kill_holder(round);
+            self.make_changes(last / ROUNDS / 2, |_| ());
         }
         self.cluster.apply_step(&Step::KillAll);
         self.cluster.apply_step(&Step::Start);
-        self.back = Some(self.cluster.world.now);
-        self.serves("after all were killed");
-        if !self.broken() {
-            end(&mut self.cluster);
+        self.available_since = Some(self.cluster.world.now);
+        self.expect_service("after all processes were killed");
+        if !self.failed() {
+            check_recovery(&mut self.cluster);
         }
     }
 
-    fn broken(&self) -> bool {
+    fn failed(&self) -> bool {
         self.cluster.world.observer.violation.is_some()
     }
 
-    /// Changes one after the other, each as soon as the one before is acknowledged.
-    fn changes(&mut self, count: usize, mut each: impl FnMut(&mut Cluster)) {
+    /// Makes changes one after the other, each once the previous one is acknowledged or has timed out.
+    fn make_changes(&mut self, count: usize, mut each_interval: impl FnMut(&mut Cluster)) {
         for _ in 0..count {
-            let acks = self.cluster.world.observer.seen.acks;
+            let acks = self.cluster.world.observer.coverage.acks;
             let put = self.cluster.new_config(self.cluster.world.observer.version(0));
             self.cluster.send_command(None, put);
-            let most = self.cluster.world.now + PATIENCE;
-            while self.cluster.world.observer.seen.acks == acks && self.cluster.world.now < most {
-                if self.broken() {
+            let deadline = self.cluster.world.now + REPLY_TIMEOUT;
+            while self.cluster.world.observer.coverage.acks == acks && self.cluster.world.now < deadline {
+                if self.failed() {
                     return;
                 }
-                each(&mut self.cluster);
-                self.pass(LOOK);
+                each_interval(&mut self.cluster);
+                self.run(CHECK_INTERVAL);
             }
         }
     }
 
-    fn quiet(&mut self, span: f64) {
-        let end = self.cluster.world.now + span;
-        while self.cluster.world.now < end && !self.broken() {
-            self.pass(LOOK);
+    fn run_without_changes(&mut self, duration: f64) {
+        let end = self.cluster.world.now + duration;
+        while self.cluster.world.now < end && !self.failed() {
+            self.run(CHECK_INTERVAL);
         }
     }
 
-    /// The holder ends, and with five machines one more; they come back once another holds the duty.
-    fn hand_over(&mut self, round: usize) {
-        // a lost disk and one more that is down are more than the system promises to bear
-        let most = self.cluster.world.now + BACK;
-        while self.cluster.impaired_members() > 0 && !self.broken() {
-            if self.cluster.world.now >= most {
-                return self.cluster.world.observer.fail("a lost disk is not learnt anew".into());
+    /// Kills the holder, and in a cluster of five one more member. They start again once another node leads.
+    fn kill_holder(&mut self, round: usize) {
+        // A lost disk together with another member that is down exceeds what the cluster tolerates.
+        let deadline = self.cluster.world.now + SERVICE_TIMEOUT;
+        while self.cluster.impaired_members() > 0 && !self.failed() {
+            if self.cluster.world.now >= deadline {
+                return self
+                    .cluster
+                    .world
+                    .observer
+                    .fail("the member with a lost disk has not recovered".into());
             }
-            self.quiet(0.1);
+            self.run_without_changes(0.1);
         }
         let Some(holder) = self.cluster.leaders().first().copied() else {
-            return self.serves("before a loss");
+            return self.expect_service("before a loss");
         };
-        let second = self.cluster.cores.iter().copied().find(|node| *node != holder && *node != self.away);
+        let second = self.cluster.cores.iter().copied().find(|node| *node != holder && *node != self.member);
         if self.rng.bool() {
-            // who promises or votes first after it loses power right then
+            // The first process that promises or votes after the loss is killed at that moment.
             self.cluster.apply_step(&Step::KillOnVote(1500));
         }
         self.cluster.kill(holder);
         if self.cluster.cores.len() > 3 {
             second.into_iter().for_each(|node| self.cluster.kill(node));
         }
-        self.serves(["after the first loss", "after a loss"][round.min(1)]);
-        self.led |= self.cluster.leaders().contains(&self.away);
+        self.expect_service(["after the first loss", "after a loss"][round.min(1)]);
+        self.led |= self.cluster.leaders().contains(&self.member);
         self.cluster.apply_step(&Step::Start);
-        self.back = self.back.map(|back| if holder == self.away { self.cluster.world.now } else { back });
-        // the one that comes back now was away for as long as that took
-        let span = self.rng.f64() * 0.4;
-        self.quiet(span);
+        self.available_since =
+            self.available_since
+                .map(|since| if holder == self.member { self.cluster.world.now } else { since });
+        // The process that starts now was absent until another node led.
+        let duration = self.rng.f64() * 0.4;
+        self.run_without_changes(duration);
     }
 
-    /// A change is acknowledged in time.
-    fn serves(&mut self, when: &str) {
-        let (acks, most) = (self.cluster.world.observer.seen.acks, self.cluster.world.now + BACK);
-        while self.cluster.world.observer.seen.acks == acks && !self.broken() {
-            if self.cluster.world.now >= most {
-                return self.cluster.world.observer.fail(format!("no service {when}"));
+    /// Checks that a change is acknowledged in time.
+    fn expect_service(&mut self, when: &str) {
+        let (acks, deadline) =
+            (self.cluster.world.observer.coverage.acks, self.cluster.world.now + SERVICE_TIMEOUT);
+        while self.cluster.world.observer.coverage.acks == acks && !self.failed() {
+            if self.cluster.world.now >= deadline {
+                return self.cluster.world.observer.fail(format!("no change is acknowledged {when}"));
             }
             let put = self.cluster.new_config(self.cluster.world.observer.version(0));
             self.cluster.send_command(None, put);
-            self.quiet(0.1);
+            self.run_without_changes(0.1);
         }
     }
 
-    /// Lets the time pass, and looks at the member that came back.
-    fn pass(&mut self, span: f64) {
-        self.cluster.run(span);
-        let Some(back) = self.back else { return };
+    /// Runs for `duration` seconds, and checks that the member catches up after its return and stays up to date.
+    fn run(&mut self, duration: f64) {
+        self.cluster.run(duration);
+        let Some(since) = self.available_since else { return };
         let now = self.cluster.world.now;
-        let Some(core) = self.cluster.world.process(self.away).and_then(Process::core) else {
-            self.back = Some(now);
+        let Some(core) = self.cluster.world.process(self.member).and_then(Process::core) else {
+            self.available_since = Some(now);
             return;
         };
         let held = core.replica.committed().map_or(0, |(ballot, _)| ballot.index);
         if self.caught_up.is_none() && held >= self.cluster.world.observer.acked_by(now) {
-            self.caught_up = Some((now - back).max(0.0));
+            self.caught_up = Some((now - since).max(0.0));
         }
         if self.cluster.leaders().is_empty() {
-            // nobody is there to tell it
-            self.back = Some(now);
+            // Without a leader no node sends it what it lacks.
+            self.available_since = Some(now);
         }
-        let needed = self.cluster.world.observer.acked_by(now - CATCH_UP);
-        if now >= back + CATCH_UP && held < needed {
-            let text =
-                format!("{} holds {held}, but {needed} was acknowledged {CATCH_UP} s before", self.away);
+        let required = self.cluster.world.observer.acked_by(now - CATCH_UP);
+        if now >= since + CATCH_UP && held < required {
+            let text = format!(
+                "{} holds index {held}, but {required} was acknowledged {CATCH_UP} s before",
+                self.member
+            );
             self.cluster.world.observer.fail(text);
         }
     }
--- a/simulation/src/cluster.rs
+++ b/simulation/src/cluster.rs
@@ -1,77 +1,78 @@
-//! A cluster in trouble: plays the steps of a schedule against the processes.
+//! A simulated cluster: applies faults and commands to its processes, and checks the edge nodes as time passes.
 
 use crate::core::Core;
 use crate::edge::Edge;
-use crate::planned_shutdowns::PendingShutdown;
+use crate::planned_shutdowns::PlannedShutdown;
 use crate::process::{Command, Message, Process};
 use crate::{Flaw, Net, Node, ReferenceModel, Schedule, World};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Who sends commands; no machine.
+/// The sender of commands; not a machine.
 pub(crate) const OPERATOR: Node = 1;
-/// The edge nodes are looked at so often, seconds.
-pub(crate) const LOOK: f64 = 0.1;
-/// While a process is to be caught in the act.
-const GRAIN: f64 = 0.004;
+/// Seconds between two checks of the edge nodes.
+pub(crate) const CHECK_INTERVAL: f64 = 0.1;
+/// The same while the first process that votes is to be killed.
+const KILL_CHECK_INTERVAL: f64 = 0.004;
 
-/// See the module.
+/// A simulated cluster.
 pub struct Cluster {
-    /// The machines.
+    /// The machines and the network.
     pub world: World<Process, ReferenceModel>,
-    /// The core machines that aren't lost for good.
+    /// The core machines, without those lost for good.
     pub cores: Vec<Node>,
     /// The edge machines.
     pub edges: Vec<Node>,
     pub(crate) seeds: Vec<Node>,
-    /// Seeds of single machines from their next start on.
-    pub(crate) own_seeds: BTreeMap<Node, Vec<Node>>,
+    /// Other seeds for single machines, from their next start on.
+    pub(crate) seeds_by_node: BTreeMap<Node, Vec<Node>>,
     pub(crate) flaw: Flaw,
-    /// How many disks may be empty at once.
+    /// Number of members that may have lost their disk at once.
     pub(crate) tolerate: usize,
-    /// Until when the ways are cut, and the weather is bad.
+    /// When the cuts end, and when losses and delays return to normal.
     pub(crate) heal_at: (f64, f64),
-    /// Until when the first that votes anew loses power.
-    pub(crate) trip_until: f64,
+    /// Until this time the first process that votes for a new epoch is killed.
+    pub(crate) kill_on_vote_until: f64,
     pub(crate) replacements: u32,
-    /// Those that are to end in order, and how many got a successor for that.
-    pub(crate) leavers: Vec<PendingShutdown>,
-    pub(crate) relieved: u32,
-    pub(crate) sent: Vec<Rc<[u8]>>,
-    versions: u64,
+    /// Orderly shutdowns that are planned or in progress.
+    pub(crate) shutdowns: Vec<PlannedShutdown>,
+    /// Number of machines that were replaced in an orderly way.
+    pub(crate) graceful_replacements: u32,
+    pub(crate) sent_configs: Vec<Rc<[u8]>>,
+    last_version: u64,
 }
 
 impl Cluster {
-    /// All machines start.
-    pub fn new(plan: &Schedule, flaw: Flaw) -> Cluster {
-        let net = Net::new(1, f64::from(plan.delay) / 1000.0);
-        let cores: Vec<Node> = (1..=plan.cores.1 as Node).map(|n| 10 * n).collect();
-        let edges: Vec<Node> = (1..=plan.edges as Node).map(|n| 1000 + 10 * n).collect();
-        let seeds = cores[..plan.cores.0].to_vec();
+    /// Creates the machines of a schedule and starts their processes.
+    pub fn new(schedule: &Schedule, flaw: Flaw) -> Cluster {
+        let net = Net::new(1, f64::from(schedule.max_delay_ms) / 1000.0);
+        let cores: Vec<Node> = (1..=schedule.cores.1 as Node).map(|n| 10 * n).collect();
+        let edges: Vec<Node> = (1..=schedule.edges as Node).map(|n| 1000 + 10 * n).collect();
+        let seeds = cores[..schedule.cores.0].to_vec();
         let tolerate = (cores.len() - 1) / 2;
-        let world = World::new(plan.seed, net, ReferenceModel::default());
+        let world = World::new(schedule.seed, net, ReferenceModel::default());
         let mut cluster = Cluster {
             world,
             cores,
             edges,
             seeds,
-            own_seeds: BTreeMap::new(),
+            seeds_by_node: BTreeMap::new(),
             flaw,
             tolerate,
             heal_at: (0.0, 0.0),
-            trip_until: 0.0,
+            kill_on_vote_until: 0.0,
             replacements: 0,
-            leavers: Vec::new(),
-            relieved: 0,
-            sent: Vec::new(),
-            versions: 0,
+            shutdowns: Vec::new(),
+            graceful_replacements: 0,
+            sent_configs: Vec::new(),
+            last_version: 0,
         };
-        cluster.start();
+        cluster.start_all();
         cluster
     }
 
-    /// Starts what is down.
-    fn start(&mut self) {
+    /// Starts all processes that are down.
+    fn start_all(&mut self) {
         self.start_cores();
         self.start_edges();
     }
@@ -79,7 +80,7 @@
     pub(crate) fn start_cores(&mut self) {
         for node in self.cores.clone() {
             if self.world.process(node).is_none() {
-                let seeds = self.own_seeds.get(&node).unwrap_or(&self.seeds);
+                let seeds = self.seeds_by_node.get(&node).unwrap_or(&self.seeds);
                 let (tolerate, flaw) = (self.tolerate, self.flaw);
                 self.world.start(node, |context| {
                     Process::Core(Box::new(Core::new(node, context, seeds, tolerate, flaw)))
@@ -92,55 +93,56 @@
     pub(crate) fn start_edges(&mut self) {
         for node in self.edges.clone() {
             if self.world.process(node).is_none() {
-                let (seeds, flaw) = (self.own_seeds.get(&node).unwrap_or(&self.cores), self.flaw);
+                let (seeds, flaw) = (self.seeds_by_node.get(&node).unwrap_or(&self.cores), self.flaw);
                 self.world
                     .start(node, |context| Process::Edge(Box::new(Edge::new(node, context, seeds, flaw))));
             }
         }
     }
 
-    /// There is trouble of the core or the network for so long from now on.
-    pub(crate) fn disturb(&mut self, span: f64) {
-        let until = self.world.now + span;
-        let truth = &mut self.world.observer;
-        truth.disturbed_until = truth.disturbed_until.max(until);
+    /// Records that the core or the network is disturbed for `duration` seconds from now on.
+    pub(crate) fn disturb(&mut self, duration: f64) {
+        let until = self.world.now + duration;
+        let model = &mut self.world.observer;
+        model.disturbed_until = model.disturbed_until.max(until);
     }
 
-    /// The newest members that was committed anywhere; the founding one before.
+    /// The members of the newest committed value, or the seeds before the first commit.
     pub(crate) fn members(&self) -> BTreeSet<Node> {
         let newest = self.world.observer.newest();
         newest.map_or(&self.seeds, |(_, value, _)| &value.members).iter().copied().collect()
     }
 
-    /// Members whose disk is empty or not learnt anew yet, or which are lost.
+    /// Number of members that are lost for good, or whose disk is empty because they have not recovered yet.
     pub(crate) fn impaired_members(&self) -> usize {
         let empty =
             |node| self.world.machines.get(node).is_none_or(|machine| machine.disk.saved_state.is_none());
         self.members().iter().filter(|&node| !self.cores.contains(node) || empty(node)).count()
     }
 
-    /// Do just those count that are there, and does no change of the members go on?
-    pub(crate) fn settled(&self) -> bool {
-        let joined = self.world.observer.newest().is_some_and(|(_, value, _)| value.outgoing.is_empty());
-        joined && self.members() == self.cores.iter().copied().collect()
+    /// Whether the members are exactly the present core machines, and no membership change is in progress.
+    pub(crate) fn membership_settled(&self) -> bool {
+        let unchanging = self.world.observer.newest().is_some_and(|(_, value, _)| value.outgoing.is_empty());
+        unchanging && self.members() == self.cores.iter().copied().collect()
     }
 
-    /// Those who took themselves for a holder backed by a majority when they last ran.
+    /// The nodes that considered themselves leaders with a majority when they last ran.
     pub fn leaders(&self) -> Vec<Node> {
         let leads = |node: &Node| self.world.process(*node)?.core()?.leading_epoch();
         self.cores.iter().copied().filter(|node| leads(node).is_some()).collect()
     }
 
-    /// Lets the time pass, and looks at the edge nodes.
-    pub fn run(&mut self, span: f64) {
-        let end = self.world.now + span;
+    /// Runs for `duration` seconds, ends faults that are due and checks the edge nodes.
+    pub fn run(&mut self, duration: f64) {
+        let end = self.world.now + duration;
         while self.world.now < end && self.world.observer.violation.is_none() {
-            let armed = self.trip_until > self.world.now;
-            let next = if armed { GRAIN } else { LOOK }.min(end - self.world.now);
-            self.world.observer.turned = None;
-            self.world.run(next);
-            if let Some(node) = self.world.observer.turned.filter(|_| armed) {
-                self.trip_until = 0.0;
+            let kill_on_vote = self.kill_on_vote_until > self.world.now;
+            let interval =
+                if kill_on_vote { KILL_CHECK_INTERVAL } else { CHECK_INTERVAL }.min(end - self.world.now);
+            self.world.observer.last_voter = None;
+            self.world.run(interval);
+            if let Some(node) = self.world.observer.last_voter.filter(|_| kill_on_vote) {
+                self.kill_on_vote_until = 0.0;
                 self.kill(node);
                 self.start_cores();
             }
@@ -152,66 +154,67 @@
                 (self.world.net.loss_percent, self.world.net.late_percent) = (1, 0);
             }
             self.advance_shutdowns();
-            self.look();
+            self.check_edges();
         }
     }
 
-    /// An edge node in touch follows what was acknowledged.
-    fn look(&mut self) {
+    /// Checks that each ready edge node in touch holds every change that was acknowledged long enough ago.
+    fn check_edges(&mut self) {
         let now = self.world.now;
         if !self.world.observer.is_calm(now) {
             return;
         }
-        let needed = self.world.observer.needed(now);
+        let required = self.world.observer.required_index(now);
         for node in &self.edges {
             let Some(machine) = self.world.machines.get(node) else { continue };
             let Some(edge) = machine.process.as_ref().and_then(Process::edge) else { continue };
-            let touch = self.world.observer.touch(now, *node);
+            let in_touch = self.world.observer.in_touch(now, *node);
             let held = edge.document.as_ref().map_or(0, |document| document.0.index);
-            if touch && edge.ready && held < needed {
-                let text = format!("{node} is in touch and holds {held}, but {needed} was acknowledged");
+            if in_touch && edge.ready && held < required {
+                let text =
+                    format!("{node} is in touch and holds index {held}, but {required} was acknowledged");
                 return self.world.observer.fail(text);
             }
         }
     }
 
-    pub(crate) fn core_at(&self, place: u8) -> Node {
-        self.cores[usize::from(place) % self.cores.len()]
+    pub(crate) fn core_at(&self, index: u8) -> Node {
+        self.cores[usize::from(index) % self.cores.len()]
     }
 
-    pub(crate) fn edge_at(&self, place: u8) -> Node {
-        self.edges[usize::from(place) % self.edges.len()]
+    pub(crate) fn edge_at(&self, index: u8) -> Node {
+        self.edges[usize::from(index) % self.edges.len()]
     }
 
-    /// Sends a command; to all that take themselves for the holder where no place is told.
-    pub fn send_command(&mut self, place: Option<u8>, command: Command) {
-        let to = place.map_or_else(|| self.leaders(), |place| vec![self.core_at(place)]);
+    /// Sends a command to the core machine with this index; to all nodes that consider themselves leaders if `None`.
+    pub fn send_command(&mut self, index: Option<u8>, command: Command) {
+        let to = index.map_or_else(|| self.leaders(), |index| vec![self.core_at(index)]);
         for node in to {
             self.send_command_to(node, command.clone());
         }
     }
 
-    /// Sends a command to a machine; returns its number.
+    /// Sends a command to a machine; returns the command's id.
     pub(crate) fn send_command_to(&mut self, node: Node, command: Command) -> u64 {
         let id = self.world.next_id();
-        self.world.observer.asked(id, command.clone());
+        self.world.observer.command_sent(id, command.clone());
         self.world.send(OPERATOR, node, Message::Command(id, command), true);
         id
     }
 
-    /// A new configuration on top of a version.
+    /// A put of a new configuration on a base version.
     pub fn new_config(&mut self, base: u64) -> Command {
-        self.versions = self.versions.max(base) + 1;
-        let (version, seed) = (self.versions, self.sent.len());
+        self.last_version = self.last_version.max(base) + 1;
+        let (version, nth) = (self.last_version, self.sent_configs.len());
         let text = format!(
-            "{{\"version\":\"r{version}\",\"base_version\":\"r{base}\",\"nth\":{seed},\"listeners\":[],\"clusters\":[]}}"
+            "{{\"version\":\"r{version}\",\"base_version\":\"r{base}\",\"nth\":{nth},\"listeners\":[],\"clusters\":[]}}"
         );
         let body: Rc<[u8]> = text.into_bytes().into();
-        self.sent.push(body.clone());
+        self.sent_configs.push(body.clone());
         Command::Put(body)
     }
 
-    /// All faults end; what is down starts.
+    /// Ends all faults and starts all processes that are down.
     pub fn heal(&mut self) {
         let now = self.world.now;
         self.heal_at = (now, now);
@@ -224,6 +227,6 @@
         }
         self.world.observer.healed(now);
         self.finish_shutdowns();
-        self.start();
+        self.start_all();
     }
 }
--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -17,13 +17,13 @@
 pub const ZONES: [&str; 3] = ["region-0-a", "region-1-a", "region-1-b"];
 
 /// A proposal or read barrier in progress.
-struct PendingRequest {
+struct Pending {
     /// The commands that get the reply. `None`: all callers of the running change, and the next change waits for it.
     ids: Option<Vec<u64>>,
     command: Command,
     /// For a read barrier: the answer to give if the cluster confirms this epoch and the document is still the one
     /// of this ballot.
-    answer_if_current: Option<(Answer, u64, Ballot)>,
+    read_answer: Option<(Answer, u64, Ballot)>,
 }
 
 /// A core process.
@@ -43,7 +43,7 @@
     /// The epoch that the counters belong to, and when to poll them next.
     pub(crate) counter_state: (Option<u64>, f64),
     last_ticket: u64,
-    pending: BTreeMap<u64, PendingRequest>,
+    pending: BTreeMap<u64, Pending>,
     pub(crate) changes: ChangeQueue<Command>,
     /// Callers that wait for a change: the id of their command, and when the wait ends.
     callers: BTreeMap<CallerId, (u64, f64)>,
@@ -57,7 +57,7 @@
 }
 
 impl Core {
-    /// Starts from the state on the disk. On an empty disk that was never written, the process forms the cluster
+    /// Starts from the state on the disk. If the disk was never written, the process forms the cluster
     /// with the other `seeds`.
     pub fn new(
         me: Node,
@@ -326,7 +326,7 @@
     }
 
     /// Decides a command on the committed document, and replies, starts a read barrier or proposes a new document.
-    /// `ids` as in [`PendingRequest`].
+    /// `ids` as in [`Pending`].
     fn execute(&mut self, now: f64, ids: Option<Vec<u64>>, command: &Command, out: &mut Effects) {
         let without_majority =
             self.replica.leader(now).filter(|(node, _)| self.flaw == Flaw::LeadsAlone && *node == self.me);
@@ -349,8 +349,8 @@
                 if ids.is_empty() {
                     return;
                 }
-                let (command, answer_if_current) = (command.clone(), Some((answer, epoch, ballot)));
-                self.pending.insert(ticket, PendingRequest { ids: Some(ids), command, answer_if_current });
+                let (command, read_answer) = (command.clone(), Some((answer, epoch, ballot)));
+                self.pending.insert(ticket, Pending { ids: Some(ids), command, read_answer });
                 self.run_replica(now, out, |replica, out| replica.read_barrier(now, ticket, out));
             }
             Decision::Propose(document) => {
@@ -358,10 +358,7 @@
                 if self.flaw == Flaw::EarlyDone {
                     self.reply(ids, Reply::Answer(Answer::Done), out);
                 } else {
-                    self.pending.insert(
-                        ticket,
-                        PendingRequest { ids, command: command.clone(), answer_if_current: None },
-                    );
+                    self.pending.insert(ticket, Pending { ids, command: command.clone(), read_answer: None });
                 }
                 self.run_replica(now, out, |replica, out| replica.propose(now, ticket, body, out));
             }
@@ -370,10 +367,8 @@
 
     /// Replies to the commands of a proposal or read barrier that has ended.
     fn on_outcome(&mut self, now: f64, ticket: u64, outcome: Outcome, out: &mut Effects) {
-        let Some(PendingRequest { ids, command, answer_if_current }) = self.pending.remove(&ticket) else {
-            return;
-        };
-        let reply = match (answer_if_current, outcome) {
+        let Some(Pending { ids, command, read_answer }) = self.pending.remove(&ticket) else { return };
+        let reply = match (read_answer, outcome) {
             (Some((answer, epoch, ballot)), Outcome::Confirmed) => {
                 let committed =
                     self.committed.as_ref().filter(|_| self.replica.leading_epoch(now) == Some(epoch));
--- a/simulation/src/counter_model.rs
+++ b/simulation/src/counter_model.rs
@@ -1,93 +1,103 @@
-//! The plain model of the counters: what was added, what holders were told, and what totals may be.
+//! Reference model of the counters: what gateways added, what holders received, and the range that a reported total
+//! must lie in.
 
 use lupinledge_counters::handover::HandoverEntry;
 use lupinledge_counters::Incarnation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// CounterModel of floats that should be the same differ by less.
-const NEAR: f64 = 1e-9;
+/// Tolerance when floating-point sums are compared.
+const TOLERANCE: f64 = 1e-9;
 
-/// What a holder knows of one counter.
+/// What the holder of an epoch has received of one counter.
 #[derive(Default)]
-struct Count {
-    /// The newest sum of each gateway's process.
+struct HolderCounter {
+    /// The newest sum of each gateway process.
     sums: BTreeMap<Incarnation, f64>,
-    /// The largest total that gateways told of the holders before.
-    before: f64,
-    /// The largest total told.
-    told: f64,
-    /// Which gateways' processes told what they had told before.
-    tellers: BTreeSet<Incarnation>,
+    /// The largest total of earlier holders that gateways handed over.
+    previous_total: f64,
+    /// The largest total that the holder reported.
+    reported: f64,
+    /// The gateway processes that have handed over.
+    handed_over: BTreeSet<Incarnation>,
 }
 
-/// All counters.
+/// The model of all counters.
 #[derive(Default)]
 pub struct CounterModel {
-    /// By name, all that was ever added, and what of it holders may count twice.
+    /// By name: the sum of everything added, and how much of it holders may count twice.
     added: BTreeMap<u64, (f64, f64)>,
-    /// By name, what some total had beyond that while a gateway that counted had not told yet.
-    over: BTreeMap<u64, f64>,
+    /// By name: the largest excess of a reported total over both, which occurs while a gateway has called the holder
+    /// but has not handed over yet.
+    excess: BTreeMap<u64, f64>,
     /// By epoch and name.
-    counts: BTreeMap<(u64, u64), Count>,
-    /// Gateways' processes that ended: one that had not told a new holder will not any more.
+    counters: BTreeMap<(u64, u64), HolderCounter>,
+    /// Gateway processes that have ended. One that has not handed over to a new holder by then never will.
     ended: BTreeSet<Incarnation>,
 }
 
 impl CounterModel {
-    /// A gateway adds.
+    /// A gateway adds to a counter.
     pub fn added(&mut self, name: u64, amount: f64) {
         self.added.entry(name).or_default().0 += amount;
     }
 
-    /// A gateway's process ends.
+    /// A gateway process ends.
     pub fn ended(&mut self, incarnation: Incarnation) {
         self.ended.insert(incarnation);
     }
 
-    /// A holder takes a gateway's sum.
-    pub fn put(&mut self, epoch: u64, from: Incarnation, name: u64, sum: f64) {
-        self.counts.entry((epoch, name)).or_default().sums.insert(from, sum);
+    /// A holder receives a gateway's sum.
+    pub fn sum_received(&mut self, epoch: u64, from: Incarnation, name: u64, sum: f64) {
+        self.counters.entry((epoch, name)).or_default().sums.insert(from, sum);
     }
 
-    /// A holder hears what a gateway had told before; `before` its totals are whole. What the gateway added since the
-    /// last total that it was told may be in the totals of others already, and is taken for others' then: so much may
-    /// be counted twice from here on. So is what was counted twice for a while, if that total is told to the next holder.
-    pub fn gathered(&mut self, epoch: u64, from: Incarnation, told: HandoverEntry, before: bool) {
-        let count = self.counts.entry((epoch, told.name)).or_default();
-        let twice = &mut self.added.entry(told.name).or_default().1;
-        if before {
-            count.before = count.before.max(told.total);
-            *twice += self.over.remove(&told.name).unwrap_or(0.0);
+    /// A holder receives a gateway's handover; `incomplete` is true if the holder's totals were still incomplete. What
+    /// the gateway added since the last total that it received may already be part of the totals that other gateways
+    /// hand over, where it is taken for the sums of others. So this amount may be counted twice from here on. The same
+    /// holds for what was counted twice temporarily, if the total with it is handed over to the next holder.
+    pub fn handover_received(
+        &mut self,
+        epoch: u64,
+        from: Incarnation,
+        entry: HandoverEntry,
+        incomplete: bool,
+    ) {
+        let counter = self.counters.entry((epoch, entry.name)).or_default();
+        let counted_twice = &mut self.added.entry(entry.name).or_default().1;
+        if incomplete {
+            counter.previous_total = counter.previous_total.max(entry.total);
+            *counted_twice += self.excess.remove(&entry.name).unwrap_or(0.0);
         }
-        if count.tellers.insert(from) {
-            *twice += (told.sum - told.within).max(0.0);
+        if counter.handed_over.insert(from) {
+            *counted_twice += (entry.sum - entry.within).max(0.0);
         }
     }
 
-    /// A total has at least what the holder was told, and at most what was ever added and may be counted twice. One
-    /// that counts and has not told yet is counted twice too, but once it is `calm` only if it ended before.
-    pub fn total(&mut self, epoch: u64, name: u64, total: f64, calm: bool) -> Result<(), String> {
-        let count = self.counts.entry((epoch, name)).or_default();
-        count.told = count.told.max(total);
-        let least = count.sums.values().sum::<f64>().max(count.before);
-        let late = |incarnation: &Incarnation| {
-            (!calm || self.ended.contains(incarnation)) && !count.tellers.contains(incarnation)
+    /// A holder reports a total. The total must be at least what the holder has received, and at most everything
+    /// added plus what may be counted twice. The sum of a gateway that has not handed over yet may be counted twice as
+    /// well, but if the cluster is `calm` only if that gateway has ended.
+    pub fn check_total(&mut self, epoch: u64, name: u64, total: f64, calm: bool) -> Result<(), String> {
+        let counter = self.counters.entry((epoch, name)).or_default();
+        counter.reported = counter.reported.max(total);
+        let least = counter.sums.values().sum::<f64>().max(counter.previous_total);
+        let missing = |incarnation: &Incarnation| {
+            (!calm || self.ended.contains(incarnation)) && !counter.handed_over.contains(incarnation)
         };
-        let untold = count.sums.iter().filter(|(incarnation, _)| late(incarnation));
-        let untold: f64 = untold.map(|(_, sum)| *sum).sum();
-        let (added, twice) = self.added.get(&name).copied().unwrap_or_default();
-        let over = self.over.entry(name).or_default();
-        *over = over.max(total - added - twice);
-        let twice = twice + untold;
-        if total >= least - NEAR && total <= added + twice + NEAR {
+        let not_handed_over = counter.sums.iter().filter(|(incarnation, _)| missing(incarnation));
+        let not_handed_over: f64 = not_handed_over.map(|(_, sum)| *sum).sum();
+        let (added, counted_twice) = self.added.get(&name).copied().unwrap_or_default();
+        let excess = self.excess.entry(name).or_default();
+        *excess = excess.max(total - added - counted_twice);
+        let counted_twice = counted_twice + not_handed_over;
+        if total >= least - TOLERANCE && total <= added + counted_twice + TOLERANCE {
             return Ok(());
         }
-        let text = format!("not {least} to {added} and {twice} that may count twice");
-        Err(format!("tells {total} of counter {name} in epoch {epoch}, {text}"))
+        let text = format!("expected {least} to {added} plus {counted_twice} that may be counted twice");
+        Err(format!("reports a total of {total} for counter {name} in epoch {epoch}; {text}"))
     }
 
-    /// Did some holder tell a total as large as this under the epoch?
-    pub fn told(&self, epoch: u64, name: u64, total: f64) -> bool {
-        self.counts.get(&(epoch, name)).is_some_and(|count| count.told >= total)
+    /// Whether the holder of the epoch has reported a total of at least `total`.
+    pub fn was_reported(&self, epoch: u64, name: u64, total: f64) -> bool {
+        self.counters.get(&(epoch, name)).is_some_and(|counter| counter.reported >= total)
     }
 }
--- a/simulation/src/edge.rs
+++ b/simulation/src/edge.rs
@@ -223,9 +223,7 @@
         totals: &[f64],
         out: &mut Effects,
     ) {
-        let Some(position) = self.calls.iter().position(|call| call.tag == tag && call.to == from) else {
-            return;
-        };
+        let Some(position) = self.calls.iter().position(|c| c.tag == tag && c.to == from) else { return };
         let Some(call) = self.calls.remove(position) else { return };
         if totals.len() == NAMES.len() {
             let totals: Vec<(u64, f64)> = NAMES.into_iter().zip(totals.iter().copied()).collect();
--- a/simulation/src/flaw.rs
+++ b/simulation/src/flaw.rs
@@ -1,82 +1,84 @@
-//! Faults that are planted to see that the checks catch them. They are at the seam between the model and the parts:
-//! what the model's disks, processes and drivers do with the parts' orders.
+//! Faults that are injected on purpose, to test that the checks detect them. They are injected between the model and
+//! the real parts, in what the simulated disks, processes and drivers do with the outputs of the parts.
 
 use crate::core::ZONES;
 use crate::process::Command;
 use lupinledge_config::accepted::body_hash;
 use lupinledge_config::{AcceptedConfigs, Config, Decision, Document};
 
-/// What is broken on purpose.
+/// The fault that is injected. The names of the variants are the values of the environment variable MODEL_FLAW.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Disks say that a state is saved a while before it is.
+    /// Disks report a save as finished a while before it is durable.
     DiskLies,
-    /// Promises alone are not written to the disk.
+    /// A promise without a new vote is not saved.
     PromiseUnsaved,
-    /// A member whose disk was lost founds again instead of learning.
+    /// A member that lost its disk forms a new cluster instead of learning the state of the others.
     WipedFounds,
-    /// The holder says 200 once it has proposed.
+    /// The leader acknowledges a change once it has proposed it.
     EarlyDone,
-    /// What is said on top of the document held is said without asking the whole.
+    /// Answers that depend on the committed document are given without a read barrier.
     NoConfirm,
-    /// The base of a configuration is not looked at.
+    /// The base version of a configuration is not checked.
     AnyBase,
-    /// Changes are judged without waiting for the one before.
+    /// Changes are decided without waiting for the previous change.
     NoTurn,
-    /// The next change is judged once nobody waits for the one before, settled or not.
+    /// The next change is decided once no caller waits for the previous one, settled or not.
     TurnTimed,
-    /// Two taken configurations are remembered, and the others refused.
+    /// Only the last two accepted configurations are remembered; older ones are refused when sent again.
     MemoryTwo,
-    /// Bodies are told apart by 4 bits.
+    /// Bodies are compared by 4 bits of their hash.
     HashFour,
-    /// A configuration that is taken is not remembered once another one is in force.
+    /// An accepted configuration is forgotten once another one is in force.
     NoMemory,
-    /// Edge nodes take news that are older than what they hold.
+    /// Edge nodes apply updates that are older than what they hold.
     OlderNews,
-    /// Edge nodes build on whatever they hold, and do not look at what came out.
+    /// Edge nodes apply a patch to whatever they hold, and don't check the result.
     AnyPatchBase,
-    /// Edge nodes build on what they have built already: a difference is applied twice.
+    /// Edge nodes apply a patch again to its own result.
     PatchTwice,
-    /// Edge nodes put off what comes soon after other news, and forget it for that.
+    /// Edge nodes postpone an update that comes soon after another one, and then forget it.
     MergedAway,
-    /// Edge nodes say that they are ready with the holder known, and no document.
+    /// Edge nodes become ready once the holder is known, without a document.
     ReadyBare,
-    /// Edge nodes ask nobody for what they lack.
+    /// Edge nodes don't fetch missing updates.
     DeafEdge,
-    /// What gateways tell a new holder is not taken.
+    /// The handovers of gateways to a new holder are ignored.
     CountsDeaf,
-    /// Gateways that have not told a new holder are not asked again once its counters are whole.
+    /// Gateways that have not handed over to a new holder are not asked again once its counters are complete.
     CountsAsked,
-    /// Counters are added to and answered without the duty, under the last epoch held.
+    /// A process that does not lead serves the counters of the last epoch that it led.
     CountsUnheld,
-    /// Who does not hold the duty sends callers to the last holder that it ever heard of.
+    /// A process that does not lead redirects callers to the last holder it received a message from, however old.
     StaleRedirect,
-    /// Who won an epoch speaks for the whole until it hears of a higher one, without a majority's answers.
+    /// The winner of an epoch acts as leader until it learns of a higher epoch, without answers from a majority.
     LeadsAlone,
-    /// Processes look for others among their seeds alone, not among the members that the agreement names.
+    /// Processes look for others among their seeds only, and not among the committed members.
     SeedsAlone,
-    /// A core process that is told to end ends at once and says nothing.
+    /// A core process that is asked to shut down ends at once without announcing it.
     LeavesAtOnce,
-    /// Of each state that is saved the one before it gets to the disk.
+    /// Each save writes the state of the previous save.
     SaveBefore,
-    /// A core machine asks once for what is committed and it has not, and never again.
+    /// A core process fetches a missing committed value only once.
     FetchOnce,
-    /// Nobody is told what it asks for.
+    /// Requests for a committed value are not answered.
     FetchDeaf,
 }
 
 impl Flaw {
-    /// Those that show where members are cut off for long.
-    pub const CUTS: [Flaw; 4] = [Flaw::NoConfirm, Flaw::StaleRedirect, Flaw::LeadsAlone, Flaw::SeedsAlone];
+    /// The faults that [`crate::PartitionSchedule`]s must detect.
+    pub const PARTITIONS: [Flaw; 4] =
+        [Flaw::NoConfirm, Flaw::StaleRedirect, Flaw::LeadsAlone, Flaw::SeedsAlone];
 
-    /// Those that are to be caught by the schedules of [`crate::resends`].
+    /// The faults that the schedules of [`crate::resends`] must detect.
     pub const RESENDS: [Flaw; 6] =
         [Flaw::EarlyDone, Flaw::NoTurn, Flaw::TurnTimed, Flaw::MemoryTwo, Flaw::HashFour, Flaw::NoMemory];
-    /// All that are to be caught by the schedules of [`crate::Schedule`].
-    pub const ALL: [Flaw; 17] = [
+
+    /// The faults that the schedules of [`crate::Schedule`] must detect.
+    pub const SCHEDULES: [Flaw; 17] = [
         Flaw::LeavesAtOnce,
         Flaw::DiskLies,
         Flaw::PromiseUnsaved,
@@ -96,63 +98,65 @@
         Flaw::CountsUnheld,
     ];
 
-    /// Those that days with a member away are to catch (`away.rs`).
-    pub const AWAY: [Flaw; 4] = [Flaw::DiskLies, Flaw::SaveBefore, Flaw::FetchOnce, Flaw::FetchDeaf];
+    /// The faults that the schedules of [`crate::absent_member`] must detect.
+    pub const ABSENT_MEMBER: [Flaw; 4] = [Flaw::DiskLies, Flaw::SaveBefore, Flaw::FetchOnce, Flaw::FetchDeaf];
 }
 
-/// Bytes of a hash in a memory.
-const HASH: usize = 16;
+/// Bytes of a hash in [`AcceptedConfigs`].
+const HASH_BYTES: usize = 16;
 
 impl Flaw {
-    /// What a command comes to on top of a document.
+    /// The decision of a document on a command, with the fault.
     pub(crate) fn decide(self, document: &Document, command: &Command) -> Decision {
         let known = |zone: &str| ZONES.contains(&zone);
-        let plain = document.decide(command.as_order(), known);
-        let Command::Put(body) = command else { return plain };
+        let correct = document.decide(command.as_order(), known);
+        let Command::Put(body) = command else { return correct };
         let mut other = document.clone();
         match self {
             Flaw::AnyBase => other.version = Config::parse(body).map_or(other.version, |c| c.base_version.0),
-            Flaw::MemoryTwo => other.accepted = last(document, 2),
-            Flaw::NoMemory => other.accepted = last(document, 0),
+            Flaw::MemoryTwo => other.accepted = keep_newest(document, 2),
+            Flaw::NoMemory => other.accepted = keep_newest(document, 0),
             Flaw::HashFour => {
-                let (steps, mut hashes) = memory(document);
+                let (steps, mut hashes) = accepted_history(document);
                 let hash = body_hash(body);
-                for taken in hashes.chunks_exact_mut(HASH).filter(|taken| taken[0] & 15 == hash[0] & 15) {
-                    taken.copy_from_slice(&hash);
+                for accepted in
+                    hashes.chunks_exact_mut(HASH_BYTES).filter(|accepted| accepted[0] & 15 == hash[0] & 15)
+                {
+                    accepted.copy_from_slice(&hash);
                 }
-                other.accepted = taken(steps, hashes);
+                other.accepted = accepted_configs(steps, hashes);
             }
-            _ => return plain,
+            _ => return correct,
         }
         match other.decide(command.as_order(), known) {
-            // what comes into force is not spoilt by it
-            Decision::Propose(_) if self != Flaw::AnyBase => plain,
-            judged => judged,
+            // The document to propose must not contain the changed history.
+            Decision::Propose(_) if self != Flaw::AnyBase => correct,
+            decision => decision,
         }
     }
 }
 
-/// What a document remembers of the configurations taken: steps between numbers, and hashes.
-pub(crate) fn memory(document: &Document) -> (Vec<u64>, Vec<u8>) {
-    let bytes = rmp_serde::to_vec(&document.accepted).expect("it can be written");
+/// The accepted configurations that a document remembers: the steps between their versions, and their hashes.
+pub(crate) fn accepted_history(document: &Document) -> (Vec<u64>, Vec<u8>) {
+    let bytes = rmp_serde::to_vec(&document.accepted).expect("it can be encoded");
     let (steps, hashes): (_, serde_bytes::ByteBuf) = rmp_serde::from_slice(&bytes).expect("two lists");
     (steps, hashes.into_vec())
 }
 
-fn taken(steps: Vec<u64>, hashes: Vec<u8>) -> AcceptedConfigs {
-    let bytes = rmp_serde::to_vec(&(steps, serde_bytes::ByteBuf::from(hashes))).expect("it can be written");
+fn accepted_configs(steps: Vec<u64>, hashes: Vec<u8>) -> AcceptedConfigs {
+    let bytes = rmp_serde::to_vec(&(steps, serde_bytes::ByteBuf::from(hashes))).expect("it can be encoded");
     rmp_serde::from_slice(&bytes).expect("two lists")
 }
 
-/// A memory of the newest few that holds all others for never taken.
-fn last(document: &Document, most: usize) -> AcceptedConfigs {
-    let (mut steps, mut hashes) = memory(document);
-    let surplus = steps.len().saturating_sub(most);
-    let lost: u64 = steps.drain(..surplus).sum();
-    hashes.drain(..surplus * HASH);
+/// The newest `count` accepted configurations of a document; the versions of the others count as never accepted.
+fn keep_newest(document: &Document, count: usize) -> AcceptedConfigs {
+    let (mut steps, mut hashes) = accepted_history(document);
+    let surplus = steps.len().saturating_sub(count);
+    let dropped: u64 = steps.drain(..surplus).sum();
+    hashes.drain(..surplus * HASH_BYTES);
     match steps.first_mut() {
-        Some(first) => *first += lost,
-        None => (steps, hashes) = (vec![lost], vec![0; HASH]),
+        Some(first) => *first += dropped,
+        None => (steps, hashes) = (vec![dropped], vec![0; HASH_BYTES]),
     }
-    taken(steps, hashes)
+    accepted_configs(steps, hashes)
 }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,9 +1,10 @@
-//! The system's pure parts together in one process, on virtual time, with steps of machines, disks and network,
-//! and a slow plain model that says what must hold; for tests alone. See `docs/model.md`.
+//! Model checker for the whole system, used by tests only. It runs the system's deterministic parts together in one
+//! process on virtual time, injects faults of machines, disks and network, and checks every observation against a
+//! slow and simple reference model. See `docs/model.md`.
 //!
-//! [`World`] with [`Net`] and [`Disk`] drives any state machines ([`StateMachine`]). [`StateMachine`]s of the whole system are
-//! [`core::Core`] and [`edge::Edge`]; [`Cluster`] plays a schedule ([`Schedule`]) of steps and orders against them, and
-//! [`ReferenceModel`] checks what they say and do. [`Flaw`]s are planted to see that the checks catch them.
+//! [`World`], with [`Net`] and [`Disk`], drives any [`StateMachine`]s. The state machines of the whole system are
+//! [`core::Core`] and [`edge::Edge`]. [`Cluster`] applies a [`Schedule`] of faults and commands to them, and
+//! [`ReferenceModel`] checks what they report. A [`Flaw`] is injected to test that the checks detect it.
 
 pub mod absent_member;
 mod cluster;
--- a/simulation/src/planned_shutdowns.rs
+++ b/simulation/src/planned_shutdowns.rs
@@ -1,112 +1,122 @@
-//! Planned work on the core: machines that are told to end, and start again with their disks or are replaced.
+//! Planned maintenance of the core: machines that shut down in an orderly way, and start again with their disks or are
+//! replaced.
 
-use crate::cluster::LOOK;
+use crate::cluster::CHECK_INTERVAL;
 use crate::process::Process;
 use crate::{Cluster, Flaw, Node};
 
-/// The platform ends a process that was told to end and doesn't, seconds.
-const GRACE: f64 = 3.0;
-/// A successor is there for so long before the old machine is told to end.
-const CATCH_UP: f64 = 4.0;
-const RELIEVED: u32 = 3;
+/// Seconds after which the platform kills a process that was asked to shut down and still runs.
+const GRACE_PERIOD: f64 = 3.0;
+/// Seconds between the start of a successor and the shutdown of the old machine.
+const CATCH_UP_TIME: f64 = 4.0;
+const MAX_GRACEFUL_REPLACEMENTS: u32 = 3;
 
-/// A machine that is to end, or was told to.
+/// A machine that has been asked to shut down, or will be.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PendingShutdown {
+pub(crate) struct PlannedShutdown {
     node: Node,
-    /// Its disk and address stay, and it starts again.
-    again: bool,
-    /// When it is told, or ended if it was told.
+    /// Whether the machine keeps its disk and address and starts again.
+    restart: bool,
+    /// When it is asked to shut down; after that, when it is killed.
     at: f64,
-    told: bool,
+    requested: bool,
 }
 
 impl Cluster {
-    /// One of the core, the holder if it is to be that one and there is one, if it isn't to end already.
-    fn stays(&self, place: u8, holder: bool) -> Option<Node> {
+    /// The core machine with this index, or the holder if `holder` is set and there is one; `None` if its shutdown is
+    /// planned already.
+    fn shutdown_candidate(&self, index: u8, holder: bool) -> Option<Node> {
         let holder = self.leaders().first().copied().filter(|_| holder);
-        let node = holder.unwrap_or_else(|| self.core_at(place));
-        self.leavers.iter().all(|leaver| leaver.node != node).then_some(node)
+        let node = holder.unwrap_or_else(|| self.core_at(index));
+        self.shutdowns.iter().all(|shutdown| shutdown.node != node).then_some(node)
     }
 
-    /// A core machine is told to end, and starts again.
-    pub(crate) fn restart_in_order(&mut self, place: u8, holder: bool) {
-        let Some(node) = self.stays(place, holder) else { return };
-        self.leavers.push(PendingShutdown { node, again: true, at: self.world.now, told: false });
+    /// Shuts a core machine down in an orderly way and starts it again.
+    pub(crate) fn graceful_restart(&mut self, index: u8, holder: bool) {
+        let Some(node) = self.shutdown_candidate(index, holder) else { return };
+        self.shutdowns.push(PlannedShutdown { node, restart: true, at: self.world.now, requested: false });
     }
 
-    /// A new machine comes; once it has had its time, an old one is told to end, for good.
-    pub(crate) fn relieve(&mut self, place: u8, holder: bool) {
-        let Some(node) = self.stays(place, holder) else { return };
-        let beside = self.cores.len() > 2 * self.tolerate + 1;
-        if beside || self.relieved == RELIEVED || self.impaired_members() > 0 || !self.settled() {
+    /// Adds a new core machine, and later shuts an old one down for good.
+    pub(crate) fn graceful_replace(&mut self, index: u8, holder: bool) {
+        let Some(node) = self.shutdown_candidate(index, holder) else { return };
+        let in_progress = self.cores.len() > 2 * self.tolerate + 1;
+        if in_progress
+            || self.graceful_replacements == MAX_GRACEFUL_REPLACEMENTS
+            || self.impaired_members() > 0
+            || !self.membership_settled()
+        {
             return;
         }
-        self.relieved += 1;
-        self.newcomer(node % 100 + 2000 * self.relieved);
-        let at = self.world.now + CATCH_UP;
-        self.leavers.push(PendingShutdown { node, again: false, at, told: false });
+        self.graceful_replacements += 1;
+        self.add_core(node % 100 + 2000 * self.graceful_replacements);
+        let at = self.world.now + CATCH_UP_TIME;
+        self.shutdowns.push(PlannedShutdown { node, restart: false, at, requested: false });
     }
 
-    /// An empty machine comes at a new address; its seeds are those that are there now.
-    pub(crate) fn newcomer(&mut self, node: Node) {
-        self.own_seeds.insert(node, self.cores.clone());
+    /// Adds an empty core machine at a new address; its seeds are the present core machines.
+    pub(crate) fn add_core(&mut self, node: Node) {
+        self.seeds_by_node.insert(node, self.cores.clone());
         self.cores.push(node);
         self.start_cores();
     }
 
-    /// Tells those whose time has come, and ends those that may end, or don't in time.
+    /// Requests the shutdowns that are due, and ends the processes that may stop or have exceeded the grace period.
     pub(crate) fn advance_shutdowns(&mut self) {
         let now = self.world.now;
-        for leaver in std::mem::take(&mut self.leavers) {
-            let process = self.world.process(leaver.node).and_then(Process::core);
-            let left = process.is_some_and(|core| core.replica.can_stop());
-            let ended = leaver.told && process.is_none();
-            // who lost its disk goes at once, as it counts as lost already, and so does who knows of no successor yet
+        for shutdown in std::mem::take(&mut self.shutdowns) {
+            let process = self.world.process(shutdown.node).and_then(Process::core);
+            let may_stop = process.is_some_and(|core| core.replica.can_stop());
+            let ended = shutdown.requested && process.is_none();
+            // Some processes may stop before they are replaced: one that lost its disk, as it counts as lost already,
+            // and one that has not received the committed change that names its successor.
             let newest = self.world.observer.newest().map(|newest| newest.0);
-            let knows = process.and_then(|core| core.replica.committed()).map(|(ballot, _)| ballot.index);
-            let knows = knows == newest && process.is_some_and(|core| !core.replica.is_learning());
-            if !leaver.told && now >= leaver.at && process.is_some() {
+            let up_to_date =
+                process.and_then(|core| core.replica.committed()).map(|(ballot, _)| ballot.index);
+            let up_to_date = up_to_date == newest && process.is_some_and(|core| !core.replica.is_learning());
+            if !shutdown.requested && now >= shutdown.at && process.is_some() {
                 self.disturb(0.0);
                 if self.flaw != Flaw::LeavesAtOnce {
-                    self.world.call(leaver.node, |process, now, out| process.leave(now, out));
+                    self.world.call(shutdown.node, |process, now, out| process.leave(now, out));
                 }
-                self.leavers.push(PendingShutdown { at: now + GRACE, told: true, ..leaver });
-            } else if leaver.told && (left || self.flaw == Flaw::LeavesAtOnce) {
-                self.ends(leaver, knows);
-            } else if (ended || now >= leaver.at) && (leaver.again || self.impaired_members() < self.tolerate)
+                self.shutdowns.push(PlannedShutdown { at: now + GRACE_PERIOD, requested: true, ..shutdown });
+            } else if shutdown.requested && (may_stop || self.flaw == Flaw::LeavesAtOnce) {
+                self.shut_down(shutdown, up_to_date);
+            } else if (ended || now >= shutdown.at)
+                && (shutdown.restart || self.impaired_members() < self.tolerate)
             {
-                // taken away while it was down, or too slow: one more that is lost
-                self.ends(leaver, false);
-            } else if ended || leaver.told && now >= leaver.at {
-                // more can't be lost now: the platform lets it start again
-                self.ends(PendingShutdown { again: true, ..leaver }, false);
+                // It is removed while it was down, or was too slow: one more member is lost.
+                self.shut_down(shutdown, false);
+            } else if ended || shutdown.requested && now >= shutdown.at {
+                // No further member may be lost now, so the platform starts it again.
+                self.shut_down(PlannedShutdown { restart: true, ..shutdown }, false);
             } else {
-                self.leavers.push(leaver);
+                self.shutdowns.push(shutdown);
             }
         }
     }
 
-    fn ends(&mut self, leaver: PendingShutdown, in_order: bool) {
-        let node = leaver.node;
+    /// Ends the process. After an orderly shutdown for good the machine must have been replaced in the membership.
+    fn shut_down(&mut self, shutdown: PlannedShutdown, orderly: bool) {
+        let node = shutdown.node;
         self.kill(node);
-        if leaver.again {
+        if shutdown.restart {
             return self.start_cores();
         }
         self.cores.retain(|&other| other != node);
         let members = self.members();
-        let most = 2 * self.tolerate + 1;
-        if in_order && members.contains(&node) && members.len() > most {
-            let text = format!("{node} left in order and still counts among {members:?}");
+        let wanted = 2 * self.tolerate + 1;
+        if orderly && members.contains(&node) && members.len() > wanted {
+            let text = format!("{node} shut down in an orderly way and is still a member: {members:?}");
             self.world.observer.fail(text);
         }
     }
 
-    /// Those that were told go, others stay.
+    /// Completes the shutdowns that were requested and cancels the others.
     pub(crate) fn finish_shutdowns(&mut self) {
-        self.leavers.retain(|leaver| leaver.told);
-        while !self.leavers.is_empty() && self.world.observer.violation.is_none() {
-            self.run(LOOK);
+        self.shutdowns.retain(|shutdown| shutdown.requested);
+        while !self.shutdowns.is_empty() && self.world.observer.violation.is_none() {
+            self.run(CHECK_INTERVAL);
         }
     }
 }
--- a/simulation/src/resends.rs
+++ b/simulation/src/resends.rs
@@ -1,106 +1,114 @@
-//! Operators who send each order until it has a clear answer: up to eight orders at once, through any member, with
-//! answers lost on their way, two bodies under one number, and what was answered long ago sent again; beside kills,
-//! lost disks, cuts, frozen processes and stalled disks. What is asserted is seen from outside alone:
+//! Operators that send each command until it has a clear answer. Up to eight commands are in progress at once, sent to
+//! any member; replies are lost on the way, two bodies use the same version, and commands that were answered long ago
+//! are sent again. Meanwhile processes are killed or paused, disks are lost or stall, and the network is cut. The checks
+//! use only what is visible from outside:
 //!
-//! - no two bodies are ever acknowledged on one base, nor under one number;
+//! - no two bodies are ever acknowledged on the same base or with the same version;
 //! - no body is both refused and acknowledged, or refused and in force at any time, before or after;
-//! - a zone stays as it was acknowledged last, as long as no order about it is under way;
-//! - once it is calm, each order gets a clear answer.
+//! - a zone stays as it was last acknowledged, as long as no command for it is in progress;
+//! - after the cluster is healed, each command gets a clear answer.
 
 use crate::cluster::OPERATOR;
 use crate::core::ZONES;
 use crate::process::{Command, Message, Reply};
-use crate::runner::{end, until};
+use crate::runner::{check_recovery, run_until};
 use crate::{Cluster, Flaw, Node, Schedule, Step};
 use fastrand::Rng;
 use lupinledge_config::Answer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Orders under way at once.
-const ORDERS: usize = 8;
-/// So long an operator waits in silence, and so long after "come back", seconds.
-const SILENCE: f64 = 1.0;
-const PAUSE: f64 = 0.3;
-/// Operators look so often, seconds.
-const LOOK: f64 = 0.05;
-/// After this a word that was not answered is lost, or its process has ended, seconds.
-const AIR: f64 = 9.0;
-/// Once it is calm each order has a clear answer after this, seconds.
-const CLEAR: f64 = 6.0;
-/// Of 100 answers so many are lost.
-const LOST: u32 = 50;
+/// Maximum number of commands in progress.
+const MAX_OPEN: usize = 8;
+/// Seconds until an operator sends a command again, without a reply and after the reply that the outcome is unknown.
+const REPLY_TIMEOUT: f64 = 1.0;
+const RETRY_DELAY: f64 = 0.3;
+/// Seconds between two checks by the operators.
+const CHECK_INTERVAL: f64 = 0.05;
+/// Seconds after which a message without a reply is lost, or the process that received it has ended.
+const MESSAGE_LIFETIME: f64 = 9.0;
+/// Seconds after healing until each command must have a clear answer.
+const ANSWER_TIMEOUT: f64 = 6.0;
+/// Percentage of replies that are lost.
+const REPLY_LOSS_PERCENT: u32 = 50;
 
-/// How much happened, so that nobody takes an empty run for a good one.
+/// How often each kind of event was seen. Tests check it, so that a run in which nothing happened does not pass.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResendCoverage {
-    /// Orders of configurations, and those that got 200 and a refusal.
-    pub orders: u64,
-    pub taken: u64,
+    /// Configurations that operators put.
+    pub puts: u64,
+    /// Configurations that were accepted.
+    pub accepted: u64,
+    /// Configurations that were refused.
     pub refused: u64,
-    /// Tries, answers lost, and 200s to an order whose 200 was lost.
-    pub tries: u64,
+    /// Attempts to send a command.
+    pub attempts: u64,
+    /// Replies that were lost.
     pub lost: u64,
-    pub again: u64,
-    /// 200s to configurations that others had replaced.
+    /// Successful replies to a command whose earlier reply was lost.
+    pub repeated: u64,
+    /// Successful replies for a configuration that had been replaced already.
     pub replaced: u64,
-    /// Orders about zones that got a clear answer.
+    /// Zone commands that got a clear answer.
     pub zones: u64,
-    /// Late copies of orders about zones, carried out after the order had its answer.
+    /// Delayed copies of zone commands that were carried out after the command had its answer.
     pub late: u64,
 }
 
 impl ResendCoverage {
-    /// Adds what was seen elsewhere.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: &ResendCoverage) {
-        self.orders += other.orders;
-        self.taken += other.taken;
+        self.puts += other.puts;
+        self.accepted += other.accepted;
         self.refused += other.refused;
-        self.tries += other.tries;
+        self.attempts += other.attempts;
         self.lost += other.lost;
-        self.again += other.again;
+        self.repeated += other.repeated;
         self.replaced += other.replaced;
         self.zones += other.zones;
         self.late += other.late;
     }
 }
 
-/// One try of an order.
-struct Try {
+/// One attempt to send a command.
+struct Attempt {
     id: u64,
-    at: f64,
-    lost: bool,
-    seen: bool,
+    sent_at: f64,
+    /// Whether the reply is lost on the way.
+    reply_lost: bool,
+    /// Whether the reply, lost or not, was processed by the checks.
+    reply_seen: bool,
 }
 
-/// One order, until it is forgotten.
-struct Order {
+/// A command with all attempts to send it.
+struct TrackedCommand {
     command: Command,
-    /// Base and number of a configuration.
-    numbers: (u64, u64),
-    tries: Vec<Try>,
-    next: f64,
-    /// Whom to ask next; nobody known: anybody.
+    /// Base version and version of a configuration.
+    versions: (u64, u64),
+    attempts: Vec<Attempt>,
+    next_attempt: f64,
+    /// The node to send to next; `None`: any node.
     to: Option<Node>,
-    clear: bool,
+    answered: bool,
 }
 
-/// See the module.
+/// All operators, and what they were answered.
 struct Operators {
     rng: Rng,
-    open: Vec<Order>,
-    /// Those that have their answer.
-    closed: Vec<Order>,
-    /// What each zone was acknowledged to be; nothing while that can't be told.
+    open: Vec<TrackedCommand>,
+    /// The commands that have a clear answer.
+    closed: Vec<TrackedCommand>,
+    /// Whether each zone was acknowledged as evacuated; no entry while that is unknown.
     zones: BTreeMap<&'static str, bool>,
-    /// Bodies acknowledged by base and by number, and bodies refused, lost answers too.
-    bases: BTreeMap<u64, Rc<[u8]>>,
-    numbers: BTreeMap<u64, Rc<[u8]>>,
+    /// The bodies that were acknowledged, by base and by version, also if the reply was lost.
+    acked_by_base: BTreeMap<u64, Rc<[u8]>>,
+    acked_by_version: BTreeMap<u64, Rc<[u8]>>,
+    /// The bodies that were refused and acknowledged, also if the reply was lost.
     refused: BTreeSet<Rc<[u8]>>,
     acked: BTreeSet<Rc<[u8]>>,
-    nth: u64,
-    calm: bool,
-    tally: ResendCoverage,
+    bodies_made: u64,
+    healed: bool,
+    coverage: ResendCoverage,
 }
 
 fn body(version: u64, base: u64, nth: u64) -> Rc<[u8]> {
@@ -117,25 +125,25 @@
             open: Vec::new(),
             closed: Vec::new(),
             zones: BTreeMap::new(),
-            bases: BTreeMap::new(),
-            numbers: BTreeMap::new(),
+            acked_by_base: BTreeMap::new(),
+            acked_by_version: BTreeMap::new(),
             refused: BTreeSet::new(),
             acked: BTreeSet::new(),
-            nth: 0,
-            calm: false,
-            tally: ResendCoverage::default(),
+            bodies_made: 0,
+            healed: false,
+            coverage: ResendCoverage::default(),
         }
     }
 
-    /// New orders, as far as there is room for them.
-    fn begin(&mut self, cluster: &Cluster) {
-        while self.open.len() < ORDERS && self.rng.usize(..3) == 0 {
+    /// Opens new commands at random, up to [`MAX_OPEN`].
+    fn open_commands(&mut self, cluster: &Cluster) {
+        while self.open.len() < MAX_OPEN && self.rng.usize(..3) == 0 {
             let now = cluster.world.now;
-            let (command, numbers) = match self.rng.usize(..10) {
+            let (command, versions) = match self.rng.usize(..10) {
                 0 => (Command::Get, (0, 0)),
                 1..3 => {
                     let zone = ZONES[self.rng.usize(..ZONES.len())];
-                    let busy = self.open.iter().any(|o| about(&o.command) == Some(zone));
+                    let busy = self.open.iter().any(|o| zone_of(&o.command) == Some(zone));
                     if busy {
                         continue;
                     }
@@ -143,220 +151,243 @@
                     let command = if evacuated { Command::Restore(zone) } else { Command::Evacuate(zone) };
                     (command, (0, 0))
                 }
-                // as it was sent before
+                // Repeats a command that has its answer.
                 3 if !self.closed.is_empty() => {
                     let old = self.rng.usize(..self.closed.len());
                     match &self.closed[old] {
-                        Order { command: Command::Put(body), numbers, .. } => {
-                            (Command::Put(body.clone()), *numbers)
+                        TrackedCommand { command: Command::Put(body), versions, .. } => {
+                            (Command::Put(body.clone()), *versions)
                         }
                         _ => continue,
                     }
                 }
-                // a few numbers for many: two often pick the same
+                // The versions are chosen from two, so that commands often have the same.
                 _ => {
                     let base = cluster.world.observer.version(usize::from(self.rng.usize(..12) == 0));
                     let version = base + 1 + self.rng.u64(..2);
-                    self.nth += 1;
-                    self.tally.orders += 1;
-                    (Command::Put(body(version, base, self.nth)), (base, version))
+                    self.bodies_made += 1;
+                    self.coverage.puts += 1;
+                    (Command::Put(body(version, base, self.bodies_made)), (base, version))
                 }
             };
-            self.open.push(Order { command, numbers, tries: Vec::new(), next: now, to: None, clear: false });
+            self.open.push(TrackedCommand {
+                command,
+                versions,
+                attempts: Vec::new(),
+                next_attempt: now,
+                to: None,
+                answered: false,
+            });
         }
     }
 
-    /// Sends what is due.
-    fn send(&mut self, cluster: &mut Cluster) {
+    /// Sends the commands that are due.
+    fn send_due(&mut self, cluster: &mut Cluster) {
         let now = cluster.world.now;
-        for order in self.open.iter_mut().filter(|order| order.next <= now) {
+        for tracked in self.open.iter_mut().filter(|tracked| tracked.next_attempt <= now) {
             let any = cluster.cores[self.rng.usize(..cluster.cores.len())];
-            let to = order.to.take().unwrap_or(any);
+            let to = tracked.to.take().unwrap_or(any);
             let id = cluster.world.next_id();
-            let lost = !self.calm && self.rng.u32(..100) < LOST;
-            order.tries.push(Try { id, at: now, lost, seen: false });
-            order.next = now + SILENCE + PAUSE * self.rng.f64();
-            self.tally.tries += 1;
-            cluster.world.observer.asked(id, order.command.clone());
-            cluster.world.send(OPERATOR, to, Message::Command(id, order.command.clone()), true);
+            let reply_lost = !self.healed && self.rng.u32(..100) < REPLY_LOSS_PERCENT;
+            tracked.attempts.push(Attempt { id, sent_at: now, reply_lost, reply_seen: false });
+            tracked.next_attempt = now + REPLY_TIMEOUT + RETRY_DELAY * self.rng.f64();
+            self.coverage.attempts += 1;
+            cluster.world.observer.command_sent(id, tracked.command.clone());
+            cluster.world.send(OPERATOR, to, Message::Command(id, tracked.command.clone()), true);
         }
     }
 
-    /// Looks at all answers that were given, those lost on their way too.
-    fn hear(&mut self, cluster: &mut Cluster) -> Result<(), String> {
+    /// Checks all new replies, also those that are lost on the way.
+    fn handle_replies(&mut self, cluster: &mut Cluster) -> Result<(), String> {
         let now = cluster.world.now;
-        let mut orders: Vec<Order> = self.open.drain(..).chain(self.closed.drain(..)).collect();
-        for order in &mut orders {
-            for nth in 0..order.tries.len() {
-                let Try { id, at, lost, seen } = order.tries[nth];
-                let Some(reply) = cluster.world.observer.answers.get(&id).filter(|_| !seen).cloned() else {
+        let mut commands: Vec<TrackedCommand> = self.open.drain(..).chain(self.closed.drain(..)).collect();
+        for tracked in &mut commands {
+            for nth in 0..tracked.attempts.len() {
+                let Attempt { id, sent_at, reply_lost, reply_seen } = tracked.attempts[nth];
+                let Some(reply) = cluster.world.observer.answers.get(&id).filter(|_| !reply_seen).cloned()
+                else {
                     continue;
                 };
-                order.tries[nth].seen = true;
+                tracked.attempts[nth].reply_seen = true;
                 if let Reply::Answer(answer) = &reply {
                     let newest = cluster.world.observer.version(0);
-                    self.judged(order, nth, answer, newest)?;
-                    if let Some(zone) = about(&order.command).filter(|_| order.clear) {
-                        self.tally.late += 1;
+                    self.check_answer(tracked, nth, answer, newest)?;
+                    if let Some(zone) = zone_of(&tracked.command).filter(|_| tracked.answered) {
+                        self.coverage.late += 1;
                         self.zones.remove(zone);
                     }
                 }
-                let newest = nth + 1 == order.tries.len();
-                if lost || order.clear || now - at > SILENCE {
-                    self.tally.lost += u64::from(lost);
+                let newest = nth + 1 == tracked.attempts.len();
+                if reply_lost || tracked.answered || now - sent_at > REPLY_TIMEOUT {
+                    self.coverage.lost += u64::from(reply_lost);
                     continue;
                 }
                 match reply {
                     Reply::Answer(_) => {
-                        order.clear = true;
-                        if let Some(zone) = about(&order.command) {
-                            self.tally.zones += 1;
-                            self.zones.insert(zone, matches!(order.command, Command::Evacuate(_)));
+                        tracked.answered = true;
+                        if let Some(zone) = zone_of(&tracked.command) {
+                            self.coverage.zones += 1;
+                            self.zones.insert(zone, matches!(tracked.command, Command::Evacuate(_)));
                         }
                     }
                     Reply::Redirect(_) if newest => {
-                        (order.to, order.next) = (cluster.leaders().first().copied(), now + LOOK / 2.0);
+                        (tracked.to, tracked.next_attempt) =
+                            (cluster.leaders().first().copied(), now + CHECK_INTERVAL / 2.0);
                     }
-                    Reply::Unknown if newest => order.next = now + PAUSE,
+                    Reply::Unknown if newest => tracked.next_attempt = now + RETRY_DELAY,
                     _ => {}
                 }
             }
         }
-        (self.closed, self.open) = orders.into_iter().partition(|order| order.clear);
-        self.truth(cluster)
+        (self.closed, self.open) = commands.into_iter().partition(|tracked| tracked.answered);
+        self.check_state(cluster)
     }
 
-    /// One answer, whoever hears it.
-    fn judged(&mut self, order: &Order, nth: usize, answer: &Answer, newest: u64) -> Result<(), String> {
-        let Command::Put(body) = &order.command else { return Ok(()) };
-        let (base, version) = order.numbers;
-        let what = |what: &str| Err(format!("number {version} on {base}: {what}"));
+    /// Checks one answer, whether or not it reaches the operator.
+    fn check_answer(
+        &mut self,
+        tracked: &TrackedCommand,
+        nth: usize,
+        answer: &Answer,
+        newest: u64,
+    ) -> Result<(), String> {
+        let Command::Put(body) = &tracked.command else { return Ok(()) };
+        let (base, version) = tracked.versions;
+        let error = |what: &str| Err(format!("version {version} on base {base}: {what}"));
         match answer {
             Answer::Done => {
-                self.tally.taken += u64::from(self.acked.insert(body.clone()));
-                self.tally.again += u64::from(order.tries[..nth].iter().any(|t| t.seen && t.lost));
-                self.tally.replaced += u64::from(newest != version);
-                if *self.bases.entry(base).or_insert_with(|| body.clone()) != *body {
-                    return what("acknowledged, as another one on its base was");
+                self.coverage.accepted += u64::from(self.acked.insert(body.clone()));
+                self.coverage.repeated +=
+                    u64::from(tracked.attempts[..nth].iter().any(|a| a.reply_seen && a.reply_lost));
+                self.coverage.replaced += u64::from(newest != version);
+                if *self.acked_by_base.entry(base).or_insert_with(|| body.clone()) != *body {
+                    return error("acknowledged, although another body was acknowledged on its base");
                 }
-                if *self.numbers.entry(version).or_insert_with(|| body.clone()) != *body {
-                    return what("acknowledged, as another one of its number was");
+                if *self.acked_by_version.entry(version).or_insert_with(|| body.clone()) != *body {
+                    return error("acknowledged, although another body was acknowledged with its version");
                 }
             }
-            Answer::Refused { .. } => self.tally.refused += u64::from(self.refused.insert(body.clone())),
+            Answer::Refused { .. } => self.coverage.refused += u64::from(self.refused.insert(body.clone())),
             Answer::Config(_) => {}
         }
         match self.refused.contains(body) && self.acked.contains(body) {
-            true => what("refused and acknowledged"),
+            true => error("refused and acknowledged"),
             false => Ok(()),
         }
     }
 
-    /// What is in force, against what was said.
-    fn truth(&self, cluster: &Cluster) -> Result<(), String> {
-        let truth = &cluster.world.observer;
-        if let Some(body) = truth.bodies().find(|body| self.refused.contains(*body)) {
+    /// Checks the committed documents against the answers.
+    fn check_state(&self, cluster: &Cluster) -> Result<(), String> {
+        let model = &cluster.world.observer;
+        if let Some(body) = model.bodies().find(|body| self.refused.contains(*body)) {
             let text = String::from_utf8_lossy(&body[..body.len().min(50)]).into_owned();
-            return Err(format!("refused, and in force: {text}"));
+            return Err(format!("refused and in force: {text}"));
         }
-        let Some((_, _, document)) = truth.newest() else { return Ok(()) };
+        let Some((_, _, document)) = model.newest() else { return Ok(()) };
         for (zone, evacuated) in &self.zones {
-            let under_way = |order: &Order| {
-                let air = |t: &Try| !t.seen && cluster.world.now - t.at < AIR;
-                about(&order.command) == Some(zone) && (!order.clear || order.tries.iter().any(air))
+            let in_progress = |tracked: &TrackedCommand| {
+                let in_flight =
+                    |a: &Attempt| !a.reply_seen && cluster.world.now - a.sent_at < MESSAGE_LIFETIME;
+                zone_of(&tracked.command) == Some(zone)
+                    && (!tracked.answered || tracked.attempts.iter().any(in_flight))
             };
-            if self.open.iter().chain(&self.closed).any(under_way) {
+            if self.open.iter().chain(&self.closed).any(in_progress) {
                 continue;
             }
             if document.evacuated_zones.iter().any(|z| z == zone) != *evacuated {
-                return Err(format!("{zone} was acknowledged last as evacuated: {evacuated}; it is not so"));
+                return Err(format!(
+                    "{zone} was last acknowledged with evacuated = {evacuated}, and the committed document differs"
+                ));
             }
         }
         Ok(())
     }
 }
 
-fn about(command: &Command) -> Option<&'static str> {
+/// The zone that a command is about.
+fn zone_of(command: &Command) -> Option<&'static str> {
     match command {
         Command::Evacuate(zone) | Command::Restore(zone) => Some(zone),
         Command::Put(_) | Command::Get => None,
     }
 }
 
-/// Trouble of the core.
-fn trouble(rng: &mut Rng, cluster: &mut Cluster) {
-    let place = rng.u8(..);
+/// Injects a random fault of the core or the network, or starts the core processes that are down.
+fn inject_fault(rng: &mut Rng, cluster: &mut Cluster) {
+    let index = rng.u8(..);
     let step = match rng.u32(..100) {
-        0..10 => Step::Kill(place),
+        0..10 => Step::Kill(index),
         10..13 => Step::KillAll,
-        13..20 => Step::Wipe(place),
-        20..28 => Step::Freeze(place, 300 + rng.u16(..4000)),
+        13..20 => Step::Wipe(index),
+        20..28 => Step::Freeze(index, 300 + rng.u16(..4000)),
         28..36 => Step::Cut(rng.u16(..), 500 + rng.u16(..5000)),
         36..40 => Step::CutOneWay(500 + rng.u16(..4000)),
         40..44 => Step::KillOnVote(1000 + rng.u16(..3000)),
-        44..47 => Step::FailSaves(place, 2 + rng.u8(..3)),
-        47..49 => Step::Replace(place),
+        44..47 => Step::FailSaves(index, 2 + rng.u8(..3)),
+        47..49 => Step::Replace(index),
         49..52 => Step::DegradeNetwork(rng.u8(..30), rng.u8(..10), 500 + rng.u16(..3000)),
-        // the disks of all but the holder: it goes on, and nothing is settled
+        // The disks of all members but the holder stall: the holder goes on, but no change is committed.
         52..60 => {
-            let (holders, until) = (cluster.leaders(), 300 + rng.u16(..5000));
+            let (holders, duration) = (cluster.leaders(), 300 + rng.u16(..5000));
             let others = (0..cluster.cores.len() as u8).filter(|&n| !holders.contains(&cluster.core_at(n)));
             let others: Vec<u8> = others.collect();
-            others.into_iter().for_each(|n| cluster.apply_step(&Step::Stall(n, until)));
+            others.into_iter().for_each(|n| cluster.apply_step(&Step::Stall(n, duration)));
             return;
         }
-        // the holder alone is cut off from some or all
+        // The holder alone is cut off from all others.
         60..66 => {
             let holder = cluster.leaders().first().copied();
-            let Some(place) = cluster.cores.iter().position(|node| Some(*node) == holder) else { return };
-            Step::Cut(1 << place, 500 + rng.u16(..6000))
+            let Some(index) = cluster.cores.iter().position(|node| Some(*node) == holder) else { return };
+            Step::Cut(1 << index, 500 + rng.u16(..6000))
         }
         _ => Step::Start,
     };
     cluster.apply_step(&step);
 }
 
-/// Plays the schedule of a seed, and returns what was wrong first.
-pub fn resends(seed: u64, flaw: Flaw) -> Result<ResendCoverage, String> {
-    let plan = Schedule { edges: 2, ..Schedule::new(seed).only(&[]) };
-    let mut cluster = Cluster::new(&plan, flaw);
+/// Runs the schedule of a seed; returns the first violation.
+pub fn run_resends(seed: u64, flaw: Flaw) -> Result<ResendCoverage, String> {
+    let schedule = Schedule { edges: 2, ..Schedule::new(seed).with_steps(&[]) };
+    let mut cluster = Cluster::new(&schedule, flaw);
     let mut operators = Operators::new(seed);
     let mut rng = Rng::with_seed(seed ^ 0x0074_726f_7562_6c65);
-    let (ends, mut next) = (10.0 + rng.f64() * 20.0, 3.0);
-    let broken = |cluster: &mut Cluster, now: f64| match cluster.world.observer.violation.take() {
+    let (end, mut next_fault) = (10.0 + rng.f64() * 20.0, 3.0);
+    let check_violation = |cluster: &mut Cluster, now: f64| match cluster.world.observer.violation.take() {
         Some(what) => Err(format!("seed {seed}, at {now:.3} s: {what}")),
         None => Ok(()),
     };
-    while cluster.world.now < ends {
-        if cluster.world.now >= next {
-            next = cluster.world.now + 0.1 + rng.f64();
-            trouble(&mut rng, &mut cluster);
+    while cluster.world.now < end {
+        if cluster.world.now >= next_fault {
+            next_fault = cluster.world.now + 0.1 + rng.f64();
+            inject_fault(&mut rng, &mut cluster);
         }
-        operators.begin(&cluster);
-        operators.send(&mut cluster);
-        cluster.run(LOOK);
+        operators.open_commands(&cluster);
+        operators.send_due(&mut cluster);
+        cluster.run(CHECK_INTERVAL);
         let now = cluster.world.now;
-        broken(&mut cluster, now)?;
-        operators.hear(&mut cluster).map_err(|what| format!("seed {seed}, at {now:.3} s: {what}"))?;
+        check_violation(&mut cluster, now)?;
+        operators
+            .handle_replies(&mut cluster)
+            .map_err(|what| format!("seed {seed}, at {now:.3} s: {what}"))?;
     }
     cluster.heal();
-    operators.calm = true;
-    let mut wrong = None;
-    let done = until(&mut cluster, CLEAR, |cluster| {
-        operators.send(cluster);
-        wrong = wrong.take().or(operators.hear(cluster).err());
-        wrong.is_some() || operators.open.is_empty()
+    operators.healed = true;
+    let mut error = None;
+    let done = run_until(&mut cluster, ANSWER_TIMEOUT, |cluster| {
+        operators.send_due(cluster);
+        error = error.take().or(operators.handle_replies(cluster).err());
+        error.is_some() || operators.open.is_empty()
     });
     let now = cluster.world.now;
-    broken(&mut cluster, now)?;
-    if let Some(what) = wrong {
+    check_violation(&mut cluster, now)?;
+    if let Some(what) = error {
         return Err(format!("seed {seed}, at {now:.3} s: {what}"));
     }
     if !done {
-        return Err(format!("seed {seed}: {} orders without an answer", operators.open.len()));
+        return Err(format!("seed {seed}: {} commands without a clear answer", operators.open.len()));
     }
-    end(&mut cluster);
-    broken(&mut cluster, now)?;
-    operators.hear(&mut cluster).map_err(|what| format!("seed {seed}, at the end: {what}"))?;
-    Ok(operators.tally)
+    check_recovery(&mut cluster);
+    check_violation(&mut cluster, now)?;
+    operators.handle_replies(&mut cluster).map_err(|what| format!("seed {seed}, at the end: {what}"))?;
+    Ok(operators.coverage)
 }
--- a/simulation/src/runner.rs
+++ b/simulation/src/runner.rs
@@ -1,32 +1,33 @@
-//! Plays whole schedules, and makes a failing one shorter.
+//! Runs whole schedules, and finds a shorter schedule for one that fails.
 
 use crate::process::Process;
 use crate::reference_model::Coverage;
 use crate::{Cluster, Flaw, Node, Schedule};
 use lupinledge_membership::Standing;
 
-/// So soon after calm a change has to be acknowledged, and all have to be of one mind, seconds.
-const BACK: f64 = 4.0;
-pub(crate) const WHOLE: f64 = 12.0;
-/// So soon after calm everybody sees just those that are there, seconds. One that was cut off while another one came
-/// new learns of it by chance alone.
-const SIGHT: f64 = 40.0;
+/// Seconds after healing until a change must be acknowledged.
+const SERVICE_TIMEOUT: f64 = 4.0;
+/// Seconds after healing until all nodes must agree.
+pub(crate) const AGREEMENT_TIMEOUT: f64 = 12.0;
+/// Seconds after healing until the membership view of each node must be exactly the present machines. A node that was
+/// cut off while another one joined learns of that one only by chance.
+const VIEW_TIMEOUT: f64 = 40.0;
 
-/// How a schedule went, if nothing was wrong.
+/// Results of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RunSummary {
-    /// What was seen.
-    pub seen: Coverage,
-    /// Seconds that passed in the model.
+    /// How often each kind of event was seen.
+    pub coverage: Coverage,
+    /// Virtual duration of the run, seconds.
     pub seconds: f64,
-    /// Words sent.
-    pub words: u64,
+    /// Number of messages sent.
+    pub messages: u64,
 }
 
-/// Plays a schedule, then calm, and returns what was wrong first.
-pub fn run_schedule(plan: &Schedule, flaw: Flaw) -> Result<RunSummary, String> {
-    let mut cluster = Cluster::new(plan, flaw);
-    for (wait, step) in &plan.steps {
+/// Runs a schedule, heals the cluster and checks that it recovers; returns the first violation.
+pub fn run_schedule(schedule: &Schedule, flaw: Flaw) -> Result<RunSummary, String> {
+    let mut cluster = Cluster::new(schedule, flaw);
+    for (wait, step) in &schedule.steps {
         cluster.run(f64::from(*wait) / 1000.0);
         if cluster.world.observer.violation.is_some() {
             break;
@@ -34,21 +35,25 @@
         cluster.apply_step(step);
     }
     if cluster.world.observer.violation.is_none() {
-        end(&mut cluster);
+        check_recovery(&mut cluster);
     }
     match cluster.world.observer.violation.take() {
         Some(what) => Err(format!("at {:.3} s: {what}", cluster.world.now)),
         None => {
-            let (seen, seconds, words) =
-                (cluster.world.observer.seen, cluster.world.now, cluster.world.net.messages_sent);
-            Ok(RunSummary { seen, seconds, words })
+            let (coverage, seconds, messages) =
+                (cluster.world.observer.coverage, cluster.world.now, cluster.world.net.messages_sent);
+            Ok(RunSummary { coverage, seconds, messages })
         }
     }
 }
 
-/// Lets the time pass until `done`.
-pub(crate) fn until(cluster: &mut Cluster, most: f64, mut done: impl FnMut(&mut Cluster) -> bool) -> bool {
-    let end = cluster.world.now + most;
+/// Runs until `done` is true or a violation is found; returns false if that takes longer than `timeout`.
+pub(crate) fn run_until(
+    cluster: &mut Cluster,
+    timeout: f64,
+    mut done: impl FnMut(&mut Cluster) -> bool,
+) -> bool {
+    let end = cluster.world.now + timeout;
     while cluster.world.now < end && cluster.world.observer.violation.is_none() {
         if done(cluster) {
             return true;
@@ -58,45 +63,56 @@
     cluster.world.observer.violation.is_some() || done(cluster)
 }
 
-/// Calm: service comes back, all become of one mind, and a change reaches everybody, newcomers too.
-pub(crate) fn end(cluster: &mut Cluster) {
+/// Heals the cluster and checks that it serves again, that all nodes agree, and that one more change reaches all nodes,
+/// with an edge node replaced meanwhile.
+pub(crate) fn check_recovery(cluster: &mut Cluster) {
     cluster.heal();
-    let acks = cluster.world.observer.seen.acks;
-    let back = until(cluster, BACK, |cluster| {
+    let acks = cluster.world.observer.coverage.acks;
+    let serves = run_until(cluster, SERVICE_TIMEOUT, |cluster| {
         let put = cluster.new_config(cluster.world.observer.version(0));
         cluster.send_command(None, put);
-        cluster.world.observer.seen.acks > acks
+        cluster.world.observer.coverage.acks > acks
     });
-    if !back {
-        return cluster.world.observer.fail(format!("no service {BACK} s after calm"));
+    if !serves {
+        return cluster
+            .world
+            .observer
+            .fail(format!("no change is acknowledged {SERVICE_TIMEOUT} s after healing"));
     }
-    if !until(cluster, WHOLE, |cluster| apart(cluster).is_none()) {
-        let apart = apart(cluster).unwrap_or_default();
-        return cluster.world.observer.fail(format!("not of one mind {WHOLE} s after calm: {apart}"));
+    if !run_until(cluster, AGREEMENT_TIMEOUT, |cluster| disagreement(cluster).is_none()) {
+        let what = disagreement(cluster).unwrap_or_default();
+        return cluster
+            .world
+            .observer
+            .fail(format!("the nodes disagree {AGREEMENT_TIMEOUT} s after healing: {what}"));
     }
-    if !until(cluster, SIGHT, |cluster| blind(cluster).is_none()) {
-        let blind = blind(cluster).unwrap_or_default();
-        return cluster.world.observer.fail(format!("not all seen {SIGHT} s after calm: {blind}"));
+    if !run_until(cluster, VIEW_TIMEOUT, |cluster| wrong_view(cluster).is_none()) {
+        let what = wrong_view(cluster).unwrap_or_default();
+        return cluster
+            .world
+            .observer
+            .fail(format!("a membership view is wrong {VIEW_TIMEOUT} s after healing: {what}"));
     }
-    cluster.run(crate::reference_model::CONTACT);
+    cluster.run(crate::reference_model::CONTACT_TIMEOUT);
     let last = cluster.edges[cluster.edges.len() - 1];
     cluster.kill_edge(last);
     let put = cluster.new_config(cluster.world.observer.version(0));
     cluster.send_command(None, put);
-    cluster.run(crate::reference_model::APPLY + 0.5);
+    cluster.run(crate::reference_model::APPLY_TIMEOUT + 0.5);
     cluster.edges.push(last + 10);
     cluster.apply_step(&crate::Step::StartEdges);
-    if !until(cluster, crate::reference_model::CONTACT, |cluster| apart(cluster).is_none()) {
-        let apart = apart(cluster).unwrap_or_default();
-        cluster.world.observer.fail(format!("not of one mind after one more change: {apart}"));
+    if !run_until(cluster, crate::reference_model::CONTACT_TIMEOUT, |cluster| disagreement(cluster).is_none())
+    {
+        let what = disagreement(cluster).unwrap_or_default();
+        cluster.world.observer.fail(format!("the nodes disagree after one more change: {what}"));
     }
 }
 
-/// Who is not where all should be once it is calm.
-pub(crate) fn apart(cluster: &Cluster) -> Option<String> {
+/// Describes a node that does not serve or does not hold the newest document, or that there is not exactly one holder.
+pub(crate) fn disagreement(cluster: &Cluster) -> Option<String> {
     let (newest, ..) = cluster.world.observer.newest()?;
-    let all: Vec<Node> = cluster.cores.iter().chain(&cluster.edges).copied().collect();
-    for &node in &all {
+    let nodes: Vec<Node> = cluster.cores.iter().chain(&cluster.edges).copied().collect();
+    for &node in &nodes {
         let index = match cluster.world.process(node) {
             Some(Process::Core(core)) => {
                 let index = core.replica.committed().map(|(ballot, _)| ballot.index);
@@ -104,7 +120,7 @@
                     || !core.replica.members().contains(&node)
                     || core.pending_commands() > 0
                 {
-                    return Some(format!("{node} does not count, or owes replies"));
+                    return Some(format!("{node} is not a full member, or has commands without a reply"));
                 }
                 index
             }
@@ -112,16 +128,16 @@
             _ => return Some(format!("{node} does not serve")),
         };
         if index != Some(newest) {
-            return Some(format!("{node} holds {index:?}, not {newest}"));
+            return Some(format!("{node} holds index {index:?}, not {newest}"));
         }
     }
-    (cluster.leaders().len() != 1).then(|| "not one holder".into())
+    (cluster.leaders().len() != 1).then(|| "there is not exactly one holder".into())
 }
 
-/// Who takes another one for gone that is there, or the other way round.
-fn blind(cluster: &Cluster) -> Option<String> {
-    let all: Vec<Node> = cluster.cores.iter().chain(&cluster.edges).copied().collect();
-    for &node in &all {
+/// Describes a node whose membership view lacks a present machine or contains another one.
+fn wrong_view(cluster: &Cluster) -> Option<String> {
+    let nodes: Vec<Node> = cluster.cores.iter().chain(&cluster.edges).copied().collect();
+    for &node in &nodes {
         let disseminator = match cluster.world.process(node)? {
             Process::Core(core) => &core.disseminator,
             Process::Edge(edge) => &edge.disseminator,
@@ -130,50 +146,50 @@
             *other == node
                 || disseminator.membership().member(*other).is_some_and(|m| m.standing == Standing::Alive)
         };
-        if let Some(other) = all.iter().find(|other| !sees(other)) {
+        if let Some(other) = nodes.iter().find(|other| !sees(other)) {
             return Some(format!("{node} does not see {other}"));
         }
         let extra = disseminator
             .membership()
             .members()
-            .find(|m| m.standing == Standing::Alive && !all.contains(&m.node));
+            .find(|m| m.standing == Standing::Alive && !nodes.contains(&m.node));
         if let Some(extra) = extra {
-            return Some(format!("{node} sees {}, which is not there", extra.node));
+            return Some(format!("{node} sees {}, which does not exist", extra.node));
         }
     }
     None
 }
 
-/// What a schedule that fails is told by: its seed, and the fewest of its steps that were found to fail alike.
-pub fn failure_report(plan: &Schedule, flaw: Flaw, what: &str) -> String {
-    let mut keep: Vec<usize> = (0..plan.steps.len()).collect();
-    let mut piece = keep.len().div_ceil(2).max(1);
-    let mut left = 400;
+/// Describes a failed schedule: its seed, a smaller set of steps that fails as well, and the command to run it again.
+pub fn failure_report(schedule: &Schedule, flaw: Flaw, what: &str) -> String {
+    let mut kept: Vec<usize> = (0..schedule.steps.len()).collect();
+    let mut piece = kept.len().div_ceil(2).max(1);
+    let mut runs_left = 400;
     loop {
         let mut at = 0;
-        while at < keep.len() && left > 0 {
-            left -= 1;
-            let mut fewer = keep.clone();
+        while at < kept.len() && runs_left > 0 {
+            runs_left -= 1;
+            let mut fewer = kept.clone();
             fewer.drain(at..(at + piece).min(fewer.len()));
-            match run_schedule(&plan.only(&fewer), flaw) {
-                Err(_) => keep = fewer,
+            match run_schedule(&schedule.with_steps(&fewer), flaw) {
+                Err(_) => kept = fewer,
                 Ok(_) => at += piece,
             }
         }
-        if piece == 1 || left == 0 {
+        if piece == 1 || runs_left == 0 {
             break;
         }
         piece = piece.div_ceil(2);
     }
-    let short = plan.only(&keep);
-    let still = run_schedule(&short, flaw).err().unwrap_or_default();
-    let places: Vec<String> = keep.iter().map(usize::to_string).collect();
-    let Schedule { seed, cores, edges, delay, steps } = &short;
-    let mut text = format!("seed {seed}: {what}\n  with these steps alone {still}\n");
-    text += &format!("  cores {cores:?}, {edges} edge nodes, ways of up to {delay} ms\n");
+    let shortened = schedule.with_steps(&kept);
+    let shortened_failure = run_schedule(&shortened, flaw).err().unwrap_or_default();
+    let indexes: Vec<String> = kept.iter().map(usize::to_string).collect();
+    let Schedule { seed, cores, edges, max_delay_ms, steps } = &shortened;
+    let mut text = format!("seed {seed}: {what}\n  with these steps alone {shortened_failure}\n");
+    text += &format!("  cores {cores:?}, {edges} edge nodes, delays of up to {max_delay_ms} ms\n");
     steps.iter().for_each(|(wait, step)| text += &format!("  {wait:4} ms later: {step:?}\n"));
     text + &format!(
         "again: MODEL_SEED={seed} MODEL_KEEP={} cargo test -p lupinledge-simulation replay -- --nocapture",
-        places.join(",")
+        indexes.join(",")
     )
 }
--- a/simulation/src/schedule.rs
+++ b/simulation/src/schedule.rs
@@ -1,23 +1,24 @@
-//! A schedule: what the cluster is, and what happens to it when.
+//! A schedule: the machines of the cluster, and the faults and commands that they are exposed to over time.
 
 use fastrand::Rng;
 
-/// One thing that happens. Machines are named by their place among those that there are, times in milliseconds.
+/// One fault or command. A machine is given by an index into the present machines, modulo their number. Durations are
+/// in milliseconds. A command without an index goes to all nodes that consider themselves the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// An operator puts a configuration; `None`: to all that take themselves for the holder.
+    /// An operator puts a configuration.
     Put(Option<u8>),
-    /// Two operators put different ones on the same base.
+    /// Two operators put different configurations on the same base.
     ConflictingPuts(Option<u8>, Option<u8>),
-    /// One on a base that was in force before.
+    /// An operator puts a configuration whose base is the version before the one in force.
     StalePut(Option<u8>),
-    /// One that was sent before.
+    /// An operator sends one of the last three configurations again.
     RepeatedPut(Option<u8>),
-    /// An operator reads.
+    /// An operator reads the configuration.
     Get(Option<u8>),
-    /// A zone is emptied.
+    /// A zone is evacuated.
     Evacuate(Option<u8>, u8),
-    /// A zone is taken back.
+    /// The evacuation of a zone ends.
     Restore(Option<u8>, u8),
     /// A core process is killed.
     Kill(u8),
@@ -25,69 +26,70 @@
     Start,
     /// All core processes are killed at once.
     KillAll,
-    /// A core process is killed and its disk lost, where the promise of the system bears it.
+    /// A core process is killed and its disk lost, unless that is more than the system promises to tolerate.
     Wipe(u8),
-    /// In the time to come the first core process that promises or votes loses power right after, and starts again.
+    /// For this time the first core process that promises or votes for a new epoch is killed right after, and starts
+    /// again.
     KillOnVote(u16),
-    /// The ways between the holder and the others are cut one after the other, the last one so much later, while
-    /// operators put and read at all that take themselves for the holder.
+    /// The holder is cut off from all other members but the given one, and after the given time also from that one.
+    /// Meanwhile operators put and read at all nodes that consider themselves the leader.
     GradualCut(u8, u16),
-    /// A core process stands still.
+    /// A core process is paused.
     Freeze(u8, u16),
     /// A core machine's disk stalls.
     Stall(u8, u16),
-    /// One of so many saves there fails until calm.
+    /// One of the given number of saves fails on a core machine until the next [`Step::Heal`].
     FailSaves(u8, u8),
-    /// A core machine is lost for good, and an empty one comes at a new address.
+    /// A core machine is lost for good, and an empty one joins at a new address.
     Replace(u8),
-    /// A core machine is told to end, and starts again; the holder if so.
+    /// A core machine (the holder if the flag is set) shuts down in an orderly way and starts again.
     GracefulRestart(u8, bool),
-    /// A new machine comes, and after its time an old one is told to end for good; the holder if so.
+    /// A new core machine joins, and after a while an old one (the holder if the flag is set) shuts down for good.
     GracefulReplace(u8, bool),
-    /// The machines of the mask are cut off from the others.
+    /// The machines whose bits are set in the mask are cut off from the others.
     Cut(u16, u16),
-    /// Some ways are cut, one way each.
+    /// Each route is cut with a probability of one quarter, in one direction only.
     CutOneWay(u16),
-    /// So many of 100 words are lost, so many come late.
+    /// Sets the percentages of messages that are lost and that are late.
     DegradeNetwork(u8, u8, u16),
     /// An edge process is killed.
     KillEdge(u8),
     /// All edge processes that are down start.
     StartEdges,
-    /// An edge process stands still.
+    /// An edge process is paused.
     FreezeEdge(u8, u16),
-    /// Everything heals for some seconds, while operators go on.
+    /// All faults end, and operators put configurations for some seconds.
     Heal,
 }
 
-/// A whole schedule.
+/// The machines of a cluster and the steps to apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// For all that is random besides.
+    /// Seed of all random choices beside the steps.
     pub seed: u64,
-    /// Founding machines, and those that join at once.
+    /// Number of core machines that form the cluster, and of all core machines at the start; the others join at once.
     pub cores: (usize, usize),
-    /// Edge machines.
+    /// Number of edge machines.
     pub edges: usize,
-    /// Longest usual way between two machines, milliseconds.
-    pub delay: u16,
-    /// Steps, each with the milliseconds before it.
+    /// Longest delay of a message that is neither late nor retransmitted, milliseconds.
+    pub max_delay_ms: u16,
+    /// The steps, each with the milliseconds to wait before it.
     pub steps: Vec<(u16, Step)>,
 }
 
-fn at(rng: &mut Rng) -> Option<u8> {
+fn target(rng: &mut Rng) -> Option<u8> {
     (rng.u32(..3) == 0).then(|| rng.u8(..))
 }
 
 fn step(rng: &mut Rng) -> Step {
     match rng.u32(..100) {
-        0..14 => Step::Put(at(rng)),
-        14..20 => Step::ConflictingPuts(at(rng), at(rng)),
-        20..24 => Step::StalePut(at(rng)),
-        24..28 => Step::RepeatedPut(at(rng)),
-        28..37 => Step::Get(at(rng)),
-        37..42 => Step::Evacuate(at(rng), rng.u8(..)),
-        42..44 => Step::Restore(at(rng), rng.u8(..)),
+        0..14 => Step::Put(target(rng)),
+        14..20 => Step::ConflictingPuts(target(rng), target(rng)),
+        20..24 => Step::StalePut(target(rng)),
+        24..28 => Step::RepeatedPut(target(rng)),
+        28..37 => Step::Get(target(rng)),
+        37..42 => Step::Evacuate(target(rng), rng.u8(..)),
+        42..44 => Step::Restore(target(rng), rng.u8(..)),
         44..45 => Step::GracefulRestart(rng.u8(..), rng.bool()),
         45..46 => Step::GracefulReplace(rng.u8(..), rng.bool()),
         46..49 => Step::Kill(rng.u8(..)),
@@ -116,15 +118,15 @@
         let mut rng = Rng::with_seed(seed ^ 0x006d_6f64_656c);
         let cores = [(3, 3), (3, 3), (5, 5), (3, 5)][rng.usize(..4)];
         let edges = rng.usize(2..6);
-        let delay = [3, 30, 120][rng.usize(..3)];
+        let max_delay_ms = [3, 30, 120][rng.usize(..3)];
         let count = rng.usize(20..90);
         let steps = (0..count).map(|_| (rng.u16(20..400), step(&mut rng))).collect();
-        Schedule { seed, cores, edges, delay, steps }
+        Schedule { seed, cores, edges, max_delay_ms, steps }
     }
 
-    /// With the steps of these places alone.
-    pub fn only(&self, places: &[usize]) -> Schedule {
-        let steps = places.iter().filter_map(|&place| self.steps.get(place).cloned()).collect();
+    /// The same schedule with only the steps at these indexes.
+    pub fn with_steps(&self, indexes: &[usize]) -> Schedule {
+        let steps = indexes.iter().filter_map(|&index| self.steps.get(index).cloned()).collect();
         Schedule { steps, ..self.clone() }
     }
 }
--- a/simulation/tests/absent_member.rs
+++ b/simulation/tests/absent_member.rs
@@ -1,69 +1,77 @@
-//! Days of many changes with a member of the core away, and planted faults.
+//! Runs with many changes while a core member is absent, by seed, with and without injected faults.
 
 use lupinledge_simulation::absent_member::{run_absence, CATCH_UP};
 use lupinledge_simulation::Flaw;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
 
-/// Changes of a day, and of those that planted faults are looked for in.
+/// Number of changes in a long run.
 const CHANGES: usize = 1_000;
-const FEWER: usize = 120;
-const DAYS: u64 = 21;
-const CAUGHT: u64 = 70;
+/// Number of changes in the shorter runs, which are also used to detect the injected faults.
+const FEWER_CHANGES: usize = 120;
+/// Number of long runs.
+const RUNS: u64 = 21;
+/// Number of runs within which an injected fault must be detected.
+const DETECTION_LIMIT: u64 = 70;
 
 #[test]
-fn a_member_that_was_away_for_a_thousand_changes_catches_up_and_leads() {
-    let (next, days) = (AtomicU64::new(0), Mutex::new(Vec::new()));
+fn a_member_absent_for_a_thousand_changes_catches_up_and_leads() {
+    let (next, summaries) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..3 {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Relaxed);
-                if seed >= DAYS {
+                if seed >= RUNS {
                     return;
                 }
-                let day = run_absence(seed, CHANGES, Flaw::None)
+                let summary = run_absence(seed, CHANGES, Flaw::None)
                     .unwrap_or_else(|what| panic!("seed {seed}: {what}"));
-                days.lock().unwrap().push((seed, day));
+                summaries.lock().unwrap().push((seed, summary));
             });
         }
     });
-    let mut days = days.into_inner().unwrap();
-    days.sort_by_key(|day| day.0);
-    days.iter().for_each(|day| eprintln!("{day:?}"));
-    assert!(days.iter().all(|(_, day)| day.seen.acks >= CHANGES as u64 * 9 / 10), "too few changes");
-    let led = days.iter().filter(|(_, day)| day.led).count();
-    assert!(led as u64 > DAYS / 2, "it held the duty on {led} days");
-    assert!(days.iter().all(|(_, day)| day.caught_up <= CATCH_UP));
+    let mut summaries = summaries.into_inner().unwrap();
+    summaries.sort_by_key(|summary| summary.0);
+    summaries.iter().for_each(|summary| eprintln!("{summary:?}"));
+    assert!(
+        summaries.iter().all(|(_, summary)| summary.coverage.acks >= CHANGES as u64 * 9 / 10),
+        "too few changes"
+    );
+    let led = summaries.iter().filter(|(_, summary)| summary.led).count();
+    assert!(led as u64 > RUNS / 2, "the member led in only {led} of {RUNS} runs");
+    assert!(summaries.iter().all(|(_, summary)| summary.caught_up <= CATCH_UP));
 }
 
 #[test]
-fn many_shorter_days() {
+fn members_catch_up_in_many_shorter_runs() {
     for seed in 1_000..1_100 {
-        run_absence(seed, FEWER, Flaw::None).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
+        run_absence(seed, FEWER_CHANGES, Flaw::None).unwrap_or_else(|what| panic!("seed {seed}: {what}"));
     }
 }
 
 #[test]
-fn each_planted_fault_is_caught() {
-    let found: Vec<_> = std::thread::scope(|scope| {
-        let look = |flaw| {
-            (0..CAUGHT).find_map(|seed| run_absence(seed, FEWER, flaw).err().map(|what| (seed + 1, what)))
+fn each_injected_fault_is_detected() {
+    let results: Vec<_> = std::thread::scope(|scope| {
+        let detect = |flaw| {
+            (0..DETECTION_LIMIT)
+                .find_map(|seed| run_absence(seed, FEWER_CHANGES, flaw).err().map(|what| (seed + 1, what)))
         };
-        let threads = Flaw::AWAY.map(|flaw| scope.spawn(move || (flaw, look(flaw))));
+        let threads = Flaw::ABSENT_MEMBER.map(|flaw| scope.spawn(move || (flaw, detect(flaw))));
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
-    found.iter().for_each(|(flaw, caught)| eprintln!("{flaw:?}: {caught:?}"));
-    let missed: Vec<Flaw> = found.iter().filter(|f| f.1.is_none()).map(|f| f.0).collect();
-    assert!(missed.is_empty(), "not caught: {missed:?}");
+    results.iter().for_each(|(flaw, detected)| eprintln!("{flaw:?}: {detected:?}"));
+    let missed: Vec<Flaw> = results.iter().filter(|r| r.1.is_none()).map(|r| r.0).collect();
+    assert!(missed.is_empty(), "not detected: {missed:?}");
 }
 
-/// As many more as wanted: `FROM=2000 TO=9000 cargo test -p lupinledge-simulation --test away -- --ignored`.
+/// Runs the seeds of a range: `FROM=2000 TO=9000 cargo test -p lupinledge-simulation --test absent_member -- --ignored`.
 #[test]
-#[ignore = "takes as long as it is told to"]
-fn many_more() {
-    let bound = |name: &str, or| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(or);
+#[ignore = "the duration depends on the number of seeds"]
+fn seeds_of_a_range() {
+    let bound =
+        |name: &str, default| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default);
     let (next, to): (AtomicU64, u64) = (AtomicU64::new(bound("FROM", 2_000)), bound("TO", 4_000));
-    let bad = Mutex::new(0);
+    let failures = Mutex::new(0);
     std::thread::scope(|scope| {
         for _ in 0..4 {
             scope.spawn(|| loop {
@@ -71,12 +79,12 @@
                 if seed >= to {
                     return;
                 }
-                if let Err(what) = run_absence(seed, FEWER, Flaw::None) {
+                if let Err(what) = run_absence(seed, FEWER_CHANGES, Flaw::None) {
                     println!("{seed}: {what}");
-                    *bad.lock().unwrap() += 1;
+                    *failures.lock().unwrap() += 1;
                 }
             });
         }
     });
-    assert_eq!(bad.into_inner().unwrap(), 0);
+    assert_eq!(failures.into_inner().unwrap(), 0);
 }
--- a/simulation/tests/resends.rs
+++ b/simulation/tests/resends.rs
@@ -1,67 +1,71 @@
-//! Orders sent again until they have a clear answer, by seed, and planted faults.
+//! Commands sent again until they have a clear answer, by seed, with and without injected faults.
 
-use lupinledge_simulation::resends::{resends, ResendCoverage};
+use lupinledge_simulation::resends::{run_resends, ResendCoverage};
 use lupinledge_simulation::Flaw;
 use std::sync::Mutex;
 
-/// Schedules of one test.
-const EACH: u64 = 250;
-/// A planted fault is caught within so many schedules.
-const CAUGHT: u64 = 400;
+/// Number of runs per test.
+const RUNS_PER_TEST: u64 = 250;
+/// Number of runs within which an injected fault must be detected.
+const DETECTION_LIMIT: u64 = 400;
 
-fn quarter(nth: u64) {
-    let mut sums = ResendCoverage::default();
-    for seed in nth * EACH..(nth + 1) * EACH {
-        match resends(seed, Flaw::None) {
-            Ok(tally) => sums.add(&tally),
+/// Runs the `nth` quarter of the seeds, and checks that enough happened in them.
+fn run_quarter(nth: u64) {
+    let mut coverage = ResendCoverage::default();
+    for seed in nth * RUNS_PER_TEST..(nth + 1) * RUNS_PER_TEST {
+        match run_resends(seed, Flaw::None) {
+            Ok(run) => coverage.add(&run),
             Err(what) => panic!("{what}"),
         }
     }
-    eprintln!("{sums:?}");
-    let least = [sums.taken, sums.refused, sums.again, sums.replaced, sums.zones].into_iter().min();
-    assert!(least > Some(EACH), "too little was done to say anything: {sums:?}");
+    eprintln!("{coverage:?}");
+    let least = [coverage.accepted, coverage.refused, coverage.repeated, coverage.replaced, coverage.zones]
+        .into_iter()
+        .min();
+    assert!(least > Some(RUNS_PER_TEST), "the runs cover too little: {coverage:?}");
 }
 
 macro_rules! quarters {
-    ($($name:ident $nth:expr),*) => { $(#[test] fn $name() { quarter($nth); })* };
+    ($($name:ident $nth:expr),*) => { $(#[test] fn $name() { run_quarter($nth); })* };
 }
 
 quarters!(first 0, second 1, third 2, fourth 3);
 
 #[test]
-fn the_same_seed_goes_the_same_way() {
+fn the_same_seed_gives_the_same_run() {
     for seed in 0..10 {
-        assert_eq!(resends(seed, Flaw::None), resends(seed, Flaw::None), "seed {seed}");
+        assert_eq!(run_resends(seed, Flaw::None), run_resends(seed, Flaw::None), "seed {seed}");
     }
 }
 
 #[test]
-fn each_planted_fault_is_caught() {
+fn each_injected_fault_is_detected() {
     let missed = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for flaw in Flaw::RESENDS {
             let missed = &missed;
             scope.spawn(move || {
-                let caught =
-                    (0..CAUGHT).find_map(|seed| resends(seed, flaw).err().map(|what| (seed + 1, what)));
-                eprintln!("{flaw:?}: {caught:?}");
-                if caught.is_none() {
+                let detected = (0..DETECTION_LIMIT)
+                    .find_map(|seed| run_resends(seed, flaw).err().map(|what| (seed + 1, what)));
+                eprintln!("{flaw:?}: {detected:?}");
+                if detected.is_none() {
                     missed.lock().unwrap().push(flaw);
                 }
             });
         }
     });
     let missed = missed.into_inner().unwrap();
-    assert!(missed.is_empty(), "not caught: {missed:?}");
+    assert!(missed.is_empty(), "not detected: {missed:?}");
 }
 
-/// As many more as wanted: `FROM=1000 TO=20000 cargo test --release -p lupinledge-simulation --test resends -- --ignored`.
+/// Runs the seeds of a range: `FROM=1000 TO=20000 cargo test --release -p lupinledge-simulation --test resends -- --ignored`.
 #[test]
-#[ignore = "takes as long as it is told to"]
-fn many_more() {
-    let bound = |name: &str, or| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(or);
-    let (from, to): (u64, u64) = (bound("FROM", 4 * EACH), bound("TO", 8 * EACH));
-    let bad: Vec<String> = (from..to).filter_map(|seed| resends(seed, Flaw::None).err()).collect();
-    bad.iter().for_each(|what| println!("{what}"));
-    assert!(bad.is_empty(), "{} of {} seeds", bad.len(), to - from);
+#[ignore = "the duration depends on the number of seeds"]
+fn seeds_of_a_range() {
+    let bound =
+        |name: &str, default| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default);
+    let (from, to): (u64, u64) = (bound("FROM", 4 * RUNS_PER_TEST), bound("TO", 8 * RUNS_PER_TEST));
+    let failures: Vec<String> = (from..to).filter_map(|seed| run_resends(seed, Flaw::None).err()).collect();
+    failures.iter().for_each(|what| println!("{what}"));
+    assert!(failures.is_empty(), "{} of {} seeds failed", failures.len(), to - from);
 }
