--- a/simulation/tests/partitions.rs
+++ b/simulation/tests/partitions.rs
@@ -30,7 +30,7 @@
     ($($name:ident $nth:expr),*) => { $(#[test] fn $name() { run_quarter($nth); })* };
 }
 
-quarters!(first 0, second 1, third 2, fourth 3);
+quarters!(first_quarter 0, second_quarter 1, third_quarter 2, fourth_quarter 3);
 
 #[test]
 fn each_injected_fault_is_detected() {
--- a/simulation/tests/schedules.rs
+++ b/simulation/tests/schedules.rs
@@ -35,7 +35,10 @@
     ($($name:ident $nth:expr),*) => { $(#[test] fn $name() { run_eighth($nth); })* };
 }
 
-eighths!(first 0, second 1, third 2, fourth 3, fifth 4, sixth 5, seventh 6, eighth 7);
+eighths!(
+    first_eighth 0, second_eighth 1, third_eighth 2, fourth_eighth 3,
+    fifth_eighth 4, sixth_eighth 5, seventh_eighth 6, last_eighth 7
+);
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
