--- a/config/src/error.rs
+++ b/config/src/error.rs
@@ -15,8 +15,8 @@
     UnknownZone,
     /// The body is larger than [`crate::check::MAX_CONFIG_BYTES`].
     TooLarge,
-    /// This process does not hold the duty; the caller has to ask another one.
-    NotHolder,
+    /// This process is not the leader; the caller has to ask another process.
+    NotLeader,
     /// Whether the order is in force could not be settled in time.
     Unsettled,
     /// Nothing is served under that path.
@@ -34,7 +34,7 @@
     (ErrorKind::Stale, 412, "stale"),
     (ErrorKind::UnknownZone, 404, "unknown_zone"),
     (ErrorKind::TooLarge, 413, "too_large"),
-    (ErrorKind::NotHolder, 503, "not_holder"),
+    (ErrorKind::NotLeader, 503, "not_holder"),
     (ErrorKind::Unsettled, 503, "unsettled"),
     (ErrorKind::NoSuchPath, 404, "no_such_path"),
     (ErrorKind::NoSuchMethod, 405, "no_such_method"),
--- a/config/tests/invalid.rs
+++ b/config/tests/invalid.rs
@@ -156,5 +156,5 @@
     assert_eq!(statuses, [400, 400, 412, 404, 413, 503, 503, 404, 405, 503]);
     let indexes: Vec<usize> = ErrorKind::all().map(|k| k as usize).collect();
     assert_eq!(indexes, (0..10).collect::<Vec<_>>());
-    assert_eq!((ErrorKind::NotHolder.name(), ErrorKind::Overloaded.status()), ("not_holder", 503));
+    assert_eq!((ErrorKind::NotLeader.name(), ErrorKind::Overloaded.status()), ("not_holder", 503));
 }
