--- a/control-plane/src/nodes.rs
+++ b/control-plane/src/nodes.rs
@@ -44,7 +44,7 @@
         "print": format!("{fingerprint:08x}"), "rules": rules,
     });
     if let Some(report) = &member.card.drift {
-        let detectors = [Detector::Own, Detector::Peers, Detector::Control].map(Detector::name);
+        let detectors = [Detector::Own, Detector::Peers, Detector::Core].map(Detector::name);
         let named = |part_index: u8| Part::ALL.get(usize::from(part_index)).map_or("whole", |p| p.name());
         let differing = Part::ALL.iter().filter(|p| {
             report.index == own.state.1 && report.fingerprints[**p as usize] != expected.part(**p)
--- a/drift-detection/src/monitor.rs
+++ b/drift-detection/src/monitor.rs
@@ -8,7 +8,7 @@
 /// Timing of the decisions, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// How long a node may be behind.
+    /// How long a node may have an older document than the core.
     pub max_lag: f64,
     /// How long a difference from the core must last before the node acts on it.
     pub core_delay: f64,
@@ -22,7 +22,7 @@
     pub clean_period: f64,
     /// How long a returning node accepts only the clients that already have its address, before the directory lists it
     /// again.
-    pub easing_period: f64,
+    pub unlisted_period: f64,
     /// After this time without a difference, earlier withdrawals are no longer counted.
     pub forget_after: f64,
     /// If no other node accepts clients, a withdrawn node returns after this time in any case.
@@ -33,7 +33,7 @@
     /// `apply` is the time within which a change must be in force everywhere after its acknowledgement.
     pub fn new(apply: f64) -> Settings {
         let (core_delay, peers_delay, initial_hold, max_hold) = (0.3, 1.0, 1.0, 60.0);
-        let (clean_period, easing_period, forget_after, alone_timeout) = (1.0, 1.0, 300.0, 3.0);
+        let (clean_period, unlisted_period, forget_after, alone_timeout) = (1.0, 1.0, 300.0, 3.0);
         Settings {
             max_lag: apply + 0.5,
             core_delay,
@@ -41,7 +41,7 @@
             initial_hold,
             max_hold,
             clean_period,
-            easing_period,
+            unlisted_period,
             forget_after,
             alone_timeout,
         }
@@ -170,13 +170,13 @@
         // the detector of a problem, and whether the problem has lasted long enough to act on it
         let problem = match others.verdict {
             Verdict::Differs(Detector::Own) => Some((Detector::Own, true)),
-            Verdict::Differs(Detector::Control) => {
-                Some((Detector::Control, self.differs >= self.settings.core_delay))
+            Verdict::Differs(Detector::Core) => {
+                Some((Detector::Core, self.differs >= self.settings.core_delay))
             }
             Verdict::Differs(Detector::Peers) => {
                 Some((Detector::Peers, self.differs >= self.settings.peers_delay))
             }
-            Verdict::Behind => Some((Detector::Control, self.behind >= self.settings.max_lag)),
+            Verdict::Behind => Some((Detector::Core, self.behind >= self.settings.max_lag)),
             Verdict::Matching | Verdict::Unknown => None,
         };
         if let Some((detector, true)) = problem {
@@ -251,7 +251,7 @@
             && now - *since >= self.settings.alone_timeout;
         if clean_long_enough && (now >= *until || alone) || needed {
             self.state =
-                State::Returning { until: now + if alone { 0.0 } else { self.settings.easing_period } };
+                State::Returning { until: now + if alone { 0.0 } else { self.settings.unlisted_period } };
             (self.status, self.differs, self.behind) = (Status::Returning, 0.0, 0.0);
             return vec![Action::AcceptClients];
         }
--- a/drift-detection/src/verdict.rs
+++ b/drift-detection/src/verdict.rs
@@ -25,7 +25,7 @@
     /// Other edge nodes that agree with each other.
     Peers,
     /// The core, which has the acknowledged document.
-    Control,
+    Core,
 }
 
 impl Detector {
@@ -113,14 +113,14 @@
         _ if own.faulty_part.is_some() => Verdict::Differs(Detector::Own),
         _ if behind => Verdict::Behind,
         Some(p) if p == own.print => Verdict::Matching,
-        Some(_) => Verdict::Differs(Detector::Control),
+        Some(_) => Verdict::Differs(Detector::Core),
         None if peer_agrees => Verdict::Matching,
         None if peer_prints.iter().any(|p| p.1 >= PEER_QUORUM) => Verdict::Differs(Detector::Peers),
         None => Verdict::Unknown,
     };
     let replacement = match verdict {
         Verdict::Behind => serving.iter().any(|s| s.0 >= newest),
-        Verdict::Differs(Detector::Control) => peer_prints.iter().any(|p| Some(p.0) == expected),
+        Verdict::Differs(Detector::Core) => peer_prints.iter().any(|p| Some(p.0) == expected),
         _ => ready > 0,
     };
     Comparison { verdict, ready, replacement }
