--- a/control-plane/src/control_plane.rs
+++ b/control-plane/src/control_plane.rs
@@ -348,16 +348,19 @@
             WireMessage::CounterSums { tag, incarnation, calls } => {
                 self.counters.apply_sums(self.gossip.post(), (from, incarnation), tag, &calls)
             }
-            WireMessage::CounterReport { incarnation, told, epoch, part } => {
-                self.counters.receive_handover((from, incarnation), epoch, &told, part)
+            WireMessage::CounterReport { incarnation, reports, epoch, part } => {
+                self.counters.receive_handover((from, incarnation), epoch, &reports, part)
             }
             WireMessage::Operation(message) => self.operations.handle_message(from, message),
             WireMessage::ClockRequest { sent } if self.consensus.leading_epoch().is_some() => {
-                self.gossip
-                    .post()
-                    .send_datagram(from, &WireMessage::ClockReply { sent, hive: self.clock.cluster_time() });
+                self.gossip.post().send_datagram(
+                    from,
+                    &WireMessage::ClockReply { sent, replied_at: self.clock.cluster_time() },
+                );
+            }
+            WireMessage::ClockReply { sent, replied_at } if self.is_leader(from) => {
+                self.clock.adopt(sent, replied_at)
             }
-            WireMessage::ClockReply { sent, hive } if self.is_leader(from) => self.clock.adopt(sent, hive),
             _ => {}
         }
     }
--- a/data-plane/src/counter_client.rs
+++ b/data-plane/src/counter_client.rs
@@ -99,9 +99,11 @@
         for HandoverPart { index, count, entries } in
             HandoverPart::split(self.local_sums.borrow().handover(self.now()))
         {
-            let told = entries.into_iter().map(name_report).collect();
-            self.transport
-                .send(holder, &WireMessage::CounterReport { incarnation, told, epoch, part: (index, count) });
+            let reports = entries.into_iter().map(name_report).collect();
+            self.transport.send(
+                holder,
+                &WireMessage::CounterReport { incarnation, reports, epoch, part: (index, count) },
+            );
         }
     }
 
--- a/data-plane/src/node_state.rs
+++ b/data-plane/src/node_state.rs
@@ -263,8 +263,8 @@
             }
             WireMessage::NewHolder { epoch } => self.counter_client.on_report_request(epoch, from),
             WireMessage::Operation(operation) => self.operations.handle_message(from, operation),
-            WireMessage::ClockReply { sent, hive } if self.clock_requests.borrow().contains(sent) => {
-                self.estimate.borrow_mut().sample(sent, hive, self.gossip.now());
+            WireMessage::ClockReply { sent, replied_at } if self.clock_requests.borrow().contains(sent) => {
+                self.estimate.borrow_mut().sample(sent, replied_at, self.gossip.now());
                 self.received.notify_one();
             }
             _ => {}
--- a/data-plane/tests/rules/test_core.rs
+++ b/data-plane/tests/rules/test_core.rs
@@ -1,4 +1,4 @@
-//! A test core: one process that holds the duty, publishes documents and server lists, counts, and answers
+//! A test core: one process that leads, publishes documents and server lists, counts, and answers
 //! clock requests. It votes on operation keys without a disk, and uses the system's own gossip.
 
 use lupinledge_config::{Document, Settings, Tables};
@@ -26,7 +26,7 @@
     Document(u64, Document),
     /// Publishes a server list with this number.
     Rows(u64, Vec<ListedServer>),
-    /// From now on the same process holds the duty under the epoch of this round.
+    /// From now on the test core leads under the epoch of this election round.
     Round(u32),
     /// From now on these nodes vote on operation keys.
     Voters(Vec<Node>),
@@ -151,7 +151,7 @@
     fn on_message(&self, from: Node, message: WireMessage) {
         let answer = match message {
             WireMessage::ClockRequest { sent } => {
-                WireMessage::ClockReply { sent, hive: 1000.0 + self.gossip.now() }
+                WireMessage::ClockReply { sent, replied_at: 1000.0 + self.gossip.now() }
             }
             WireMessage::CounterSums { tag, calls, .. } => {
                 let mut totals_by_name = self.totals.borrow_mut();
@@ -188,8 +188,8 @@
                     }
                 }
             }
-            WireMessage::CounterReport { told, .. } => {
-                let total_use = told.iter().filter(|t| t.name & 1 == 0).map(|t| t.sum).sum::<f64>();
+            WireMessage::CounterReport { reports, .. } => {
+                let total_use = reports.iter().filter(|t| t.name & 1 == 0).map(|t| t.sum).sum::<f64>();
                 return self.counts.reported.store(total_use.round() as u64, Ordering::SeqCst);
             }
             WireMessage::Operation(message) => {
@@ -215,11 +215,11 @@
 }
 
 impl TestCore {
-    /// Starts a core that holds the duty; its port is bound when this returns.
+    /// Starts a core that leads; its port is bound when this returns.
     pub fn start(settings: Settings) -> TestCore {
         TestCore::start_with_role(settings, true)
     }
-    /// Starts another voter, which does not hold the duty.
+    /// Starts another voter, which does not lead.
     pub fn start_voter(settings: Settings) -> TestCore {
         TestCore::start_with_role(settings, false)
     }
@@ -251,7 +251,7 @@
     pub fn publish_list(&self, number: u64, rows: Vec<ListedServer>) {
         let _ = self.commands.send(Command::Rows(number, rows));
     }
-    /// Continues to hold the duty under the epoch of this round.
+    /// Continues to lead, under the epoch of this election round.
     pub fn start_round(&self, round: u32) {
         let _ = self.commands.send(Command::Round(round));
     }
--- a/messaging/src/clock.rs
+++ b/messaging/src/clock.rs
@@ -1,4 +1,4 @@
-//! Estimates of another process's clock, in particular that of the duty holder.
+//! Estimates of another process's clock, in particular that of the leader.
 
 /// An estimate of another process's steady clock from requests and replies.
 #[derive(Clone, Debug, Default)]
@@ -56,7 +56,7 @@
         self.best().map(|(_, round_trip)| round_trip / 2.0)
     }
 
-    /// Removes all samples, since another process became the duty holder.
+    /// Removes all samples, since another process became the leader.
     pub fn clear(&mut self) {
         self.samples.clear();
     }
--- a/messaging/src/list.rs
+++ b/messaging/src/list.rs
@@ -3,10 +3,10 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The servers as the platform reported them to the duty holder.
+/// The servers as the platform reported them to the leader.
 #[derive(Clone, Debug, PartialEq, Default, Serialize, Deserialize)]
 pub struct ServerList {
-    /// The epoch of the duty holder, and its number of this list.
+    /// The epoch of the leader that read the list, and the number that the leader gave it.
     pub number: (u64, u64),
     /// One entry per server.
     pub rows: Vec<ListedServer>,
--- a/messaging/src/wire_message.rs
+++ b/messaging/src/wire_message.rs
@@ -67,7 +67,7 @@
         /// The patch to the newest list of servers, with its epoch and number.
         list: Option<(Version, WirePatch)>,
     },
-    /// To the duty holder: the sums of what the sender added to counters.
+    /// To the leader: the sums of what the sender added to counters.
     #[serde(rename = "c")]
     CounterSums {
         /// Returned with the answer.
@@ -78,21 +78,21 @@
         /// use.
         calls: Vec<(u64, i64, u16)>,
     },
-    /// From a new duty holder, which holds the counters under this epoch: asks the receiver for a
+    /// From a new leader, which holds the counters under this epoch: asks the receiver for a
     /// [`WireMessage::CounterReport`].
     #[serde(rename = "h")]
     NewHolder {
-        /// The epoch of the duty.
+        /// The epoch of the new leader.
         epoch: u64,
     },
-    /// To a new duty holder, before the first sums: what the sender had reported to earlier holders.
+    /// To a new leader, before the first sums: what the sender had reported to earlier leaders.
     #[serde(rename = "o")]
     CounterReport {
         /// As in [`WireMessage::CounterSums`].
         incarnation: u32,
         /// The reports, one per counter name.
-        told: Vec<NameReport>,
-        /// The epoch under which the new holder holds the counters. It ignores a report for another epoch.
+        reports: Vec<NameReport>,
+        /// The epoch under which the new leader holds the counters. It ignores a report for another epoch.
         epoch: u64,
         /// The index of this part of the report, and the number of parts.
         part: (u8, u8),
@@ -105,7 +105,7 @@
         /// The upper half of the epoch under which the counters are held; the lower half is the id of the
         /// answering process.
         round: u32,
-        /// One total per call; empty if the sender is not the duty holder.
+        /// One total per call; empty if the sender is not the leader.
         totals: Vec<NameTotal>,
     },
     /// Asks for the time of the receiver's steady clock.
@@ -119,8 +119,8 @@
     ClockReply {
         /// Copied from the request.
         sent: f64,
-        /// The steady clock of the answering process.
-        hive: f64,
+        /// The steady clock of the answering process at the time of the reply.
+        replied_at: f64,
     },
     /// A message about operations that run once per key.
     #[serde(rename = "u")]
--- a/messaging/tests/encoding.rs
+++ b/messaging/tests/encoding.rs
@@ -100,13 +100,13 @@
         WireMessage::NewHolder { epoch: 4 },
         WireMessage::CounterReport {
             incarnation: 9,
-            told: vec![name_report(None), name_report(Some((2.0, 0.5)))],
+            reports: vec![name_report(None), name_report(Some((2.0, 0.5)))],
             epoch: 4,
             part: (0, 1),
         },
         WireMessage::Totals { tag: 1, round: 3, totals: vec![] },
         WireMessage::Totals { tag: 1, round: 3, totals: vec![NameTotal(5, None), NameTotal(5, Some(-3))] },
-        WireMessage::ClockReply { sent: 1.0, hive: 2.0 },
+        WireMessage::ClockReply { sent: 1.0, replied_at: 2.0 },
     ];
     for message in messages {
         let original = encoded(&message);
