--- a/membership/src/digest.rs
+++ b/membership/src/digest.rs
@@ -7,9 +7,9 @@
 /// other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Digest {
-    /// The newest epoch of the duty, that is, the election of the duty holder.
+    /// The newest leader epoch, that is, the election of the leader.
     pub epoch: u64,
-    /// The duty holder of that epoch; 0 means none.
+    /// The leader of that epoch; 0 means none.
     pub holder: Node,
     /// Epoch and index of the newest committed document.
     pub state: (u64, u64),
--- a/membership/src/disseminator.rs
+++ b/membership/src/disseminator.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// Another process. An edge node sends the update on to others of its region; a core member does not,
-    /// since that is done by the duty holder.
+    /// since that is done by the leader.
     Peer(Node),
     /// This process, which made it: it is sent to all regions.
     Origin,
@@ -123,7 +123,7 @@
         self.membership.set_digest(self.store.digest());
     }
 
-    /// Removes the document and asks for it again: the duty holder, other core members and some edge nodes of
+    /// Removes the document and asks for it again: the leader, other core members and some edge nodes of
     /// the own region.
     pub fn refetch_state(&mut self) -> Outgoing {
         self.store.forget_state();
@@ -244,7 +244,7 @@
                 .membership
                 .member(to)
                 .map(|m| m.digest)
-                .filter(|digest| lacks_all(digest, update, with_state));
+                .filter(|digest| lacks_some_kind(digest, update, with_state));
             out.extend(
                 self.encode(update, with_state, empty_digest.as_ref())
                     .into_iter()
@@ -301,7 +301,7 @@
 }
 
 /// Returns whether a process with that digest holds no version of something that is to be sent.
-fn lacks_all(digest: &Digest, update: &Update, with_state: bool) -> bool {
+fn lacks_some_kind(digest: &Digest, update: &Update, with_state: bool) -> bool {
     with_state && update.state.is_some() && digest.state == (0, 0)
         || update.list.is_some() && digest.list == (0, 0)
 }
--- a/membership/src/receive.rs
+++ b/membership/src/receive.rs
@@ -53,7 +53,7 @@
             Body::Ack { sequence, target } => self.receive_ack(now, from, sequence, target, &mut out),
             Body::PingReq { sequence, target } => self.ping_for(now, from, sequence, target, &mut out),
             Body::MembersRequest { sequence, include_known, known } => {
-                if self.schedule.may_reply(now) {
+                if self.schedule.take_reply_allowance(now) {
                     out.extend(self.members_reply(now, from, sequence, include_known, &known));
                 }
             }
--- a/membership/src/schedule.rs
+++ b/membership/src/schedule.rs
@@ -154,8 +154,8 @@
         self.next_retry = self.next_retry.min(now + FAST_RETRY_INTERVAL);
     }
 
-    /// Returns whether a request for members may be answered now.
-    pub fn may_reply(&mut self, now: f64) -> bool {
+    /// Takes one reply to a request for members from the allowance; false if it is used up.
+    pub fn take_reply_allowance(&mut self, now: f64) -> bool {
         // Allows a burst of about 50, then 25 per second.
         let allowed = self.next_reply_after <= now + 2.0;
         if allowed {
--- a/membership/src/update_store.rs
+++ b/membership/src/update_store.rs
@@ -12,7 +12,7 @@
 /// Updates by kind; `None` means that there is no update of that kind.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
-    /// The duty's epoch and its holder.
+    /// The leader epoch and the leader.
     pub epoch: Option<(u64, Node)>,
     /// The committed document's version and its bytes.
     pub state: Option<(Version, Rc<[u8]>)>,
@@ -58,7 +58,7 @@
         UpdateStore { takes_state, ..UpdateStore::default() }
     }
 
-    /// Returns the newest epoch of the duty and its holder.
+    /// Returns the newest known leader epoch and the leader.
     pub fn epoch(&self) -> (u64, Node) {
         self.newest.epoch.unwrap_or_default()
     }
@@ -97,7 +97,7 @@
     }
 
     /// Updates the epoch and the document's version from a digest and returns what the host has to handle: a
-    /// newer epoch of the duty. The digest may carry a later version with the same index, since a new holder
+    /// newer leader epoch. The digest may carry a later version with the same index, since a new leader
     /// commits the document that it found again under its own epoch.
     pub fn take_digest(&mut self, digest: &Digest) -> Update {
         if let Some((version, _)) =
--- a/membership/tests/dissemination.rs
+++ b/membership/tests/dissemination.rs
@@ -88,12 +88,12 @@
     net.run(105.0);
     [4, 5, 6].iter().for_each(|i| net.kill(*i));
     net.run(111.0);
-    let max_edges = |net: &Net, i: usize, span| {
+    let max_edge_nodes = |net: &Net, i: usize, span| {
         net.procs[i].membership.as_ref().map(|m| m.max_edge_count(net.now + i as f64, span))
     };
-    assert_eq!(max_edges(&net, 0, 1.0), Some(6));
-    assert_eq!(max_edges(&net, 7, 1.0), Some(6));
-    assert_eq!(max_edges(&net, 7, 9.0), Some(9));
+    assert_eq!(max_edge_nodes(&net, 0, 1.0), Some(6));
+    assert_eq!(max_edge_nodes(&net, 7, 1.0), Some(6));
+    assert_eq!(max_edge_nodes(&net, 7, 9.0), Some(9));
 }
 
 #[test]
--- a/membership/tests/net/mod.rs
+++ b/membership/tests/net/mod.rs
@@ -261,8 +261,9 @@
         self.procs[a].membership.as_ref()?.member(node(b)).map(|m| m.standing)
     }
 
-    /// Compares the views of all processes with the model. A process that is running must be seen as alive
-    /// `alive` seconds, and one that is not as gone `gone` seconds, after the last change of either process.
+    /// Compares the views of all processes with the model. A process that runs in the same partition must be
+    /// seen as alive at the latest `alive` seconds, and any other as gone at the latest `gone` seconds, after
+    /// the last change of either process.
     /// With `strict`, a running process must not even be suspected.
     pub fn check(&self, alive: f64, gone: f64, strict: bool) -> Result<(), String> {
         for a in (0..self.procs.len()).filter(|a| self.up(*a)) {
