--- a/config/src/config.rs
+++ b/config/src/config.rs
@@ -201,7 +201,7 @@
     /// Seconds after which a request is given up.
     #[garde(custom(positive))]
     pub timeout_s: f64,
-    /// The most servers that one attempt of the client may be sent to.
+    /// The most times that one request of the client may be sent to a server.
     #[serde(default = "default_one")]
     #[garde(custom(not_negative))]
     pub max_attempts: f64,
--- a/config/src/tables.rs
+++ b/config/src/tables.rs
@@ -313,7 +313,7 @@
 
 fn route(host: &str, rule: config::Rule, by_name: &HashMap<String, usize>) -> Route {
     let action = rule.action;
-    let parts: Vec<(String, f64)> = match action.split.is_empty() {
+    let weighted_services: Vec<(String, f64)> = match action.split.is_empty() {
         true => action.service.into_iter().map(|s| (s, 1.0)).collect(),
         false => action.split.into_iter().map(|s| (s.service, s.weight)).collect(),
     };
@@ -321,7 +321,7 @@
         name: rule.name,
         key: format!("{host}{}", rule.r#match.path_prefix),
         host_len: host.len(),
-        services: parts.iter().filter_map(|(s, w)| by_name.get(s).map(|&i| (i, *w))).collect(),
+        services: weighted_services.iter().filter_map(|(s, w)| by_name.get(s).map(|&i| (i, *w))).collect(),
         kind: rule.route_kind,
         timeout: action.timeout_s,
         target: rule.target_s.filter(|t| *t > 0.0).unwrap_or(action.timeout_s),
--- a/config/tests/compatibility.rs
+++ b/config/tests/compatibility.rs
@@ -22,7 +22,7 @@
     assert_eq!(parse_kind("non_idempotent"), Ok(RouteKind::NonIdempotent));
 }
 
-/// If it was read as another kind, a request would be executed each time its operation key is sent.
+/// If `keyed` was read as another kind, a request would be executed each time its operation key is sent.
 #[test]
 fn a_keyed_route_has_its_own_kind() {
     let kind = parse_kind("keyed").expect("a documented kind");
--- a/consensus/src/leave.rs
+++ b/consensus/src/leave.rs
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Handles any other message of a leaving node: long enough after its announcement it means that the node is back.
+    /// Forgets the announcement of a node that is back: it sends `Join` or `Learn`, or any message but `Leave` more than
+    /// `RETURN_DELAY` after its announcement.
     pub(crate) fn clear_departure(&mut self, from: Node, msg: &Msg) {
         let returned =
             |at: &f64| matches!(msg, Msg::Join | Msg::Learn { .. }) || self.now - at > RETURN_DELAY;
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -120,12 +120,12 @@
     },
     /// The sender has the value of this ballot on disk.
     Accepted { ballot: Ballot, incarnation: u64, incarnations: Vec<(Node, u64)> },
-    /// The epoch of a request is below the promised one, or, if `promised` is below it, is not promised now.
+    /// Refuses a request: its epoch is below `promised`, or it is higher and the sender can't promise it now.
     Refused {
         epoch: u64,
         promised: u64,
-        /// Newest ballot that the sender knows to be committed. From it a removed node that doesn't know of its
-        /// removal learns of it.
+        /// Newest ballot that the sender knows to be committed. By this ballot a removed node notices that it was
+        /// removed.
         commit: Ballot,
     },
     /// The leader is alive; `commit` is the newest committed ballot (zero if there is none yet).
--- a/consensus/tests/faults/losses.rs
+++ b/consensus/tests/faults/losses.rs
@@ -53,7 +53,8 @@
     /// The time until which all machines count as lost after a power loss.
     power_loss_until: f64,
     new_machines: u32,
-    /// Time of the last event or of the last acknowledgement, whichever is later.
+    /// The time from which the next acknowledgement is due: the last event, the last acknowledgement, or the last
+    /// moment with more losses than tolerated.
     last_progress: f64,
     acknowledgements: u64,
     /// The first violation found, if any.
@@ -183,8 +184,9 @@
                 let recovering = self.lost.values_mut().filter(|until| **until > now);
                 recovering.for_each(|until| *until = until.max(now + downtime + self.catch_up));
                 for node in self.nodes.clone() {
-                    let ends = |due: &(f64, Pending)| matches!(due.1, Pending::Stop(n, false) if n == node);
-                    if let Some(nth) = self.pending.iter().position(ends) {
+                    let is_final_stop =
+                        |due: &(f64, Pending)| matches!(due.1, Pending::Stop(n, false) if n == node);
+                    if let Some(nth) = self.pending.iter().position(is_final_stop) {
                         // It was not removed yet, so it is one more loss.
                         self.pending.swap_remove(nth);
                         self.remove_machine(node);
--- a/control-plane/tests/isolated_member.rs
+++ b/control-plane/tests/isolated_member.rs
@@ -80,7 +80,7 @@
     others.iter().for_each(|i| core.signal_and_wait(*i, "-STOP", true));
     let bodies = [&b""[..], &config_8, b"", b""];
     // a 412, or a 200 for a repeated change, would also be an answer for the core
-    let ask = |path: &str, method: &str, body: &[u8]| {
+    let is_redirected = |path: &str, method: &str, body: &[u8]| {
         let answer = core.send(isolated, method, path, body);
         match answer.status() {
             503 => {
@@ -100,8 +100,12 @@
         }
     };
     let round = || {
-        let orders = ORDERS.iter().zip(bodies).map(|((method, path), body)| ask(path, method, body));
-        let again = [ask(CONFIG_PATH, "PUT", &config_7), ask(CONFIG_PATH, "PUT", &config::numbered(9, 0))];
+        let orders =
+            ORDERS.iter().zip(bodies).map(|((method, path), body)| is_redirected(path, method, body));
+        let again = [
+            is_redirected(CONFIG_PATH, "PUT", &config_7),
+            is_redirected(CONFIG_PATH, "PUT", &config::numbered(9, 0)),
+        ];
         orders.chain(again).filter(|redirected| *redirected).count()
     };
     wait_for("the member to detect its isolation", || {
--- a/control-plane/tests/leader_replacement.rs
+++ b/control-plane/tests/leader_replacement.rs
@@ -34,7 +34,7 @@
     let (code, body, next) = settled_answer(&core, &rest, "GET", b"");
     assert_eq!((code, body), (200, config::numbered(7, 0)));
     assert!(rest.contains(&next));
-    // two of three members are a majority; they would not be one of four, if the leader that left were still a member
+    // two of three members are a majority; two of four would be none, if the leader that left were still a member
     core.kill(next);
     let remaining: Vec<usize> = rest.into_iter().filter(|i| *i != next).collect();
     assert_eq!(settled_answer(&core, &remaining, "PUT", &config::numbered(8, 7)).0, 200);
--- a/control-plane/tests/refused_orders.rs
+++ b/control-plane/tests/refused_orders.rs
@@ -35,7 +35,7 @@
     metrics.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.trim().parse().ok())
 }
 
-/// FAULT: a route kind that only one side supported left a whole fleet without a configuration.
+/// A fault of an earlier version: a route kind that only one side supported left a whole fleet without a configuration.
 #[test]
 fn a_first_configuration_with_a_keyed_route_is_acknowledged() {
     let core = Cluster::start_founders(None);
--- a/counters/src/silence.rs
+++ b/counters/src/silence.rs
@@ -203,19 +203,21 @@
     fn presume(&mut self, now: f64, newly_silent: &[(Node, f64)]) {
         let usage_at_last_message =
             |&(node, since): &(Node, f64)| Some((node, since, self.usage.get(&node)?.decayed(since)));
-        let users: Vec<(Node, f64, f64)> = newly_silent.iter().filter_map(usage_at_last_message).collect();
-        if users.is_empty() {
+        let newly_silent_usage: Vec<(Node, f64, f64)> =
+            newly_silent.iter().filter_map(usage_at_last_message).collect();
+        if newly_silent_usage.is_empty() {
             return;
         }
-        let is_silent =
-            |n: &Node| users.iter().any(|u| u.0 == *n) || self.silent.iter().any(|s| s.node == *n);
+        let is_silent = |n: &Node| {
+            newly_silent_usage.iter().any(|u| u.0 == *n) || self.silent.iter().any(|s| s.node == *n)
+        };
         let active: f64 = self.usage.iter().filter(|(n, _)| !is_silent(n)).map(|(_, u)| u.decayed(now)).sum();
-        let all = active + users.iter().map(|u| u.2).sum::<f64>();
+        let all = active + newly_silent_usage.iter().map(|u| u.2).sum::<f64>();
         let unassigned = (1.0 - self.silent.iter().map(|s| s.share).sum::<f64>()).max(0.0);
         if all < MIN_USAGE || !all.is_finite() {
             return;
         }
-        let shares = users.into_iter().map(|(node, since, used)| SilentShare {
+        let shares = newly_silent_usage.into_iter().map(|(node, since, used)| SilentShare {
             node,
             share: unassigned * used / all,
             since,
--- a/counters/src/store.rs
+++ b/counters/src/store.rs
@@ -1,5 +1,5 @@
-//! The stores of customers' quotas (token buckets), as the holder of the counters keeps them: each fills at its rate up
-//! to its size, and every increase of a usage name of the customer is taken out. The holder answers gateways with the
+//! The token buckets of customers' quotas, called stores, as the holder of the counters keeps them: each fills at its
+//! rate up to its size, and every increase of a usage name of the customer is taken out. The holder answers gateways with the
 //! level that is left, so that no gateway has to compute it from totals read at different times.
 
 use crate::silence::SILENCE_TIMEOUT;
--- a/counters/tests/model.rs
+++ b/counters/tests/model.rs
@@ -214,9 +214,9 @@
     assert!((next - 70.0 * 0.4).abs() < 2.0, "{next}");
     // nothing is presumed for requests in flight or for other customers
     assert_eq!(c.add(30.4, 1, NAME + 1, 3.0, 2.0) + c.add(30.4, 1, 5 << 24, 4.0, 2.0), 7.0);
-    let all = c.add(30.4, 1, NAME, 0.0, 60.0);
-    let back = c.add(30.5, 4, NAME, 420.0, 60.0);
-    assert!(back < all + 100.0, "its report replaces the presumption");
+    let total_with_presumption = c.add(30.4, 1, NAME, 0.0, 60.0);
+    let total_after_report = c.add(30.5, 4, NAME, 420.0, 60.0);
+    assert!(total_after_report < total_with_presumption + 100.0, "its report replaces the presumption");
     c.remove_gateway(3);
     assert_eq!(c.presumed(NAME), 0.0);
 }
--- a/data-plane/src/operations/stored_answer/tests.rs
+++ b/data-plane/src/operations/stored_answer/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// MIXED: a repeated request gets status, headers and body of the first answer under its own attempt id.
+/// A repeated request gets status, headers and body of the first answer under its own attempt id.
 #[test]
 fn a_stored_answer_is_returned_under_another_id() {
     let mut headers = HeaderMap::new();
--- a/data-plane/src/terms/tests.rs
+++ b/data-plane/src/terms/tests.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// TWICE: a request of a keyed route that may have run is not sent again.
+/// A request of a keyed route that may have run is not sent again.
 #[test]
 fn keyed_requests_are_not_replayed() {
     let route = |kind| Route {
@@ -104,8 +104,8 @@
         let timeout = Span::millis(DEADLINE_MS as i64);
         let frontend = Frontend { target, timeout, late_value: 0.3, ..UNUSED_FRONTEND };
         let frontends_and_plans = (vec![(frontend, vec![0])], vec![UNLIMITED_PLAN]);
-        let world = NodeContext::new(&settings, 1);
-        let control = Control::new(terms(&settings, &world, (0, &service), GATEWAYS, &frontends_and_plans));
+        let context = NodeContext::new(&settings, 1);
+        let control = Control::new(terms(&settings, &context, (0, &service), GATEWAYS, &frontends_and_plans));
         Pool { control, due: BTreeMap::new() }
     }
 
--- a/data-plane/tests/rules/main.rs
+++ b/data-plane/tests/rules/main.rs
@@ -1,5 +1,22 @@
 //! Tests of the rules as clients and servers see them. The real program runs on loopback between a test core
 //! and test servers. `docs/rules.md` says which mechanism each test guards.
+//!
+//! The label at the head of a test names the promise that the test checks:
+//! - TWICE: a request that may have run is not run again unless it may be repeated.
+//! - MIXED: a client gets the whole answer to its own request, and no part of another one.
+//! - REFUSED: a request that no server has run is reported as such, and may be sent to another server.
+//! - LOST: no connection ends without an answer to a request that it carried.
+//! - UNASKED: servers get only what a client sent.
+//! - DENIED: a request that the configuration does not allow is refused.
+//! - ROUTE: a request goes to a server of the service that the configuration names for it.
+//! - HOME: a request stays within the home regions of its route and tenant.
+//! - QUOTA: a tenant's requests stay within its quota.
+//! - BUDGET: retries stay within their ratio to requests.
+//! - DRAIN: a draining server gets no new requests.
+//! - EVAC: an evacuated zone gets no new requests.
+//! - FAILBACK: a restored zone and a cold server get load gradually.
+//! - CONFIG: the newest configuration is in force.
+//! - FAULT: the test repeats a fault of an earlier version.
 
 mod answer_integrity;
 mod cluster;
--- a/data-plane/tests/rules/operation_keys.rs
+++ b/data-plane/tests/rules/operation_keys.rs
@@ -273,7 +273,7 @@
 }
 
 /// TWICE, MIXED: several gateways claim a key at once while there are just enough voters, and each voter has
-/// granted it to a different gateway. The claims give way to each other, one gateway runs the request, and
+/// granted it to a different gateway. All claims but one are withdrawn, one gateway runs the request, and
 /// all give the same answer.
 #[test_case(2, 3, 2; "two gateways and two of three voters")]
 #[test_case(4, 5, 3; "three gateways and four of five voters")]
--- a/operations/src/claims.rs
+++ b/operations/src/claims.rs
@@ -314,7 +314,7 @@
     }
 }
 
-/// Number of voters that are a majority.
+/// The size of a majority of the larger of the two memberships: the number of voters to ask first.
 fn majority_size(electorate: &Electorate) -> usize {
     electorate.members.len().max(electorate.outgoing.len()) / 2 + 1
 }
--- a/operations/src/message.rs
+++ b/operations/src/message.rs
@@ -91,7 +91,7 @@
 /// The progress of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// The responder has no record of it.
+    /// The responder has no record of it, or no longer has its answer.
     #[serde(rename = "n")]
     Unknown,
     /// Its gateway withdrew the claim: the operation has not run under it.
--- a/operations/src/operation_table.rs
+++ b/operations/src/operation_table.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// The progress to report to another gateway that asks about this claim, which is one of this start of the
-    /// gateway.
+    /// The progress to report to a gateway that asks about this claim. The claim must have been made by this
+    /// process since its last start.
     pub fn progress(&mut self, now: f64, key: Key, claim: ClaimId) -> Progress {
         match self.find(now, key).filter(|operation| operation.claim == claim).map(|o| &o.state) {
             None => Progress::Withdrawn,
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -83,7 +83,7 @@
         let unverified = exact && !asks;
         self.dirty.extend(Some(c).filter(|_| unverified)); // for a trial call, even if it is refused
         let refused = past || queue_full || !admitted || no_units || cap > 0.0 && no_lease;
-        if refused || !self.ceiling(c, n.units) || unverified && !self.fits_share(c, n.units, 0.0) {
+        if refused || !self.take_from_ceiling(c, n.units) || unverified && !self.fits_share(c, n.units, 0.0) {
             return self.refuse(slot);
         }
         let units = if unverified { 0.0 } else { units / if ask_quota { 1.0 } else { self.share(c) } };
@@ -103,13 +103,14 @@
         }
     }
 
-    /// The hard ceiling: this gateway's slice, empty at start, as a killed predecessor may have used it up.
-    fn ceiling(&mut self, c: usize, units: f64) -> bool {
+    /// Takes units from this gateway's slice of the hard ceiling; returns whether they fit, true without a ceiling.
+    /// The slice is empty at start, as a killed predecessor may have used it up.
+    fn take_from_ceiling(&mut self, c: usize, units: f64) -> bool {
         let p = &self.terms.plans[self.customers[c].plan];
         p.ceiling_rate <= 0.0 || self.customers[c].take_ceiling(self.now, p, units)
     }
 
-    /// What is left of a customer's quota as seen here: last total, refill since, requests sent from here.
+    /// What is left of a customer's quota as this gateway sees it: last total, refill since, requests sent from here.
     pub(crate) fn available(&mut self, c: usize) -> f64 {
         let p = &self.terms.plans[self.customers[c].plan];
         self.customers[c].available(self.now, p.rate, p.burst)
@@ -123,13 +124,14 @@
         alone * ((cust.own_use + prior / cust.spread) / (cust.all_use + prior)).clamp(0.5 / cust.spread, 1.0)
     }
 
-    /// Whether units (`off` of them already taken) fit the own share unanswered. If overruns cost more than
-    /// requests earn and the quota is unread or below half, it is a probability: all gateways would round up.
+    /// Takes units (of which `off` were taken before) from this gateway's share of the quota without an answer of the
+    /// counter; returns whether they fit. If an overrun costs more than a request earns, and the quota was not read
+    /// yet or is below half, they fit with the probability room / needed: otherwise every gateway would round up.
     pub(crate) fn fits_share(&mut self, c: usize, units: f64, off: f64) -> bool {
         let (room, whole, cust) = (self.available(c) + off, units / self.share(c), &self.customers[c]);
         let p = &self.terms.plans[cust.plan];
-        let near = cust.quota.seen.is_none() || cust.level < 0.5 * p.burst;
-        let strict = p.overrun_cost > 1.0 && near;
+        let quota_low_or_unread = cust.quota.seen.is_none() || cust.level < 0.5 * p.burst;
+        let strict = p.overrun_cost > 1.0 && quota_low_or_unread;
         let chance = if strict { room / whole } else { (room >= units) as u8 as f64 };
         let fits = chance >= 1.0 || chance > 0.0 && self.rng.f64() < chance;
         // takes off what the other gateways use meanwhile as well
@@ -138,7 +140,8 @@
         fits
     }
 
-    /// Without an answer: fits beside others' recent leases. One per gateway would exceed the cap many times.
+    /// Whether a lease fits beside the recent leases of the other gateways, for a request whose counter call is not
+    /// answered. If each gateway always admitted one request, the cap would be exceeded many times.
     pub(crate) fn lease_fits(&self, c: usize, held: f64) -> bool {
         held + self.customers[c].lease.others <= self.terms.plans[self.customers[c].plan].at_once as f64 + 0.5
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -94,7 +94,7 @@
     /// A server that was just started has this share of its capacity, and all of it after `warm_after`.
     pub cold_from: f64,
     pub warm_after: Span,
-    /// Sends to a cold server have to stay below this multiple of its capacity over `fall_window`.
+    /// A cold server fails if it is sent this multiple of its capacity or more over `fall_window`.
     pub fall_multiple: f64,
     pub fall_window: Span,
     /// Whether clients mark their retries.
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -69,7 +69,8 @@
         self.limit = if before == 0.0 { self.initial_limit() } else { self.limit * ready / before };
     }
 
-    /// DESIGN: fixed per ready server, over all gateways. Two and four: no better than three beyond noise.
+    /// The pool limit at the start: `start_limit` per ready server, divided among the gateways. Limits of two and four
+    /// per server were no better than three beyond noise.
     fn initial_limit(&self) -> f64 {
         self.terms.start_limit / self.terms.gateways.max(1) as f64 * self.servers.open().count().max(1) as f64
     }
@@ -83,10 +84,10 @@
 
     /// Sequential probability ratio test: a server that fails is distrusted and its requests are reviewed.
     pub(crate) fn add_evidence(&mut self, i: usize, weight: f64) {
-        const CONVICTED: f64 = 6.9; // log odds of 1000 to 1; lower odds are no better with many gateways
+        const DISTRUST_THRESHOLD: f64 = 6.9; // log odds of 1000 to 1; lower odds are no better with many gateways
         self.servers.evidence[i] = (self.servers.evidence[i] + weight).max(0.0);
-        if self.servers.evidence[i] >= CONVICTED {
-            (self.servers.evidence[i], self.servers.distrust[i]) = (CONVICTED / 2.0, 1.0);
+        if self.servers.evidence[i] >= DISTRUST_THRESHOLD {
+            (self.servers.evidence[i], self.servers.distrust[i]) = (DISTRUST_THRESHOLD / 2.0, 1.0);
             self.requests.sent_to(i).into_iter().for_each(|(slot, id)| self.wakeups.push(self.now, slot, id));
         }
     }
@@ -143,7 +144,7 @@
         let Some(first) = r.tries.iter().find(|t| t.ran) else { return true };
         let same = s.same_scope(f.group, first.server, i);
         // 0.9 of the memory: the server's may begin earlier than the send is seen here
-        let known = same && self.now - first.sent < f.memory.times(0.9);
-        f.effect == Effect::Replayable || f.effect == Effect::Deduplicated && known
+        let still_remembered = same && self.now - first.sent < f.memory.times(0.9);
+        f.effect == Effect::Replayable || f.effect == Effect::Deduplicated && still_remembered
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -628,7 +628,7 @@
     pub(crate) avg_out: f64,
     /// Requests sent, by the basis of their admission.
     pub(crate) admissions: [u64; Basis::ALL],
-    /// The most dispatches out in this second.
+    /// The most dispatches without an outcome at once since the limit was last adjusted.
     pub(crate) peak: f64,
     pub(crate) queue: WaitQueue,
     /// By frontend: time taken, smoothed.
--- a/storage/src/journal/replay.rs
+++ b/storage/src/journal/replay.rs
@@ -63,7 +63,7 @@
     contents: Option<Contents>,
 }
 
-/// Reads the files newest first, since each is checked against the header of the next one.
+/// Reads the files newest first, since each is checked against the header of the file with the next higher number.
 #[derive(Default)]
 struct Reader {
     segment_files: Vec<SegmentFile>,
@@ -127,14 +127,14 @@
     /// Builds the segment's state. The system clock can't be trusted, so the keep times of all entries start again now.
     fn segment(&self, now: f64, damaged: bool) -> Segment {
         let entries = self.contents.iter().flat_map(|contents| &contents.entries);
-        let keep = entries.clone().filter_map(|entry| entry.keep_s).fold(0.0, f64::max);
+        let longest_keep_s = entries.clone().filter_map(|entry| entry.keep_s).fold(0.0, f64::max);
         let until_head = entries.clone().any(|entry| entry.keep_s.is_none());
         let head = self.contents.iter().any(|contents| !contents.head.is_empty());
         Segment {
             number: self.number,
             bytes: self.bytes,
             end: self.contents.as_ref().map_or(0, |contents| contents.end),
-            expires: now + keep,
+            expires: now + longest_keep_s,
             needs_head: (until_head || head || damaged).then_some(0),
         }
     }
--- a/storage/src/journal/writer.rs
+++ b/storage/src/journal/writer.rs
@@ -30,9 +30,9 @@
     let mut writer = Writer { segments, queue, head: Arc::default(), failing: false };
     queue.set_bytes_on_disk(writer.segments.bytes(), false);
     let _ = send_replayed.send(replayed);
-    let mut maintenance = Instant::now();
+    let mut next_maintenance = Instant::now();
     loop {
-        match queue.next_work(maintenance) {
+        match queue.next_work(next_maintenance) {
             Work::Write(batch, head) => {
                 if !writer.write(&batch) {
                     return;
@@ -46,7 +46,7 @@
             Work::End => return,
         }
         writer.maintain();
-        maintenance = Instant::now() + MAINTENANCE;
+        next_maintenance = Instant::now() + MAINTENANCE;
     }
 }
 
--- a/storage/src/store.rs
+++ b/storage/src/store.rs
@@ -53,7 +53,7 @@
 
 impl Store {
     /// Starts a thread that reads the disk and then writes states. A disk that can't be read is retried until it can be,
-    /// since it may hold a state that counts. Fails if the thread can't be started.
+    /// since it may hold the state with which this member voted. Fails if the thread can't be started.
     pub fn open(folder: impl Folder + Clone + Send + 'static) -> eyre::Result<OpenedStore> {
         let (send_content, content) = oneshot::channel();
         let (send_result, results) = unbounded_channel();
--- a/storage/tests/journal.rs
+++ b/storage/tests/journal.rs
@@ -286,12 +286,13 @@
 
 #[test]
 fn waiting_entries_of_a_stalled_disk_are_bounded() {
-    const ENTRY: usize = 1 << 20;
+    const ENTRY_BYTES: usize = 1 << 20;
     let temp = TempFolder::new("stalled");
     let faulty = FaultyFolder::new(&temp);
     let (journal, _, mut saved) = wait_opened(Journal::open_on(faulty.clone(), BOUNDS).unwrap());
     faulty.set(|faults| faults.stalled = true);
-    let accepted = (1..100).take_while(|number| journal.append(*number, vec![0; ENTRY], HOUR, true)).count();
+    let accepted =
+        (1..100).take_while(|number| journal.append(*number, vec![0; ENTRY_BYTES], HOUR, true)).count();
     assert_eq!(accepted, 7, "8 MB with the overhead of each entry");
     let next = accepted as u64 + 1;
     assert!(!journal.append(next + 1, entry(0), HOUR, true), "no entry is accepted after a refused one");
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -14,8 +14,8 @@
 /// Conditions with a name.
 type Named = (&'static str, Conditions);
 
-/// All calls are answered.
-fn calm(load: u32) -> Conditions {
+/// Without faults: all calls are answered.
+fn without_faults(load: u32) -> Conditions {
     Conditions {
         answered: SPAN,
         unanswered: 1,
@@ -36,28 +36,29 @@
 
 fn kills_and_restarts(load: u32) -> Vec<Named> {
     vec![
-        ("calm", calm(load)),
-        ("half killed", Conditions { kills: kills(8, 1_100, GATEWAYS / 2, 800), ..calm(load) }),
-        ("all killed", Conditions { kills: kills(1, 1, GATEWAYS, 300), ..calm(load) }),
-        ("restarts", Conditions { kills: kills(120, 100, 1, 1_500), ..calm(load) }),
+        ("without faults", without_faults(load)),
+        ("half killed", Conditions { kills: kills(8, 1_100, GATEWAYS / 2, 800), ..without_faults(load) }),
+        ("all killed", Conditions { kills: kills(1, 1, GATEWAYS, 300), ..without_faults(load) }),
+        ("restarts", Conditions { kills: kills(120, 100, 1, 1_500), ..without_faults(load) }),
     ]
 }
 
 fn bursts(load: u32) -> Vec<Named> {
     vec![
-        ("bursts", Conditions { bursts: (2_500, 4_000), ..calm(load) }),
-        ("short bursts", Conditions { bursts: (600, 1_300), ..calm(load) }),
+        ("bursts", Conditions { bursts: (2_500, 4_000), ..without_faults(load) }),
+        ("short bursts", Conditions { bursts: (600, 1_300), ..without_faults(load) }),
     ]
 }
 
 fn unanswered_calls(load: u32) -> Vec<Named> {
-    let outages = || Conditions { holders: 3_000, answered: 3_000, unanswered: 1_200, ..calm(load) };
+    let outages =
+        || Conditions { holders: 3_000, answered: 3_000, unanswered: 1_200, ..without_faults(load) };
     vec![
-        ("holders", Conditions { holders: 1_500, ..calm(load) }),
-        ("pauses", Conditions { pauses: 3_000, ..calm(load) }),
+        ("holders", Conditions { holders: 1_500, ..without_faults(load) }),
+        ("pauses", Conditions { pauses: 3_000, ..without_faults(load) }),
         ("outages", outages()),
         ("outages of one holder", Conditions { holders: 0, ..outages() }),
-        ("short outages", Conditions { answered: 600, unanswered: 400, ..calm(load) }),
+        ("short outages", Conditions { answered: 600, unanswered: 400, ..without_faults(load) }),
         ("outages, kills", Conditions { kills: kills(15, 900, GATEWAYS / 3, 1_500), ..outages() }),
     ]
 }
@@ -65,15 +66,19 @@
 /// A power loss everywhere, and cores that are missing and return.
 fn no_holder(load: u32) -> Vec<Named> {
     let again = || (0..6).map(|nth| (3_000 + 2_500 * nth, 4_200 + 2_500 * nth)).collect();
-    let once = |from, until| Conditions { no_holder: vec![(from, until)], ..calm(load) };
+    let once = |from, until| Conditions { no_holder: vec![(from, until)], ..without_faults(load) };
     vec![
         ("no holder at first", once(0, 2_000)),
         ("no holder for long", once(6_000, 14_000)),
         ("no holder, all killed", Conditions { kills: kills(1, 1, GATEWAYS, 300), ..once(6_000, 8_000) }),
-        ("no holder again", Conditions { no_holder: again(), ..calm(load) }),
+        ("no holder again", Conditions { no_holder: again(), ..without_faults(load) }),
         (
             "no holder again, kills",
-            Conditions { no_holder: again(), kills: kills(12, 900, GATEWAYS / 2, 800), ..calm(load) },
+            Conditions {
+                no_holder: again(),
+                kills: kills(12, 900, GATEWAYS / 2, 800),
+                ..without_faults(load)
+            },
         ),
     ]
 }
@@ -113,7 +118,7 @@
 #[test]
 fn the_quota_is_used_without_faults() {
     for load in LOADS {
-        let sent = run(1, &calm(load));
+        let sent = run(1, &without_faults(load));
         let given = RATE * SPAN as f64 / 1e3 + BURST;
         assert!(sent.all as f64 > 0.95 * given, "{} sent of {given} and more", sent.all);
     }
@@ -123,7 +128,7 @@
 #[test]
 fn the_quota_is_used_again_after_a_time_without_a_holder() {
     for load in LOADS {
-        let away = Conditions { no_holder: vec![(0, 2_000)], ..calm(load) };
+        let away = Conditions { no_holder: vec![(0, 2_000)], ..without_faults(load) };
         let sent = run(1, &away);
         let given = RATE * (SPAN as f64 / 1e3 - 2.0);
         assert!(sent.all as f64 > 0.95 * given, "{} sent of {given}: load {load}", sent.all);
