--- a/src/counter.rs
+++ b/src/counter.rs
@@ -121,7 +121,7 @@
             _ => return,
         };
         (cust.admit, cust.adjusted_at) = ((cust.admit * factor).clamp(0.02, 1.0), Some(now));
-        self.updates.extend(Some(c).filter(|c| self.terms.peers && !self.updates.contains(c)));
+        self.updates.extend(Some(c).filter(|c| self.terms.may_message_peers && !self.updates.contains(c)));
     }
 
     pub(crate) fn send_updates(&mut self, actions: &mut Vec<Action>) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -80,7 +80,7 @@
     /// Whether the units of a request are known only with its answer.
     pub bills_after: bool,
     /// Whether gateways may send each other messages, and how many a second each takes in.
-    pub peers: bool,
+    pub may_message_peers: bool,
     pub peer_intake: f64,
     /// Whether the server list has to be requested.
     pub list_on_request: bool,
@@ -91,12 +91,12 @@
     /// Whether a denial may say when to come back, and the longest such time.
     pub may_hint: bool,
     pub longest_hint: Span,
-    /// A server that was just started has this share of its capacity, and all of it after `warm_after`.
-    pub cold_from: f64,
-    pub warm_after: Span,
-    /// A cold server fails if it is sent this multiple of its capacity or more over `fall_window`.
-    pub fall_multiple: f64,
-    pub fall_window: Span,
+    /// A server that was just started has this share of its capacity, and all of it after `warmup_time`.
+    pub cold_start_share: f64,
+    pub warmup_time: Span,
+    /// A cold server fails if it is sent this multiple of its capacity or more over `overload_window`.
+    pub overload_multiple: f64,
+    pub overload_window: Span,
     /// Whether clients mark their retries.
     pub marks_repeats: bool,
     /// The region of each zone; empty if all zones are equally far.
@@ -105,7 +105,7 @@
     pub start_limit: f64,
     /// Retries: their ratio to requests, and the burst that this gateway may send beyond it.
     pub retry_budget: Option<(f64, f64)>,
-    /// Sends a second that one cold server may get from here; `None`: derived from `fall_multiple`.
+    /// Sends a second that one cold server may get from here; `None`: derived from `overload_multiple`.
     pub cold_send_rate: Option<f64>,
     /// Whether late answers are waited for, and a request that may have run until its timeout.
     pub awaits_late_answers: bool,
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -12,9 +12,9 @@
         let mean = warm.iter().map(|&i| self.servers.passed[i] / 4.0).sum::<f64>() / warm.len().max(1) as f64;
         for i in 0..self.servers.ready.len() {
             let floor = 1.0 / self.terms.gateways.max(1) as f64; // without any measured rate
-            let rate = (0.5 * self.terms.fall_multiple * self.warmth(i) * mean).max(floor);
+            let rate = (0.5 * self.terms.overload_multiple * self.warmth(i) * mean).max(floor);
             let rate = self.terms.cold_send_rate.unwrap_or(rate);
-            let most = (rate * self.terms.fall_window.secs() / 4.0).max(1.0);
+            let most = (rate * self.terms.overload_window.secs() / 4.0).max(1.0);
             let s = &mut self.servers;
             s.tokens[i] = (s.tokens[i] + rate).min(most);
             // decays by itself: a server that was slow once gets few answers and would be avoided for good
@@ -78,8 +78,8 @@
     /// The share of its full capacity that a server has now, by the slowest warm-up that the rules allow.
     fn warmth(&self, i: usize) -> f64 {
         let Some(started_at) = self.servers.started_at[i] else { return 1.0 };
-        let part = self.now.since(started_at).max(0.0) / self.terms.warm_after.secs().max(1e-3);
-        (self.terms.cold_from + (1.0 - self.terms.cold_from) * part).min(1.0)
+        let part = self.now.since(started_at).max(0.0) / self.terms.warmup_time.secs().max(1e-3);
+        (self.terms.cold_start_share + (1.0 - self.terms.cold_start_share) * part).min(1.0)
     }
 
     /// Sequential probability ratio test: a server that fails is distrusted and its requests are reviewed.
--- a/tests/kept_level.rs
+++ b/tests/kept_level.rs
@@ -53,8 +53,8 @@
             max_units: 1.0,
             may_hint: true,
             longest_hint: Span::from_secs(1.0),
-            warm_after: Span::millis(1),
-            fall_window: Span::from_secs(4.0),
+            warmup_time: Span::millis(1),
+            overload_window: Span::from_secs(4.0),
             start_limit: 4.0 * gateways as f64,
             window: Some(16.0 * 3600.0),
             ..Terms::default()
