--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -102,8 +102,8 @@
             // most once
             RouteKind::NonIdempotent | RouteKind::Keyed => Effect::NonReplayable,
         },
-        group: DedupScope::All,
-        memory: Span::ZERO,
+        dedup_scope: DedupScope::All,
+        dedup_memory: Span::ZERO,
         target: Span::from_secs(route.target.min(route.timeout)),
         late_value: 0.3 * value,
         value,
@@ -129,8 +129,8 @@
 /// The frontend at an index that no route has.
 const UNUSED_FRONTEND: Frontend = Frontend {
     effect: Effect::NonReplayable,
-    group: DedupScope::All,
-    memory: Span::ZERO,
+    dedup_scope: DedupScope::All,
+    dedup_memory: Span::ZERO,
     target: Span::millis(1000),
     late_value: 0.0,
     value: 1.0,
--- a/gateway-settings/src/lib.rs
+++ b/gateway-settings/src/lib.rs
@@ -47,7 +47,7 @@
         other => return Err(format!("unknown effect `{other}`")),
     };
     let uniqued = effect == Effect::Deduplicated;
-    let group = match if uniqued { section.string("group")? } else { "all" } {
+    let dedup_scope = match if uniqued { section.string("group")? } else { "all" } {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
@@ -55,8 +55,8 @@
     };
     Ok(Frontend {
         effect,
-        group,
-        memory: if uniqued { section.span("memorySpan")? } else { Span::ZERO },
+        dedup_scope,
+        dedup_memory: if uniqued { section.span("memorySpan")? } else { Span::ZERO },
         target: section.span("slo")?,
         late_value: section.number("lateWorth")?,
         value: section.number("value")?,
--- a/shadow/src/lib.rs
+++ b/shadow/src/lib.rs
@@ -149,7 +149,7 @@
                     let allowed = self.requests.get(&id).is_none_or(|r| {
                         let f = &self.terms.frontends[r.frontend];
                         let deduplicated_everywhere =
-                            f.effect == Effect::Deduplicated && f.group == DedupScope::All;
+                            f.effect == Effect::Deduplicated && f.dedup_scope == DedupScope::All;
                         f.effect == Effect::Replayable
                             || deduplicated_everywhere
                             || !r.attempts.iter().any(|t| t.ran)
@@ -258,7 +258,7 @@
     locations: &HashMap<u32, (u16, u16)>,
 ) -> bool {
     let location_of = |server| locations.get(&server).copied().unwrap_or_default();
-    let same_scope = match f.group {
+    let same_scope = match f.dedup_scope {
         DedupScope::All => true,
         DedupScope::Zone => location_of(previous.server).0 == location_of(server).0,
         DedupScope::Cell => location_of(previous.server).1 == location_of(server).1,
@@ -266,7 +266,7 @@
     match f.effect {
         Effect::Replayable => true,
         Effect::NonReplayable => false,
-        Effect::Deduplicated => same_scope && now - previous.at <= f.memory,
+        Effect::Deduplicated => same_scope && now - previous.at <= f.dedup_memory,
     }
 }
 
--- a/shadow/tests/kinds.rs
+++ b/shadow/tests/kinds.rs
@@ -11,9 +11,10 @@
 
 fn terms(effect: Effect, change: impl FnOnce(&mut Terms)) -> Terms {
     let (target, timeout) = (Span::from_secs(1.0), Span::from_secs(3.0));
-    let memory = Span::from_secs(2.0);
-    let (group, late_value, value, max_dispatches) = (DedupScope::Zone, 0.0, 1.0, 3);
-    let f = Frontend { effect, group, memory, target, late_value, value, timeout, max_dispatches };
+    let dedup_memory = Span::from_secs(2.0);
+    let (dedup_scope, late_value, value, max_dispatches) = (DedupScope::Zone, 0.0, 1.0, 3);
+    let f =
+        Frontend { effect, dedup_scope, dedup_memory, target, late_value, value, timeout, max_dispatches };
     let plan = Plan {
         rate: 0.0,
         burst: 0.0,
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -162,7 +162,7 @@
         let open = |r: &&mut Request| r.reply.is_none() && r.stage != Stage::Closed;
         let Some(r) = self.requests.at_mut(slot).filter(open) else { return };
         let f = &self.terms.frontends[r.frontend];
-        let deduplicated = f.effect == Effect::Deduplicated && f.group == DedupScope::All;
+        let deduplicated = f.effect == Effect::Deduplicated && f.dedup_scope == DedupScope::All;
         let deny = f.effect == Effect::Replayable || deduplicated || !r.tries.iter().any(|t| t.ran);
         let cust = &self.customers[r.customer];
         let rate = self.terms.plans[cust.plan].rate;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -27,8 +27,8 @@
 pub struct Frontend {
     pub effect: Effect,
     /// Deduplicated requests: the servers that share the memory of repeats, and how long they remember one.
-    pub group: DedupScope,
-    pub memory: Span,
+    pub dedup_scope: DedupScope,
+    pub dedup_memory: Span,
     /// The time within which an answer has its full value.
     pub target: Span,
     /// The value of a late answer, and of one in time.
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -142,9 +142,9 @@
             return false;
         }
         let Some(first) = r.tries.iter().find(|t| t.ran) else { return true };
-        let same = s.same_scope(f.group, first.server, i);
+        let same = s.same_scope(f.dedup_scope, first.server, i);
         // 0.9 of the memory: the server's may begin earlier than the send is seen here
-        let still_remembered = same && self.now - first.sent < f.memory.times(0.9);
+        let still_remembered = same && self.now - first.sent < f.dedup_memory.times(0.9);
         f.effect == Effect::Replayable || f.effect == Effect::Deduplicated && still_remembered
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -570,8 +570,8 @@
         &mut self.throttle[i * self.plans + plan]
     }
     /// Whether two servers share the memory of repeats.
-    pub fn same_scope(&self, group: DedupScope, a: usize, b: usize) -> bool {
-        match group {
+    pub fn same_scope(&self, dedup_scope: DedupScope, a: usize, b: usize) -> bool {
+        match dedup_scope {
             DedupScope::All => true,
             DedupScope::Zone => self.zone[a] == self.zone[b],
             DedupScope::Cell => self.cell[a] == self.cell[b],
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -223,8 +223,8 @@
 fn terms(seed: u64, gateways: usize) -> Terms {
     let frontend = Frontend {
         effect: Effect::Replayable,
-        group: DedupScope::All,
-        memory: Span::ZERO,
+        dedup_scope: DedupScope::All,
+        dedup_memory: Span::ZERO,
         target: Span::millis(1_000),
         late_value: 0.3,
         value: 1.0,
--- a/tests/kept_level.rs
+++ b/tests/kept_level.rs
@@ -24,8 +24,8 @@
     fn new(gateways: usize) -> Pool {
         let frontend = Frontend {
             effect: Effect::Replayable,
-            group: DedupScope::All,
-            memory: Span::ZERO,
+            dedup_scope: DedupScope::All,
+            dedup_memory: Span::ZERO,
             target: Span::millis(1_000),
             late_value: 0.3,
             value: 1.0,
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -23,17 +23,17 @@
         "uniqued" => Effect::Deduplicated,
         _ => Effect::NonReplayable,
     };
-    let group = match key(words, "group").unwrap_or("all") {
+    let dedup_scope = match key(words, "group").unwrap_or("all") {
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
         _ => DedupScope::All,
     };
-    let (memory, target) =
+    let (dedup_memory, target) =
         (Span::from_secs(num(words, "memory", 2.0)), Span::from_secs(num(words, "target", 1.0)));
     Frontend {
         effect,
-        group,
-        memory,
+        dedup_scope,
+        dedup_memory,
         target,
         late_value: num(words, "late", 0.0),
         value: num(words, "value", 1.0),
