--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -38,27 +38,28 @@
     SubCommand {
         name: "nodes",
         arguments: "ADDRESS",
-        what: "lists all nodes and the state of their rules",
+        summary: "lists all nodes and the state of their rules",
         run: nodes::nodes_command,
     },
     SubCommand {
         name: "core",
         arguments: "ADDRESS...",
-        what: "lists the state of each of these core members",
+        summary: "lists the state of each of these core members",
         run: recovery::core_command,
     },
     SubCommand {
         name: "found",
         arguments: "EPOCH.INDEX ADDRESS [ADDRESS...]",
-        what: "forms a new core from that state at the first address, after a permanent loss of the majority",
+        summary:
+            "forms a new core from that state at the first address, after a permanent loss of the majority",
         run: recovery::found_command,
     },
 ];
 
 fn main() -> ExitCode {
     let (name, version) = ("lupinledge-hive", env!("CARGO_PKG_VERSION"));
-    let what = "the control plane of lupinledge, run on each core machine";
-    cli::main(Program { name, version, what, commands: &COMMANDS }, run)
+    let summary = "the control plane of lupinledge, run on each core machine";
+    cli::main(Program { name, version, summary, commands: &COMMANDS }, run)
 }
 
 fn run() -> eyre::Result<()> {
--- a/data-plane/src/main.rs
+++ b/data-plane/src/main.rs
@@ -17,6 +17,6 @@
 
 fn main() -> std::process::ExitCode {
     let (name, version) = ("lupinledge-forager", env!("CARGO_PKG_VERSION"));
-    let what = "the data plane of lupinledge, on the edge machines";
-    cli::main(Program { name, version, what, commands: &[] }, start::run)
+    let summary = "the data plane of lupinledge, on the edge machines";
+    cli::main(Program { name, version, summary, commands: &[] }, start::run)
 }
--- a/gossip/src/cli.rs
+++ b/gossip/src/cli.rs
@@ -14,7 +14,7 @@
     /// Its version.
     pub version: &'static str,
     /// A one-line summary.
-    pub what: &'static str,
+    pub summary: &'static str,
     /// The commands that it has besides those of every program.
     pub commands: &'static [SubCommand],
 }
@@ -26,7 +26,7 @@
     /// Its arguments, as shown in the help.
     pub arguments: &'static str,
     /// A one-line summary.
-    pub what: &'static str,
+    pub summary: &'static str,
     /// Runs the command with its arguments and returns the text to print.
     pub run: fn(&[String]) -> eyre::Result<String>,
 }
@@ -47,10 +47,10 @@
     mut args: pico_args::Arguments,
     run: fn() -> eyre::Result<()>,
 ) -> eyre::Result<ExitCode> {
-    let Program { name, version, what, commands } = program;
+    let Program { name, version, summary, commands } = program;
     if args.contains(["-h", "--help"]) {
         println!(
-            "{name}: {what}\n\n    \
+            "{name}: {summary}\n\n    \
              {name}               runs with the settings file named by LUPINLEDGE_NODE_FILE\n    \
              {name} check FILE    checks a settings file or a configuration, and names the invalid field\n    \
              {}{name} --help\n    \
@@ -58,7 +58,7 @@
              SIGHUP reloads the settings, SIGTERM shuts the program down in order.",
             commands
                 .iter()
-                .map(|c| format!("{name} {} {}\n        {}\n    ", c.name, c.arguments, c.what))
+                .map(|c| format!("{name} {} {}\n        {}\n    ", c.name, c.arguments, c.summary))
                 .collect::<String>()
         );
         return Ok(ExitCode::SUCCESS);
