--- a/control-plane/src/counter_service.rs
+++ b/control-plane/src/counter_service.rs
@@ -129,7 +129,7 @@
             HandoverEntry {
                 name: report.name,
                 sum: report.sum,
-                within: report.within,
+                counted_in_total: report.counted_in_total,
                 total: report.total,
                 life,
                 store,
--- a/counters/src/handover.rs
+++ b/counters/src/handover.rs
@@ -18,7 +18,7 @@
     /// Everything that the gateway ever added, in units.
     pub sum: f64,
     /// The part of `sum` that was in the last total that the gateway received.
-    pub within: f64,
+    pub counted_in_total: f64,
     /// The last total that the gateway received; 0 before the first.
     pub total: f64,
     /// Seconds that the name is kept after its last use.
@@ -87,7 +87,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct PreviousTotal {
     total: f64,
-    within: f64,
+    counted_in_total: f64,
     largest: f64,
 }
 
@@ -158,8 +158,9 @@
     pub fn receive_handover(&mut self, now: f64, from: Incarnation, part: &HandoverPart) {
         self.record_contact(now, from.0);
         let first = self.handover.record_part(from.0, part);
-        let valid =
-            |e: &HandoverEntry| first && is_usage(e.name) && e.total.is_finite() && e.within.is_finite();
+        let valid = |e: &HandoverEntry| {
+            first && is_usage(e.name) && e.total.is_finite() && e.counted_in_total.is_finite()
+        };
         for entry in &part.entries {
             let increase = self.apply_sum(now, from, entry.name, entry.sum, entry.life);
             let found = if valid(entry) { self.recover_lost(entry) } else { 0.0 };
@@ -172,14 +173,17 @@
     fn recover_lost(&mut self, entry: &HandoverEntry) -> f64 {
         match (self.handover.complete, self.names.get_mut(&entry.name)) {
             (true, Some(state)) => {
-                let found = entry.within.clamp(0.0, state.lost);
+                let found = entry.counted_in_total.clamp(0.0, state.lost);
                 (state.lost, state.total) = (state.lost - found, state.total - found);
                 found
             }
             _ => {
                 let p = self.handover.previous.entry(entry.name).or_default();
-                (p.total, p.within, p.largest) =
-                    (p.total.max(entry.total), p.within + entry.within, p.largest.max(entry.within));
+                (p.total, p.counted_in_total, p.largest) = (
+                    p.total.max(entry.total),
+                    p.counted_in_total + entry.counted_in_total,
+                    p.largest.max(entry.counted_in_total),
+                );
                 self.handover.record_reading(self.now, entry);
                 0.0
             }
@@ -197,7 +201,7 @@
         let now = self.now;
         missing.iter().for_each(|node| self.record_contact(now, *node));
         for (name, p) in std::mem::take(&mut self.handover.previous) {
-            let lost = (p.total - p.within).max(0.0);
+            let lost = (p.total - p.counted_in_total).max(0.0);
             if let Some(state) = self.names.get_mut(&name) {
                 (state.lost, state.total) = (lost, state.total + lost);
             }
--- a/counters/src/local_sums.rs
+++ b/counters/src/local_sums.rs
@@ -39,7 +39,7 @@
         if self.names.len() >= MAX_NAMES && !self.names.contains_key(&name) {
             return None;
         }
-        let entry = HandoverEntry { name, sum: 0.0, within: 0.0, total: 0.0, life, store: None };
+        let entry = HandoverEntry { name, sum: 0.0, counted_in_total: 0.0, total: 0.0, life, store: None };
         let empty = LocalSum { entry, expires_at: now, store: None };
         let s = self.names.entry(name).or_insert(empty);
         s.entry.sum += amount;
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Records a total that arrived now; `within` is the sum that was sent for it.
-    pub fn record_total(&mut self, now: f64, name: u64, within: f64, total: Total) {
+    /// Records a total that arrived now; `counted_in_total` is the sum that was sent for it.
+    pub fn record_total(&mut self, now: f64, name: u64, counted_in_total: f64, total: Total) {
         if let Some(s) = self.names.get_mut(&name) {
-            (s.entry.within, s.entry.total) = (within, total.counted);
+            (s.entry.counted_in_total, s.entry.total) = (counted_in_total, total.counted);
             s.store = total.level.map(|level| (level, now));
         }
     }
--- a/counters/tests/holder.rs
+++ b/counters/tests/holder.rs
@@ -22,8 +22,15 @@
     let mut holder = CounterHolder::default();
     holder.start_epoch(1.0, 2);
     assert_eq!(holder.poll(1.0, &[status(7, true), status(8, false)]), HandoverStatus::Collecting(vec![7]));
-    let handover = |sum, within, total| {
-        HandoverPart::single(vec![HandoverEntry { name: NAME, sum, within, total, life: 60.0, store: None }])
+    let handover = |sum, counted_in_total, total| {
+        HandoverPart::single(vec![HandoverEntry {
+            name: NAME,
+            sum,
+            counted_in_total,
+            total,
+            life: 60.0,
+            store: None,
+        }])
     };
     holder.receive_handover(1.1, 2, (7, 1), &handover(4.0, 4.0, 10.0));
     assert_eq!(holder.apply_call(1.1, (7, 1), 1, [(NAME, 4.0, 60.0)].into_iter()), None);
@@ -50,7 +57,7 @@
     let part = HandoverPart::single(vec![HandoverEntry {
         name: NAME,
         sum: 9.0,
-        within: 9.0,
+        counted_in_total: 9.0,
         total: 90.0,
         life: 60.0,
         store: None,
--- a/counters/tests/model.rs
+++ b/counters/tests/model.rs
@@ -290,12 +290,18 @@
             now += 0.01;
             (1..=gateways).for_each(|n| old.record_contact(now, n));
             let (node, amount) = (r.u32(1..=gateways), r.u8(0..3) as f64);
-            let empty =
-                HandoverEntry { name: NAME, sum: 0.0, within: 0.0, total: 0.0, life: 60.0, store: None };
+            let empty = HandoverEntry {
+                name: NAME,
+                sum: 0.0,
+                counted_in_total: 0.0,
+                total: 0.0,
+                life: 60.0,
+                store: None,
+            };
             let t = reported.entry(node).or_insert(empty);
             t.sum += amount;
             all += amount;
-            (t.total, t.within) = (old.record_sum(now, (node, 1), NAME, t.sum, 60.0), t.sum);
+            (t.total, t.counted_in_total) = (old.record_sum(now, (node, 1), NAME, t.sum, 60.0), t.sum);
             assert_eq!(t.total, all);
         }
         let gone: Vec<u32> = (1..=gateways).filter(|_| r.u8(0..3) == 0).collect();
@@ -303,7 +309,7 @@
         // the newest total that a remaining gateway has received; 0 if there is none
         let known =
             reported.iter().filter(|(n, _)| !gone.contains(n)).map(|(_, t)| t.total).fold(0.0, f64::max);
-        let within: f64 = all - gone_sum;
+        let counted_in_total: f64 = all - gone_sum;
         let mut new = Counters::new(2);
         new.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
         for n in (1..=gateways).filter(|n| !gone.contains(n)) {
@@ -314,8 +320,8 @@
         new.complete_handover(now, &gone);
         let first = gateways + 1;
         let total = new.record_sum(now, (first, 1), NAME, 0.0, 60.0);
-        assert_eq!(total, within.max(known), "{gone:?}, {reported:?}");
-        if !gone.is_empty() && known > within {
+        assert_eq!(total, counted_in_total.max(known), "{gone:?}, {reported:?}");
+        if !gone.is_empty() && known > counted_in_total {
             for i in 1..=20 {
                 (1..=gateways + 1)
                     .filter(|n| !gone.contains(n))
@@ -349,7 +355,7 @@
         HandoverPart::single(vec![HandoverEntry {
             name: NAME,
             sum,
-            within: sum,
+            counted_in_total: sum,
             total: 1000.0,
             life: 60.0,
             store: None,
--- a/data-plane/src/counter_client.rs
+++ b/data-plane/src/counter_client.rs
@@ -38,9 +38,9 @@
 
 /// Converts a handover entry to its form on the wire.
 fn name_report(entry: HandoverEntry) -> NameReport {
-    let HandoverEntry { name, sum, within, total, life, store } = entry;
+    let HandoverEntry { name, sum, counted_in_total, total, life, store } = entry;
     let store = store.map(|reading| (reading.level, reading.age as f32));
-    NameReport { name, sum, within, total, life: life as f32, store }
+    NameReport { name, sum, counted_in_total, total, life: life as f32, store }
 }
 
 /// Sends the counter calls of all pools of this process.
--- a/messaging/src/wire_message.rs
+++ b/messaging/src/wire_message.rs
@@ -135,7 +135,7 @@
     /// The sum of what the gateway added.
     pub sum: f64,
     /// The part of the sum that was included in the last total.
-    pub within: f64,
+    pub counted_in_total: f64,
     /// The last total received.
     pub total: f64,
     /// Seconds for which the name is kept.
--- a/messaging/tests/encoding.rs
+++ b/messaging/tests/encoding.rs
@@ -78,7 +78,7 @@
 }
 
 fn name_report(store: Option<(f64, f32)>) -> NameReport {
-    NameReport { name: 5, sum: 2.0, within: 1.0, total: 7.0, life: 8.0, store }
+    NameReport { name: 5, sum: 2.0, counted_in_total: 1.0, total: 7.0, life: 8.0, store }
 }
 
 #[test]
--- a/simulation/src/sums.rs
+++ b/simulation/src/sums.rs
@@ -60,7 +60,7 @@
             *twice += self.over.remove(&told.name).unwrap_or(0.0);
         }
         if count.tellers.insert(from) {
-            *twice += (told.sum - told.within).max(0.0);
+            *twice += (told.sum - told.counted_in_total).max(0.0);
         }
     }
 
