--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Puts the value into the state to be saved; `proposer` as in [`crate::PersistentState`].
-    pub(crate) fn store_value(&mut self, ballot: Ballot, value: Rc<Value>, proposer: u64) {
+    /// Puts the value into the state to be saved; `proposer_incarnation` as in [`crate::PersistentState`].
+    pub(crate) fn store_value(&mut self, ballot: Ballot, value: Rc<Value>, proposer_incarnation: u64) {
         let state = &mut self.disk.state;
         state.promised = state.promised.max(ballot.epoch);
         state.ballot = ballot;
         state.value = value;
-        state.proposer = proposer;
+        state.proposer_incarnation = proposer_incarnation;
         self.disk.changed();
     }
 
--- a/consensus/src/learn.rs
+++ b/consensus/src/learn.rs
@@ -23,7 +23,7 @@
     /// The newest value among the answers.
     newest: (Ballot, Rc<Value>),
     /// The proposer of `newest`, as in [`PersistentState`].
-    proposer: u64,
+    proposer_incarnation: u64,
     incarnations: Vec<(Node, u64, u64)>,
 }
 
@@ -36,7 +36,7 @@
             answered: Vec::new(),
             promised: 0,
             newest: Default::default(),
-            proposer: 0,
+            proposer_incarnation: 0,
             incarnations: Vec::new(),
         }
     }
@@ -73,7 +73,7 @@
         let (ballot, value) = &self.newest;
         let answered = value.outgoing.iter().filter(|m| **m != me && self.answered.contains(m)).count();
         ballot.epoch as Node == me
-            && self.proposer == self.incarnation
+            && self.proposer_incarnation == self.incarnation
             && self.promised <= ballot.epoch
             && value.outgoing.contains(&me)
             && 2 * (answered + 1) > value.outgoing.len()
@@ -136,9 +136,18 @@
             self.disk.state.ballot > have || have == Ballot::default() || self.is_other_cluster(cluster);
         let state = &self.disk.state;
         let value = newer.then(|| state.value.clone());
-        let (promised, ballot, proposer) = (state.promised, state.ballot, state.proposer);
+        let (promised, ballot, proposer_incarnation) =
+            (state.promised, state.ballot, state.proposer_incarnation);
         let incarnations = state.incarnations.clone();
-        let answer = Msg::LearnReply { incarnation, nonce, promised, ballot, value, incarnations, proposer };
+        let answer = Msg::LearnReply {
+            incarnation,
+            nonce,
+            promised,
+            ballot,
+            value,
+            incarnations,
+            proposer_incarnation,
+        };
         self.disk.send_when_durable(from, answer, out);
     }
 
@@ -187,7 +196,7 @@
         held: PersistentState,
         value: Option<Rc<Value>>,
     ) {
-        let PersistentState { promised, ballot, incarnations, proposer, .. } = held;
+        let PersistentState { promised, ballot, incarnations, proposer_incarnation, .. } = held;
         let Some(learner) = &mut self.learner else { return };
         if incarnation != (learner.incarnation, learner.nonce) {
             return;
@@ -200,7 +209,7 @@
         }
         match value {
             Some(value) if learner.answered.is_empty() || ballot > learner.newest.0 => {
-                (learner.newest, learner.proposer) = ((ballot, value), proposer);
+                (learner.newest, learner.proposer_incarnation) = ((ballot, value), proposer_incarnation);
             }
             None if ballot > learner.newest.0 => return,
             _ => {}
@@ -218,10 +227,25 @@
     /// The learnt state is complete: from now on this node acts as a member, or asks to become one.
     fn finish_learning(&mut self) {
         let Some(learner) = self.learner.take() else { return };
-        let Learner { incarnation, promised, newest: (ballot, value), incarnations, proposer, .. } = learner;
+        let Learner {
+            incarnation,
+            promised,
+            newest: (ballot, value),
+            incarnations,
+            proposer_incarnation,
+            ..
+        } = learner;
         let (owner, stale) = (self.me, false);
-        self.disk.state =
-            PersistentState { promised, ballot, value, stale, incarnation, incarnations, owner, proposer };
+        self.disk.state = PersistentState {
+            promised,
+            ballot,
+            value,
+            stale,
+            incarnation,
+            incarnations,
+            owner,
+            proposer_incarnation,
+        };
         self.disk.changed();
         self.highest_epoch = self.highest_epoch.max(promised);
         self.quiet_since = self.now;
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -238,12 +238,20 @@
             Msg::Learn { incarnation, nonce, have, cluster } => {
                 self.on_learn(from, (incarnation, nonce), have, cluster, out)
             }
-            Msg::LearnReply { incarnation, nonce, promised, ballot, value, incarnations, proposer } => {
+            Msg::LearnReply {
+                incarnation,
+                nonce,
+                promised,
+                ballot,
+                value,
+                incarnations,
+                proposer_incarnation,
+            } => {
                 let held = PersistentState {
                     promised,
                     ballot,
                     incarnations,
-                    proposer,
+                    proposer_incarnation,
                     ..PersistentState::default()
                 };
                 self.on_learn_reply(from, (incarnation, nonce), held, value);
--- a/consensus/src/resume.rs
+++ b/consensus/src/resume.rs
@@ -134,7 +134,7 @@
         let before = (state.promised, state.ballot, state.incarnations.clone());
         state.promised = state.promised.max(held.promised);
         if let Some(value) = value.filter(|_| held.ballot > state.ballot) {
-            (state.ballot, state.value, state.proposer) = (held.ballot, value, 0);
+            (state.ballot, state.value, state.proposer_incarnation) = (held.ballot, value, 0);
         }
         merge_incarnations(&mut state.incarnations, held.incarnations, me);
         if before != (state.promised, state.ballot, state.incarnations.clone()) {
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -56,7 +56,7 @@
     pub owner: Node,
     /// The incarnation, plus one, of the leader that proposed the value under this ballot; 0 if unknown.
     #[serde(default)]
-    pub proposer: u64,
+    pub proposer_incarnation: u64,
 }
 
 /// Settings of a [`Replica`].
@@ -86,7 +86,7 @@
 /// - `cluster`: the sender's cluster number;
 /// - `incarnation`: the sender's incarnation (in the messages about learning, the learner's); `incarnations`: those of
 ///   other nodes that the sender has recorded;
-/// - `proposer`: as in [`PersistentState`].
+/// - `proposer_incarnation`: as in [`PersistentState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
     /// The sender is running.
@@ -152,7 +152,7 @@
         ballot: Ballot,
         value: Option<Rc<Value>>,
         incarnations: Vec<(Node, u64, u64)>,
-        proposer: u64,
+        proposer_incarnation: u64,
     },
     /// The incarnation in a `Learn` was used before: the receiver must take one above this.
     NewerIncarnation { incarnation: u64 },
--- a/consensus/tests/faults/single_replica.rs
+++ b/consensus/tests/faults/single_replica.rs
@@ -269,7 +269,7 @@
     assert_eq!(harness.receive(20, beat), [(20, Msg::Alive)]);
     let learnt = |promised, ballot| {
         let (value, incarnations) = (Some(value.clone()), Vec::new());
-        Msg::LearnReply { incarnation, nonce, promised, ballot, value, incarnations, proposer: 0 }
+        Msg::LearnReply { incarnation, nonce, promised, ballot, value, incarnations, proposer_incarnation: 0 }
     };
     harness.receive(20, learnt(epoch(7, 30), Ballot::default()));
     assert!(harness.replica.is_learning() && harness.save_in_progress.is_none());
