--- a/counters/tests/model.rs
+++ b/counters/tests/model.rs
@@ -309,7 +309,7 @@
         // the newest total that a remaining gateway has received; 0 if there is none
         let known =
             reported.iter().filter(|(n, _)| !gone.contains(n)).map(|(_, t)| t.total).fold(0.0, f64::max);
-        let counted_in_total: f64 = all - gone_sum;
+        let sum_without_gone: f64 = all - gone_sum;
         let mut new = Counters::new(2);
         new.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
         for n in (1..=gateways).filter(|n| !gone.contains(n)) {
@@ -320,8 +320,8 @@
         new.complete_handover(now, &gone);
         let first = gateways + 1;
         let total = new.record_sum(now, (first, 1), NAME, 0.0, 60.0);
-        assert_eq!(total, counted_in_total.max(known), "{gone:?}, {reported:?}");
-        if !gone.is_empty() && known > counted_in_total {
+        assert_eq!(total, sum_without_gone.max(known), "{gone:?}, {reported:?}");
+        if !gone.is_empty() && known > sum_without_gone {
             for i in 1..=20 {
                 (1..=gateways + 1)
                     .filter(|n| !gone.contains(n))
--- a/data-plane/src/drift_responder.rs
+++ b/data-plane/src/drift_responder.rs
@@ -107,12 +107,12 @@
                 terms_due.then(|| self.pools.find_deviation((self.checks / TERMS_CHECKS) as usize)).flatten();
             deviation.map(|(part, name)| Finding { part, names: vec![name] })
         });
-        let (index, print) =
-            (self.gossip.with_store(|h| h.digest().state.1), self.audit.live_print().combined());
-        self.gossip.set_fingerprint(index, print);
+        let (index, fingerprint) =
+            (self.gossip.with_store(|h| h.digest().state.1), self.audit.memory_fingerprints().combined());
+        self.gossip.set_fingerprint(index, fingerprint);
         let local_state = LocalState {
             index,
-            print,
+            fingerprint,
             faulty_part: finding.as_ref().map(|f| f.part),
             verified: self.audit.is_clean(),
         };
@@ -142,7 +142,7 @@
                 self.clients.start_closing();
                 let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
                 let (part, fingerprints) =
-                    (part.map_or(u8::MAX, |p| p as u8), self.audit.live_print().parts());
+                    (part.map_or(u8::MAX, |p| p as u8), self.audit.memory_fingerprints().parts());
                 let report = DriftReport {
                     index,
                     fingerprints,
--- a/drift-detection/src/audit.rs
+++ b/drift-detection/src/audit.rs
@@ -25,7 +25,7 @@
     /// Steps without a finding, since the tables were first seen or since the last finding.
     clean_steps: u32,
     last_seen: Option<Fingerprints>,
-    live_print: Fingerprints,
+    memory_fingerprints: Fingerprints,
 }
 
 impl Audit {
@@ -36,7 +36,7 @@
             steps: 0,
             clean_steps: 0,
             last_seen: None,
-            live_print: Fingerprints::default(),
+            memory_fingerprints: Fingerprints::default(),
         }
     }
 
@@ -46,8 +46,8 @@
     }
 
     /// The fingerprint of the tables in memory, as of the last check of each part.
-    pub fn live_print(&self) -> Fingerprints {
-        self.live_print
+    pub fn memory_fingerprints(&self) -> Fingerprints {
+        self.memory_fingerprints
     }
 
     /// Whether all parts were checked without a finding since the last change.
@@ -67,13 +67,13 @@
             return None; // there is no configuration yet
         }
         if self.last_seen.replace(tables.fingerprints()) != Some(tables.fingerprints()) {
-            (self.clean_steps, self.live_print) = (0, tables.fingerprints());
+            (self.clean_steps, self.memory_fingerprints) = (0, tables.fingerprints());
         }
         let part = Part::ALL[(self.steps % STEPS_PER_ROUND) as usize];
         self.steps = self.steps.wrapping_add(1);
-        let print = tables.recompute_fingerprint(part);
-        self.live_print.set(part, print);
-        let corrupted = print != tables.fingerprints().part(part);
+        let fingerprint = tables.recompute_fingerprint(part);
+        self.memory_fingerprints.set(part, fingerprint);
+        let corrupted = fingerprint != tables.fingerprints().part(part);
         let differing = expected.and_then(|e| {
             Part::ALL.into_iter().find(|p| e.fingerprints().part(*p) != tables.recompute_fingerprint(*p))
         });
--- a/drift-detection/src/audit/tests.rs
+++ b/drift-detection/src/audit/tests.rs
@@ -30,6 +30,6 @@
         assert!(!audit.is_clean());
         audit.reset();
         assert_eq!(audit.step(&build(), Some(&parsed), None), None, "{corruption}");
-        assert_eq!(audit.live_print(), build().fingerprints(), "{corruption}");
+        assert_eq!(audit.memory_fingerprints(), build().fingerprints(), "{corruption}");
     }
 }
--- a/drift-detection/src/lib.rs
+++ b/drift-detection/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`verdict`]: the conclusion from its own tables and the state that other nodes report, at one moment.
 //! - [`monitor`]: the conclusion from verdicts over time: in service, suspected, withdrawn, returning.
 //!
-//! All times are in seconds of one monotonic clock. See `docs/intent-watch.md`.
+//! All times are in seconds of one monotonic clock. The document for operators is `docs/intent-watch.md`.
 
 pub mod audit;
 pub mod monitor;
--- a/drift-detection/src/monitor.rs
+++ b/drift-detection/src/monitor.rs
@@ -218,7 +218,7 @@
         let hold = (self.settings.initial_hold * 2f64.powi(self.withdrawals.min(30) as i32 - 1))
             .min(self.settings.max_hold);
         self.state = State::Withdrawn {
-            diverged: (detector, own.index, own.print),
+            diverged: (detector, own.index, own.fingerprint),
             since: now,
             until: now + hold,
             clean_since: None,
@@ -237,7 +237,8 @@
             return Vec::new();
         };
         // a difference that others found has ended once they report a match, or once other tables are in use
-        let unchanged = diverged.0 != Detector::Own && (diverged.1, diverged.2) == (own.index, own.print);
+        let unchanged =
+            diverged.0 != Detector::Own && (diverged.1, diverged.2) == (own.index, own.fingerprint);
         let clean = match others.verdict {
             Verdict::Matching => own.verified,
             Verdict::Unknown => own.verified && own.index > 0 && !unchanged,
--- a/drift-detection/src/verdict.rs
+++ b/drift-detection/src/verdict.rs
@@ -10,7 +10,7 @@
     /// Index of the document that it holds; 0 without a document.
     pub index: u64,
     /// Folded fingerprint of the tables in use.
-    pub print: u32,
+    pub fingerprint: u32,
     /// The part of its tables that differs from the configuration they were built from.
     pub faulty_part: Option<Part>,
     /// All parts were checked without a finding since the last change.
@@ -72,55 +72,55 @@
     holder: Node,
     members: impl Iterator<Item = &'a Member>,
 ) -> Comparison {
-    let mut core_prints: Vec<(u32, usize, bool)> = Vec::new();
-    let mut peer_prints: Vec<(u32, usize)> = Vec::new();
+    let mut core_fingerprints: Vec<(u32, usize, bool)> = Vec::new();
+    let mut peer_fingerprints: Vec<(u32, usize)> = Vec::new();
     let (mut newest, mut ready, mut serving) = (0, 0, Vec::new());
     for m in members {
         let present = m.standing != Standing::Gone;
-        let (index, print, age) = (m.digest.state.1, m.digest.fingerprint, now - m.last_received);
+        let (index, fingerprint, age) = (m.digest.state.1, m.digest.fingerprint, now - m.last_received);
         let accepts = present && !m.card.core && m.card.ready && !m.card.leaving;
         ready += accepts as usize;
         if present && m.card.core && age < CORE_REPORT_TTL {
             newest = newest.max(index);
         }
         if accepts && age < PEER_REPORT_TTL {
-            serving.push((index, print));
+            serving.push((index, fingerprint));
         }
-        if index != own.index || !comparable(print, own.print) {
+        if index != own.index || !comparable(fingerprint, own.fingerprint) {
             continue;
         }
         // a report of the core about a document stays valid; an edge node may have been repaired since its report
         match m.card.core {
-            true => match core_prints.iter_mut().find(|t| t.0 == print) {
+            true => match core_fingerprints.iter_mut().find(|t| t.0 == fingerprint) {
                 Some(t) => (t.1, t.2) = (t.1 + 1, t.2 || m.node == holder),
-                None => core_prints.push((print, 1, m.node == holder)),
+                None => core_fingerprints.push((fingerprint, 1, m.node == holder)),
             },
             false if accepts && age < PEER_REPORT_TTL => {
-                match peer_prints.iter_mut().find(|p| p.0 == print) {
+                match peer_fingerprints.iter_mut().find(|p| p.0 == fingerprint) {
                     Some(p) => p.1 += 1,
-                    None => peer_prints.push((print, 1)),
+                    None => peer_fingerprints.push((fingerprint, 1)),
                 }
             }
             _ => {}
         }
     }
-    let best = core_prints.iter().map(|t| (t.1, t.2)).max();
-    let mut candidates = core_prints.iter().filter(|t| Some((t.1, t.2)) == best);
+    let best = core_fingerprints.iter().map(|t| (t.1, t.2)).max();
+    let mut candidates = core_fingerprints.iter().filter(|t| Some((t.1, t.2)) == best);
     let expected = candidates.next().filter(|_| candidates.next().is_none()).map(|t| t.0);
-    let peer_agrees = peer_prints.iter().any(|p| p.0 == own.print);
+    let peer_agrees = peer_fingerprints.iter().any(|p| p.0 == own.fingerprint);
     let behind = own.index > 0 && newest > own.index;
     let verdict = match expected {
         _ if own.faulty_part.is_some() => Verdict::Differs(Detector::Own),
         _ if behind => Verdict::Behind,
-        Some(p) if p == own.print => Verdict::Matching,
+        Some(p) if p == own.fingerprint => Verdict::Matching,
         Some(_) => Verdict::Differs(Detector::Core),
         None if peer_agrees => Verdict::Matching,
-        None if peer_prints.iter().any(|p| p.1 >= PEER_QUORUM) => Verdict::Differs(Detector::Peers),
+        None if peer_fingerprints.iter().any(|p| p.1 >= PEER_QUORUM) => Verdict::Differs(Detector::Peers),
         None => Verdict::Unknown,
     };
     let replacement = match verdict {
         Verdict::Behind => serving.iter().any(|s| s.0 >= newest),
-        Verdict::Differs(Detector::Core) => peer_prints.iter().any(|p| Some(p.0) == expected),
+        Verdict::Differs(Detector::Core) => peer_fingerprints.iter().any(|p| Some(p.0) == expected),
         _ => ready > 0,
     };
     Comparison { verdict, ready, replacement }
--- a/drift-detection/tests/cluster/mod.rs
+++ b/drift-detection/tests/cluster/mod.rs
@@ -223,8 +223,8 @@
                 let update = Update { epoch: Some((self.epoch, node(self.holder))), state, list: None };
                 let from = if i == self.holder { Source::Origin } else { Source::Settled };
                 self.call(i, |s, _| s.publish(update, from));
-                let print = self.documents[n as usize - 1].3.fingerprints().combined();
-                self.processes[i].disseminator.set_fingerprint(n, print);
+                let fingerprint = self.documents[n as usize - 1].3.fingerprints().combined();
+                self.processes[i].disseminator.set_fingerprint(n, fingerprint);
             }
         }
     }
@@ -360,13 +360,18 @@
         let Some(e) = &mut p.edge else { return };
         e.next_evaluation = self.now + EVALUATION_INTERVAL;
         let found = e.audit.step(&e.tables, e.config.as_ref(), None);
-        let (index, print) = (p.disseminator.store().digest().state.1, e.audit.live_print().combined());
-        p.disseminator.set_fingerprint(index, print);
+        let (index, fingerprint) =
+            (p.disseminator.store().digest().state.1, e.audit.memory_fingerprints().combined());
+        p.disseminator.set_fingerprint(index, fingerprint);
         if !self.monitoring {
             return;
         }
-        let own =
-            LocalState { index, print, faulty_part: found.map(|f| f.part), verified: e.audit.is_clean() };
+        let own = LocalState {
+            index,
+            fingerprint,
+            faulty_part: found.map(|f| f.part),
+            verified: e.audit.is_clean(),
+        };
         let others =
             compare(now, &own, p.disseminator.store().epoch().1, p.disseminator.membership().members());
         let actions = e.monitor.evaluate(now, &own, &others);
--- a/drift-detection/tests/cost.rs
+++ b/drift-detection/tests/cost.rs
@@ -29,13 +29,13 @@
     let (parsed, size) = (Config::parse(&bytes).unwrap(), bytes.len());
     let document = Document { config: Some(bytes), version: 1, serial: 1, ..Document::default() };
     let tables = Tables::new(&document, &BTreeMap::new()).unwrap();
-    let print = tables.fingerprints().combined();
+    let fingerprint = tables.fingerprints().combined();
     let member = |i: u32| {
         let (region, zone, client_address, control_address, drift) =
             ("r".into(), "z".into(), None, None, None);
         let (core, ready, leaving, load) = (i < 5, true, false, 0);
         let card = Card { core, region, zone, client_address, control_address, ready, leaving, drift, load };
-        let digest = Digest { state: (1, 1), fingerprint: print, ..Digest::default() };
+        let digest = Digest { state: (1, 1), fingerprint: fingerprint, ..Digest::default() };
         Member {
             node: i,
             incarnation: 1,
@@ -54,8 +54,12 @@
         let start = Instant::now();
         let expected = (step % 50 == 0).then(|| Tables::new(&document, &BTreeMap::new()).unwrap());
         let found = audit.step(&tables, Some(&parsed), expected.as_ref());
-        let own =
-            LocalState { index: 1, print, faulty_part: found.map(|f| f.part), verified: audit.is_clean() };
+        let own = LocalState {
+            index: 1,
+            fingerprint,
+            faulty_part: found.map(|f| f.part),
+            verified: audit.is_clean(),
+        };
         let now = f64::from(step) * 0.1;
         assert!(monitor.evaluate(now, &own, &compare(now, &own, 1, members.iter())).is_empty());
         longest = longest.max(start.elapsed().as_secs_f64());
