--- a/config/src/reference.rs
+++ b/config/src/reference.rs
@@ -7,7 +7,7 @@
 
 /// The parts of a request that routing depends on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Probe {
+pub struct RoutingInput {
     /// The host as in the header.
     pub host: String,
     /// The raw path, possibly with a query.
@@ -51,7 +51,7 @@
 }
 
 /// Routes a request by scanning the configuration. Returns `None` if no route matches.
-pub fn route_by_scan(config: &Config, probe: &Probe) -> Option<RoutingResult> {
+pub fn route_by_scan(config: &Config, probe: &RoutingInput) -> Option<RoutingResult> {
     let path: String = probe.path.chars().take_while(|c| !matches!(c, '?' | '#')).collect();
     let listeners =
         config.listeners.iter().filter(|l| normalized_host(&l.host) == normalized_host(&probe.host));
@@ -71,7 +71,7 @@
 }
 
 /// Routes a request with the tables that forwarding uses. Returns `None` if no route matches.
-pub fn route_with_tables(tables: &Tables, probe: &Probe) -> Option<RoutingResult> {
+pub fn route_with_tables(tables: &Tables, probe: &RoutingInput) -> Option<RoutingResult> {
     let route = tables.route(&probe.host, &probe.path)?;
     let name = |i: usize| tables.services().get(i).map_or(String::new(), |s| s.name.clone());
     let tenant = probe.key.as_ref().and_then(|k| tables.tenant(k));
@@ -87,7 +87,7 @@
 }
 
 /// Draws a random request for the configuration: mostly one that it serves, sometimes one that is slightly off.
-pub fn random_probe(config: &Config, rng: &mut fastrand::Rng) -> Option<Probe> {
+pub fn random_probe(config: &Config, rng: &mut fastrand::Rng) -> Option<RoutingInput> {
     let listener = rng.choice(&config.listeners)?;
     let rule = rng.choice(&listener.rules)?;
     let host = match rng.u8(0..4) {
@@ -108,5 +108,5 @@
         1 => key.map(|k| k + "x"),
         _ => key,
     };
-    Some(Probe { host, path, key })
+    Some(RoutingInput { host, path, key })
 }
--- a/config/tests/model.rs
+++ b/config/tests/model.rs
@@ -4,7 +4,7 @@
 
 use common::{bytes, document, example, zones};
 use lupinledge_config::config::RouteKind;
-use lupinledge_config::reference::{route_by_scan, Probe};
+use lupinledge_config::reference::{route_by_scan, RoutingInput};
 use lupinledge_config::{check, Config, Document, PutResult, Settings, Tables};
 use serde_json::{json, Value};
 
@@ -204,7 +204,7 @@
         let tables = Tables::new(&document(&config), &zones()).unwrap();
         let route = tables.route("jepu9.example", "/lepu270/").unwrap();
         let parsed = Config::parse(&bytes(&config)).unwrap();
-        let probe = Probe { host: "jepu9.example".into(), path: "/lepu270/".into(), key: None };
+        let probe = RoutingInput { host: "jepu9.example".into(), path: "/lepu270/".into(), key: None };
         assert_eq!((route.kind, route_by_scan(&parsed, &probe).unwrap().kind), (kind, kind));
     }
 }
