--- a/config/src/fingerprint.rs
+++ b/config/src/fingerprint.rs
@@ -192,7 +192,7 @@
     };
     let h = Hash::new().text(&r.name).text(&r.key).set(r.services.iter().map(weighted)).integer(kind);
     let h = h.float(r.timeout).float(r.target).integer(r.priority as u64).integer(r.public as u64);
-    h.integer(r.max_attempts as u64).texts(r.home_regions.iter().map(String::as_str)).end()
+    h.integer(r.max_dispatches as u64).texts(r.home_regions.iter().map(String::as_str)).end()
 }
 
 fn tenant_hash(t: &Tenant) -> Hash {
--- a/config/src/reference.rs
+++ b/config/src/reference.rs
@@ -80,7 +80,7 @@
         services: sorted(route.services.iter().map(|&(i, w)| (name(i), w)).collect()),
         kind: route.kind,
         timeout: route.timeout,
-        attempts: route.max_attempts,
+        attempts: route.max_dispatches,
         tenant: tenant.map(|t| (t.name.clone(), t.rate, t.burst, t.priority)),
         refused: tables.requires_key() && !route.public && tenant.is_none(),
     })
--- a/config/src/tables.rs
+++ b/config/src/tables.rs
@@ -48,7 +48,7 @@
     /// Whether requests need no API key.
     pub public: bool,
     /// The most servers that one attempt of the client may be sent to, 1 or more.
-    pub max_attempts: u32,
+    pub max_dispatches: u32,
     /// Regions that may serve the requests; empty for all.
     pub home_regions: Vec<String>,
 }
@@ -286,19 +286,19 @@
         self.evacuated_zones.iter().map(String::as_str)
     }
 
-    /// Corrupts the tables in memory as a fault would, for tests; `how` names the corruption. Does nothing unless
+    /// Corrupts the tables in memory as a fault would, for tests; `kind` names the corruption. Does nothing unless
     /// [`CORRUPTION_ENABLED`].
     #[cfg_attr(not(feature = "drift"), allow(unused_variables))]
-    pub fn corrupt(&mut self, how: &str) {
+    pub fn corrupt(&mut self, kind: &str) {
         #[cfg(feature = "drift")]
-        assert!(how != "panic", "requested by the test");
+        assert!(kind != "panic", "requested by the test");
         #[cfg(feature = "drift")]
-        match (how, self.services.len()) {
+        match (kind, self.services.len()) {
             ("service", n @ 2..) => {
                 let targets = self.routes.iter_mut().flat_map(|r| &mut r.services);
                 targets.for_each(|s| s.0 = (s.0 + 1) % n);
             }
-            ("retry", _) => self.routes.iter_mut().for_each(|r| r.max_attempts += 1),
+            ("retry", _) => self.routes.iter_mut().for_each(|r| r.max_dispatches += 1),
             ("prefix", _) => self.hosts.values_mut().for_each(|list| list.reverse()),
             ("key", _) => drop(self.keys.insert("revoked".into(), 0)),
             ("half", _) => drop(self.tenants.pop()),
@@ -327,7 +327,7 @@
         target: rule.target_s.filter(|t| *t > 0.0).unwrap_or(action.timeout_s),
         priority: rule.priority as u32,
         public: rule.public,
-        max_attempts: (action.max_attempts as u32).max(1),
+        max_dispatches: (action.max_attempts as u32).max(1),
         home_regions: sorted_unique(action.home_regions),
     }
 }
--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -108,7 +108,7 @@
         late_value: 0.3 * value,
         value,
         timeout: Span::from_secs(route.timeout),
-        max_dispatches: route.max_attempts,
+        max_dispatches: route.max_dispatches,
     }
 }
 
--- a/data-plane/src/terms/tests.rs
+++ b/data-plane/src/terms/tests.rs
@@ -53,7 +53,7 @@
         target: 1.0,
         priority: 0,
         public: false,
-        max_attempts: 2,
+        max_dispatches: 2,
         home_regions: Vec::new(),
     };
     let replayable = |kind| matches!(frontend(&route(kind)).effect, Effect::Replayable);
