--- a/config/src/config.rs
+++ b/config/src/config.rs
@@ -25,10 +25,10 @@
     #[serde(default)]
     #[garde(length(max = 20_000), dive)]
     pub tenants: Option<Vec<Tenant>>,
-    /// The routes, grouped by host.
+    /// The routes, grouped by host; `listeners` is the outer name.
     #[garde(length(max = 20_000), dive)]
     pub listeners: Vec<Listener>,
-    /// The services.
+    /// The services; `clusters` is the outer name.
     #[garde(length(max = 20_000), dive)]
     pub clusters: Vec<Cluster>,
 }
--- a/config/src/settings.rs
+++ b/config/src/settings.rs
@@ -207,7 +207,7 @@
     seed_lag_s = 3.0,
     /// How long after the end of a server its address may be reused.
     reuse_after_s = 2.0,
-    /// How long a machine runs undisturbed before it counts as connected.
+    /// How long a machine has to run without loss of its process or network before the other bounds apply to it.
     contact_s = 5.0,
     /// How long until an order has to be acknowledged.
     ack_s = 8.0,
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -307,8 +307,9 @@
     /// Whether this node is cut off rather than without a leader: it has recently received messages neither from
     /// `node` nor from enough members to form a majority with itself.
     pub fn is_isolated_from(&self, now: f64, node: Node) -> bool {
-        let heard = |m: Node| self.last_heard.get(&m).is_some_and(|at| now - at <= LIVENESS_TIMEOUT);
-        !heard(node) && !self.newest_value().has_quorum(|m| m == self.me || heard(m))
+        let has_sent_lately =
+            |m: Node| self.last_heard.get(&m).is_some_and(|at| now - at <= LIVENESS_TIMEOUT);
+        !has_sent_lately(node) && !self.newest_value().has_quorum(|m| m == self.me || has_sent_lately(m))
     }
 
     /// The newest value known to be committed. Its body is empty until the first proposal.
--- a/consensus/src/new_cluster.rs
+++ b/consensus/src/new_cluster.rs
@@ -87,8 +87,8 @@
     /// Whether enough members that can vote sent a message lately to form a majority with this one.
     fn reaches_majority(&self, now: f64) -> bool {
         let answers = |m: Node| {
-            let heard = self.last_heard.get(&m).is_some_and(|at| now - at <= SILENCE_TIMEOUT);
-            m == self.me || heard && !self.learning_nodes.contains(&m)
+            let has_sent_lately = self.last_heard.get(&m).is_some_and(|at| now - at <= SILENCE_TIMEOUT);
+            m == self.me || has_sent_lately && !self.learning_nodes.contains(&m)
         };
         self.learner.is_none() && self.newest_value().has_quorum(answers)
     }
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -85,7 +85,7 @@
 /// - `nonce`: identifies a request and is repeated in the reply to it;
 /// - `cluster`: the sender's cluster number;
 /// - `incarnation`: the sender's incarnation (in the messages about learning, the learner's); `incarnations`: those of
-///   other nodes that the sender has recorded;
+///   other nodes that the sender has recorded, as pairs of node and incarnation or triples with the nonce;
 /// - `proposer_incarnation`: as in [`PersistentState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
--- a/control-plane/src/consensus_driver.rs
+++ b/control-plane/src/consensus_driver.rs
@@ -190,9 +190,9 @@
         let (leading_epoch, known_leader, wake_at) =
             (replica.leading_epoch(self.clock.now()), replica.leader(self.clock.now()), replica.next_wake());
         drop(replica);
-        let counts = Some(self.is_member());
-        if self.logged_membership.replace(counts) != counts {
-            tracing::info!(event = "member", counts);
+        let is_member = Some(self.is_member());
+        if self.logged_membership.replace(is_member) != is_member {
+            tracing::info!(event = "member", counts = is_member);
         }
         self.log_members();
         let known_leader =
--- a/control-plane/src/control_plane.rs
+++ b/control-plane/src/control_plane.rs
@@ -326,8 +326,9 @@
         self.consensus.shut_down();
         let counts = self.gossip.post().counts();
         let (sent, cast, dropped) = (counts.sent.get(), counts.datagrams.get(), counts.dropped.get());
-        let (news, unreadable) = (self.gossip.update_bytes_sent(), self.servers.unreadable_rows.get());
-        tracing::info!(event = "ended", sent, cast, dropped, news, unreadable);
+        let (update_bytes, unreadable) =
+            (self.gossip.update_bytes_sent(), self.servers.unreadable_rows.get());
+        tracing::info!(event = "ended", sent, cast, dropped, news = update_bytes, unreadable);
         self.gossip.post().close();
     }
 }
--- a/data-plane/tests/rules/answer_integrity.rs
+++ b/data-plane/tests/rules/answer_integrity.rs
@@ -55,11 +55,11 @@
 }
 
 /// Sends `REQUESTS_PER_CLIENT` requests and returns what was observed of them.
-fn client(front: SocketAddr, behaviors: u64, seed: u64) -> Vec<ObservedRequest> {
+fn client(client_address: SocketAddr, behaviors: u64, seed: u64) -> Vec<ObservedRequest> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut observed, mut link) = (Vec::<ObservedRequest>::new(), None);
     while observed.len() < REQUESTS_PER_CLIENT {
-        let mut connection = link.take().unwrap_or_else(|| Client::to(front).expect("a connection"));
+        let mut connection = link.take().unwrap_or_else(|| Client::to(client_address).expect("a connection"));
         let (pipelined, leaves) = next_step(&mut rng);
         let (mut requests, from) = (String::new(), observed.len());
         for _ in 0..pipelined {
@@ -103,9 +103,10 @@
 fn every_client_gets_its_own_answer(seed: u64, pauses_ms: &[u64]) {
     let run_log: Arc<RunLog> = Arc::default();
     let cluster = Cluster::start((0..8).map(|nth| faulty_servers::start(nth, seed, &run_log)).collect());
-    let front = cluster.front;
-    let clients: Vec<_> =
-        (0..CLIENTS).map(|c| std::thread::spawn(move || client(front, seed, seed << 4 | c))).collect();
+    let client_address = cluster.client_address;
+    let clients: Vec<_> = (0..CLIENTS)
+        .map(|c| std::thread::spawn(move || client(client_address, seed, seed << 4 | c)))
+        .collect();
     // after each pause the gateway sees everything at once that servers and clients did meanwhile
     for pause_ms in pauses_ms {
         let next_pause_at = run_log.whole() + 40;
@@ -149,7 +150,7 @@
     let server = near_server("i-1", WELL_BEHAVED);
     let cluster = Cluster::start(vec![server_row(&server, "a")]);
     let (_, text) = new_request("POST /pay/x", "key", "", "sum");
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::to(cluster.client_address).unwrap();
     client.write((text.clone() + &text).as_bytes()).unwrap();
     let mut status = || client.answer().unwrap().map(|a| (a.status(), a.header("connection").is_some()));
     assert_eq!((status(), status()), (Some((200, false)), Some((409, true))), "pipelined");
--- a/data-plane/tests/rules/cluster.rs
+++ b/data-plane/tests/rules/cluster.rs
@@ -132,7 +132,7 @@
     child: Child,
     path: PathBuf,
     /// Its address for clients.
-    pub front: SocketAddr,
+    pub client_address: SocketAddr,
     ready: SocketAddr,
 }
 
@@ -144,7 +144,7 @@
 
     /// One request on a connection of its own.
     pub fn ask(&self, bytes: &str) -> Message {
-        try_ask(self.front, bytes).expect("an answer")
+        try_ask(self.client_address, bytes).expect("an answer")
     }
 }
 
@@ -181,7 +181,7 @@
     /// The program's address.
     pub ip: Ipv4Addr,
     /// Its address for clients.
-    pub front: SocketAddr,
+    pub client_address: SocketAddr,
     ready: SocketAddr,
     path: PathBuf,
     settings: Value,
@@ -210,12 +210,12 @@
     fn start_with(rows: Vec<ListedServer>, config: &Value, more: Value) -> Cluster {
         let (own_ip, core) = (ip(), ip());
         let start_guard = START_LOCK.lock().unwrap_or_else(|e| e.into_inner());
-        let [peers, front, ready] = ports([own_ip, core]);
+        let [peers, client_port, ready] = ports([own_ip, core]);
         let settings = |ip: Ipv4Addr| {
             let mut settings = json!({
                 "ip": ip, "zone": "mead-1", "region": "mead",
                 "zones": {"mead-1": "mead", "mead-2": "mead", "wold-1": "wold"},
-                "listen": {"front": format!("{own_ip}:{front}"), "ready": format!("{own_ip}:{ready}")},
+                "listen": {"front": format!("{own_ip}:{client_port}"), "ready": format!("{own_ip}:{ready}")},
                 "port_range": [peers, peers], "seeds": [format!("{core}:{peers}")],
             });
             let fields = settings.as_object_mut().zip(more.as_object());
@@ -229,10 +229,20 @@
         let settings = settings(own_ip);
         let (child, log) = run(&path, &settings);
         drop(start_guard);
-        let (front, ready) = ((own_ip, front).into(), (own_ip, ready).into());
+        let (client_address, ready) = ((own_ip, client_port).into(), (own_ip, ready).into());
         let (marker_server, lists) = (TestServer::start("mark", "mead-2", WELL_BEHAVED), AtomicU64::new(0));
-        let cluster =
-            Cluster { child, core, ip: own_ip, front, ready, path, settings, log, marker_server, lists };
+        let cluster = Cluster {
+            child,
+            core,
+            ip: own_ip,
+            client_address,
+            ready,
+            path,
+            settings,
+            log,
+            marker_server,
+            lists,
+        };
         cluster.apply_document(document(1, config, &[]));
         cluster.apply_list(rows);
         wait_until("the gateway is ready", || cluster.readiness() == Some(200));
@@ -320,14 +330,14 @@
     pub fn start_gateway_logging_to(&self, log: Stdio) -> ExtraGateway {
         let (own_ip, mut settings) = (ip(), self.settings.clone());
         let at = |port: u16| SocketAddr::from((own_ip, port));
-        let (front, ready) = (at(self.front.port()), at(self.ready.port()));
+        let (client_address, ready) = (at(self.client_address.port()), at(self.ready.port()));
         settings["ip"] = json!(own_ip);
-        settings["listen"] = json!({"front": front, "ready": ready});
+        settings["listen"] = json!({"front": client_address, "ready": ready});
         let path = std::env::temp_dir().join(format!("lupinledge-forager-{own_ip}.json"));
         let start_guard = START_LOCK.lock();
         let child = spawn_program(&path, &settings, log);
         drop(start_guard);
-        let gateway = ExtraGateway { child, path, front, ready };
+        let gateway = ExtraGateway { child, path, client_address, ready };
         wait_until("the other gateway is ready", || gateway.readiness() == Some(200));
         gateway
     }
@@ -353,7 +363,7 @@
     }
 
     fn try_ask(&self, bytes: &str) -> Option<Message> {
-        try_ask(self.front, bytes)
+        try_ask(self.client_address, bytes)
     }
 
     /// One request on a connection of its own.
--- a/data-plane/tests/rules/main.rs
+++ b/data-plane/tests/rules/main.rs
@@ -106,7 +106,7 @@
     let cluster = Cluster::start(vec![server_row(&server, "a")]);
     // an unread body is not parsed as a request
     let inner = new_request("GET /read/inner", "key", "", "").1;
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::to(cluster.client_address).unwrap();
     client.write(new_request("POST /none/x", "key", "", &inner).1.as_bytes()).unwrap();
     assert_eq!(client.answer().unwrap().expect("an answer").status(), 404);
     assert!(!matches!(client.answer(), Ok(Some(_))), "the connection is closed");
@@ -142,7 +142,7 @@
     let server = near_server("i-1", WELL_BEHAVED);
     let cluster = Cluster::start(vec![server_row(&server, "a")]);
     let text = new_request("POST /pay/x", "key", "", "").1.replace("Content-Length: 0", lengths);
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::to(cluster.client_address).unwrap();
     client.write((text + body + &new_request("GET /read/inner", "key", "", "").1).as_bytes()).unwrap();
     assert_eq!(client.answer().unwrap().expect("an answer").status(), 400);
     assert!(!matches!(client.answer(), Ok(Some(_))), "the connection is closed");
@@ -356,7 +356,7 @@
 fn older_configurations_are_ignored() {
     let (one, two) = (near_server("i-1", WELL_BEHAVED), near_server("i-2", WELL_BEHAVED));
     let cluster = Cluster::start(vec![server_row(&one, "a"), server_row(&two, "b")]);
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::to(cluster.client_address).unwrap();
     let mut ask = |key: &str| {
         let text = new_request("GET /read/x", key, "", "").1;
         client.ask(text.as_bytes()).unwrap().expect("an answer").status()
@@ -420,7 +420,7 @@
     let mut cluster =
         Cluster::with_config(vec![server_row(&server, "a")], &config(), json!({"grace_s": 3.0}));
     let (id, text) = new_request("POST /pay/x", "key", "", "");
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::to(cluster.client_address).unwrap();
     client.write(text.as_bytes()).unwrap();
     wait_until("the server has the request", || server.received().len() == 1);
     let began = Instant::now();
@@ -439,7 +439,7 @@
 
 /// Sends a request and only then reads; returns the status of the answer, or 0 if there is none.
 fn whole_then_status(cluster: &Cluster, text: &str) -> u16 {
-    let mut client = Client::to(cluster.front).expect("a connection");
+    let mut client = Client::to(cluster.client_address).expect("a connection");
     // the body of a refused request is not read to its end, so writing may fail
     let _ = client.write(text.as_bytes());
     client.answer().ok().flatten().map_or(0, |answer| answer.status())
@@ -477,7 +477,7 @@
     action["split"] = json!([{"service": "a", "weight": 70}, {"service": "b", "weight": 30}]);
     action.as_object_mut().expect("an action").remove("service");
     let cluster = Cluster::with_config(vec![server_row(&a, "a"), server_row(&b, "b")], &split, json!({}));
-    let mut client = Client::to(cluster.front).expect("a connection");
+    let mut client = Client::to(cluster.client_address).expect("a connection");
     let went_to_a: Vec<bool> = (0..900)
         .map(|_| {
             let answer = client.ask(new_request("GET /read/x", "key", "", "").1.as_bytes());
@@ -533,7 +533,7 @@
     let before = cluster.peak_kb();
     let held: Vec<Client> = (0..40)
         .map(|_| {
-            let mut client = Client::to(cluster.front).expect("a connection");
+            let mut client = Client::to(cluster.client_address).expect("a connection");
             client
                 .write(new_request(&format!("GET /read/{LONG}"), "key", "", "").1.as_bytes())
                 .expect("written");
--- a/data-plane/tests/rules/operation_keys.rs
+++ b/data-plane/tests/rules/operation_keys.rs
@@ -39,8 +39,8 @@
 }
 
 /// Sends a request from a thread of its own.
-fn send_in_thread(front: SocketAddr, text: String) -> JoinHandle<Message> {
-    spawn(move || Client::to(front).unwrap().ask(text.as_bytes()).unwrap().expect("an answer"))
+fn send_in_thread(client_address: SocketAddr, text: String) -> JoinHandle<Message> {
+    spawn(move || Client::to(client_address).unwrap().ask(text.as_bytes()).unwrap().expect("an answer"))
 }
 
 /// Asserts that the answer is the first request's, under the repeat's own attempt id.
@@ -84,13 +84,13 @@
     let cluster = start(&server);
     let other_gateway = cluster.start_gateway();
     let (first, text) = request("k-1");
-    let ran = send_in_thread(cluster.front, text);
+    let ran = send_in_thread(cluster.client_address, text);
     wait_until("the request runs", || server.received().len() == 1);
-    let (here, text) = request("k-1");
-    let waits_here = send_in_thread(cluster.front, text);
-    let (there, text) = request("k-1");
-    assert_repeats(&first, &there, &other_gateway.ask(&text));
-    assert_repeats(&first, &here, &waits_here.join().unwrap());
+    let (repeat_here, text) = request("k-1");
+    let pending_repeat = send_in_thread(cluster.client_address, text);
+    let (repeat_elsewhere, text) = request("k-1");
+    assert_repeats(&first, &repeat_elsewhere, &other_gateway.ask(&text));
+    assert_repeats(&first, &repeat_here, &pending_repeat.join().unwrap());
     assert_repeats(&first, &first, &ran.join().unwrap());
     assert_eq!(server.received().len(), 1);
 }
@@ -102,11 +102,11 @@
     let cluster = start(&server);
     let other_gateway = cluster.start_gateway();
     let (first, text) = request("k-1");
-    let ran = send_in_thread(cluster.front, text);
+    let ran = send_in_thread(cluster.client_address, text);
     wait_until("the request runs", || server.received().len() == 1);
-    let here = send_in_thread(cluster.front, request_with_deadline(400, "k-1").1);
+    let pending_repeat = send_in_thread(cluster.client_address, request_with_deadline(400, "k-1").1);
     assert_eq!(other_gateway.ask(&request_with_deadline(400, "k-1").1).status(), 409);
-    assert_eq!(here.join().unwrap().status(), 409);
+    assert_eq!(pending_repeat.join().unwrap().status(), 409);
     assert_repeats(&first, &first, &ran.join().unwrap());
     assert_eq!(server.received().len(), 1);
 }
@@ -188,8 +188,8 @@
     let cluster = start(&server);
     let other_gateway = cluster.start_gateway();
     let first = spawn({
-        let (front, text) = (other_gateway.front, request("k-1").1);
-        move || Client::to(front).unwrap().ask(text.as_bytes()).ok().flatten()
+        let (client_address, text) = (other_gateway.client_address, request("k-1").1);
+        move || Client::to(client_address).unwrap().ask(text.as_bytes()).ok().flatten()
     });
     wait_until("the request runs", || server.received().len() == 1);
     drop(other_gateway);
@@ -241,7 +241,7 @@
     let server = near_server("i-1", Behavior::Answer(ms(400)));
     let cluster = start(&server);
     let (first, text) = request("k-1");
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::to(cluster.client_address).unwrap();
     client.write(text.as_bytes()).unwrap();
     wait_until("the request runs", || server.received().len() == 1);
     drop(client);
@@ -260,7 +260,7 @@
         Cluster::with_config(vec![server_row(&server, "a")], &keyed_config(), json!({"grace_s": 4}));
     let other_gateway = cluster.start_gateway();
     let (first, text) = request("k-1");
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::to(cluster.client_address).unwrap();
     client.write(text.as_bytes()).unwrap();
     wait_until("the request runs", || server.received().len() == 1);
     drop(client);
@@ -283,17 +283,18 @@
     let cluster = start(&server);
     let other_gateway: Vec<_> = (1..gateways).map(|_| cluster.start_gateway()).collect();
     let voters = cluster.start_voters(reachable, all);
-    let fronts: Vec<_> = other_gateway.iter().map(|b| b.front).chain([cluster.front]).collect();
-    let ask = |front, key: &str| send_in_thread(front, request(key).1);
-    for (nth, front) in fronts.iter().enumerate() {
+    let client_addresses: Vec<_> =
+        other_gateway.iter().map(|b| b.client_address).chain([cluster.client_address]).collect();
+    let ask = |client_address, key: &str| send_in_thread(client_address, request(key).1);
+    for (nth, client_address) in client_addresses.iter().enumerate() {
         // a granted claim shows that the gateway knows the voters
         wait_until("the gateway reaches the voters", || {
-            ask(*front, &format!("warm-{nth}")).join().unwrap().status() == 200
+            ask(*client_address, &format!("warm-{nth}")).join().unwrap().status() == 200
         });
     }
-    let nodes: Vec<u32> = fronts
+    let nodes: Vec<u32> = client_addresses
         .iter()
-        .filter_map(|front| match front.ip() {
+        .filter_map(|client_address| match client_address.ip() {
             IpAddr::V4(ip) => Some(u32::from(ip)),
             IpAddr::V6(_) => None,
         })
@@ -305,13 +306,14 @@
     let (before, mut decided_at_once) = (server.received().len(), 0);
     for nth in 0..KEYS {
         let key = format!("k-{nth}");
-        let pending: Vec<_> = fronts.iter().map(|front| ask(*front, &key)).collect();
+        let pending: Vec<_> =
+            client_addresses.iter().map(|client_address| ask(*client_address, &key)).collect();
         let answers: Vec<_> = pending.into_iter().map(|pending| pending.join().unwrap()).collect();
         let passed: Vec<_> = answers.iter().filter(|a| a.status() == 200).map(Message::text).collect();
         assert!(answers.iter().all(|a| matches!(a.status(), 200 | 409 | 503)), "a refusal or the answer");
         assert!(passed.windows(2).all(|pair| pair[0] == pair[1]), "{passed:?}");
         decided_at_once += usize::from(passed.len() == gateways);
-        wait_until("the key has run", || ask(cluster.front, &key).join().unwrap().status() == 200);
+        wait_until("the key has run", || ask(cluster.client_address, &key).join().unwrap().status() == 200);
     }
     assert_eq!(server.received().len() - before, KEYS);
     assert!(voters.iter().all(|voter| voter.votes.claims.load(Ordering::SeqCst) > 0));
@@ -326,7 +328,7 @@
     let server = near_server("i-1", WELL_BEHAVED);
     let cluster = start(&server);
     cluster.core.votes.silent.store(true, Ordering::SeqCst);
-    let pending = send_in_thread(cluster.front, request("k-1").1);
+    let pending = send_in_thread(cluster.client_address, request("k-1").1);
     wait_until("the key is claimed", || cluster.core.votes.claims.load(Ordering::SeqCst) > 0);
     cluster.apply_document(document(2, &config(), &[]));
     cluster.core.votes.silent.store(false, Ordering::SeqCst);
--- a/data-plane/tests/rules/table_drift.rs
+++ b/data-plane/tests/rules/table_drift.rs
@@ -20,13 +20,14 @@
 
 /// Sends requests to one node and, when it answers 503, to the others in turn. All tries of a request have
 /// the same attempt id.
-fn client(fronts: Vec<SocketAddr>, mut at: usize, stop: Arc<AtomicBool>) -> Vec<RequestResult> {
+fn client(client_addresses: Vec<SocketAddr>, mut at: usize, stop: Arc<AtomicBool>) -> Vec<RequestResult> {
     let (mut results, mut link) = (Vec::new(), None);
     while !stop.load(Ordering::SeqCst) {
         let (id, text) = new_request("POST /pay/x", "key", "", "sum");
         let (began, mut moved) = (Instant::now(), 0);
         loop {
-            let mut connection = link.take().unwrap_or_else(|| Client::to(fronts[at]).expect("a connection"));
+            let mut connection =
+                link.take().unwrap_or_else(|| Client::to(client_addresses[at]).expect("a connection"));
             let answer = connection.ask(text.as_bytes()).expect("no break").expect("an answer");
             if answer.header("connection") != Some("close") {
                 link = Some(connection);
@@ -35,7 +36,7 @@
                 200 => break,
                 503 => {
                     assert!(answer.header("retry-after").is_some(), "a refusal says when to retry");
-                    (at, moved, link) = ((at + 1) % fronts.len(), moved + 1, None);
+                    (at, moved, link) = ((at + 1) % client_addresses.len(), moved + 1, None);
                     assert!(moved < 10, "no node takes the request");
                 }
                 other => panic!("{other}"),
@@ -57,10 +58,11 @@
         (TestServer::start("i-a", "mead-1", WELL_BEHAVED), TestServer::start("i-b", "mead-1", WELL_BEHAVED));
     let cluster = Cluster::start(vec![server_row(&server_a, "a"), server_row(&server_b, "b")]);
     let (second, third) = (cluster.start_gateway(), cluster.start_gateway());
-    let fronts = vec![cluster.front, second.front, third.front];
+    let client_addresses = vec![cluster.client_address, second.client_address, third.client_address];
     let stop: Arc<AtomicBool> = Arc::default();
-    let clients = (0..4).map(|i| (i % 3, fronts.clone(), stop.clone()));
-    let clients: Vec<_> = clients.map(|(i, fronts, stop)| spawn(move || client(fronts, i, stop))).collect();
+    let clients = (0..4).map(|i| (i % 3, client_addresses.clone(), stop.clone()));
+    let clients: Vec<_> =
+        clients.map(|(i, client_addresses, stop)| spawn(move || client(client_addresses, i, stop))).collect();
     // by then the three nodes have learned of each other; a node that is alone would not withdraw, but be
     // repaired in place
     sleep(ms(1500));
@@ -91,7 +93,7 @@
         "nothing is sent by the changed rules after the withdrawal"
     );
     let log = cluster.log();
-    let log_has = |what: &[&str]| log.lines().any(|l| what.iter().all(|w| l.contains(w)));
+    let log_has = |words: &[&str]| log.lines().any(|l| words.iter().all(|w| l.contains(w)));
     assert!(log_has(&["event=drift", &format!("part={part}"), "judge=own"]), "{log}");
     assert!(log_has(&["event=out"]) && log_has(&["event=back"]), "{log}");
 }
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -70,7 +70,7 @@
         // without the counter, a lease has to fit beside the recent leases of other gateways
         let no_lease = cust.held >= cap || !asks && !self.lease_fits(c, cust.held + 1.0);
         let decided = recent || !asks && (caution >= 1.0 || self.rng.f64() < caution);
-        // DESIGN: if calls are slow, the gateways share what the last total left instead of waiting
+        // if calls are slow, the gateways share what the last total left instead of waiting
         let (slow, free) = (asks && self.call_time > 0.02 && recent, cap - cust.held - cust.lease.others);
         let early = slow && self.available(c) * self.share(c) >= n.units;
         let ask_lease = cap > 0.0 && asks && !(slow && free * self.share(c) >= 1.0);
@@ -116,11 +116,11 @@
         self.customers[c].available(self.now, p.rate, p.burst)
     }
 
-    /// Recent share of a customer's use: with DESIGN's even split, customers on few gateways would starve.
+    /// Recent share of a customer's use: with an even split, customers on few gateways would starve.
     pub(crate) fn share(&self, c: usize) -> f64 {
         let cust = &self.customers[c];
         let prior = 0.5 * self.terms.plans[cust.plan].burst.max(1.0);
-        let alone = if self.costly_outage(c) { 0.85 } else { 1.0 }; // each saw the others' idle times
+        let alone = if self.costly_outage(c) { 0.85 } else { 1.0 }; // each gateway's estimate includes idle times of the others
         alone * ((cust.own_use + prior / cust.spread) / (cust.all_use + prior)).clamp(0.5 / cust.spread, 1.0)
     }
 
--- a/src/counter.rs
+++ b/src/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::{interface::*, state::*, time::*};
 
-pub(crate) const ROLL: f64 = 2.0; // DESIGN: lease names change every two seconds; older totals are stale
+pub(crate) const ROLL: f64 = 2.0; // lease names change every two seconds; older totals are stale
 pub(crate) const LEAD: f64 = 0.1; // leases are added to the next name this early: several counter round trips
 const SHARE_MEMORY: f64 = 8.0; // seconds that use is averaged over: a customer's spread changes in several
 
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// AIMD on the pool limit (DESIGN) given enough samples. Unused places neither raise nor cut it.
+    /// AIMD on the pool limit given enough samples. Unused places neither raise nor cut it.
     fn adjust_limit(&mut self) {
         let (mut late, seen) = (false, self.full as usize + self.samples.iter().map(Vec::len).sum::<usize>());
         if seen < 10 {
--- a/src/queue.rs
+++ b/src/queue.rs
@@ -12,7 +12,7 @@
         self.queue.push(2 * c + (zones != u64::MAX) as usize, slot);
     }
 
-    /// Weighted deficit round robin over customers (DESIGN). The limit holds on average, to within one place.
+    /// Weighted deficit round robin over customers. The limit holds on average, to within one place.
     pub(crate) fn send_waiting(&mut self) {
         let mut passed_over = 0;
         while let Some((lane, slot)) = self.queue.head() {
