--- a/config/src/config.rs
+++ b/config/src/config.rs
@@ -25,10 +25,10 @@
     #[serde(default)]
     #[garde(length(max = 20_000), dive)]
     pub tenants: Option<Vec<Tenant>>,
-    /// The routes, grouped by host.
+    /// The routes, grouped by host; `listeners` is the outer name.
     #[garde(length(max = 20_000), dive)]
     pub listeners: Vec<Listener>,
-    /// The services.
+    /// The services; `clusters` is the outer name.
     #[garde(length(max = 20_000), dive)]
     pub clusters: Vec<Cluster>,
 }
@@ -201,7 +201,7 @@
     /// Seconds after which a request is given up.
     #[garde(custom(positive))]
     pub timeout_s: f64,
-    /// The most servers that one attempt of the client may be sent to.
+    /// The most times that one request of the client may be sent to a server.
     #[serde(default = "default_one")]
     #[garde(custom(not_negative))]
     pub max_attempts: f64,
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -56,7 +56,7 @@
     pub owner: Node,
     /// The incarnation, plus one, of the leader that proposed the value under this ballot; 0 if unknown.
     #[serde(default)]
-    pub proposer: u64,
+    pub proposer_incarnation: u64,
 }
 
 /// Settings of a [`Replica`].
@@ -85,8 +85,8 @@
 /// - `nonce`: identifies a request and is repeated in the reply to it;
 /// - `cluster`: the sender's cluster number;
 /// - `incarnation`: the sender's incarnation (in the messages about learning, the learner's); `incarnations`: those of
-///   other nodes that the sender has recorded;
-/// - `proposer`: as in [`PersistentState`].
+///   other nodes that the sender has recorded, as pairs of node and incarnation or triples with the nonce;
+/// - `proposer_incarnation`: as in [`PersistentState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Msg {
     /// The sender is running.
@@ -120,12 +120,12 @@
     },
     /// The sender has the value of this ballot on disk.
     Accepted { ballot: Ballot, incarnation: u64, incarnations: Vec<(Node, u64)> },
-    /// The epoch of a request is below the promised one, or, if `promised` is below it, is not promised now.
+    /// Refuses a request: its epoch is below `promised`, or it is higher and the sender can't promise it now.
     Refused {
         epoch: u64,
         promised: u64,
-        /// Newest ballot that the sender knows to be committed. From it a removed node that doesn't know of its
-        /// removal learns of it.
+        /// Newest ballot that the sender knows to be committed. By this ballot a removed node notices that it was
+        /// removed.
         commit: Ballot,
     },
     /// The leader is alive; `commit` is the newest committed ballot (zero if there is none yet).
@@ -152,7 +152,7 @@
         ballot: Ballot,
         value: Option<Rc<Value>>,
         incarnations: Vec<(Node, u64, u64)>,
-        proposer: u64,
+        proposer_incarnation: u64,
     },
     /// The incarnation in a `Learn` was used before: the receiver must take one above this.
     NewerIncarnation { incarnation: u64 },
--- a/counters/tests/model.rs
+++ b/counters/tests/model.rs
@@ -214,9 +214,9 @@
     assert!((next - 70.0 * 0.4).abs() < 2.0, "{next}");
     // nothing is presumed for requests in flight or for other customers
     assert_eq!(c.add(30.4, 1, NAME + 1, 3.0, 2.0) + c.add(30.4, 1, 5 << 24, 4.0, 2.0), 7.0);
-    let all = c.add(30.4, 1, NAME, 0.0, 60.0);
-    let back = c.add(30.5, 4, NAME, 420.0, 60.0);
-    assert!(back < all + 100.0, "its report replaces the presumption");
+    let total_with_presumption = c.add(30.4, 1, NAME, 0.0, 60.0);
+    let total_after_report = c.add(30.5, 4, NAME, 420.0, 60.0);
+    assert!(total_after_report < total_with_presumption + 100.0, "its report replaces the presumption");
     c.remove_gateway(3);
     assert_eq!(c.presumed(NAME), 0.0);
 }
@@ -290,12 +290,18 @@
             now += 0.01;
             (1..=gateways).for_each(|n| old.record_contact(now, n));
             let (node, amount) = (r.u32(1..=gateways), r.u8(0..3) as f64);
-            let empty =
-                HandoverEntry { name: NAME, sum: 0.0, within: 0.0, total: 0.0, life: 60.0, store: None };
+            let empty = HandoverEntry {
+                name: NAME,
+                sum: 0.0,
+                counted_in_total: 0.0,
+                total: 0.0,
+                life: 60.0,
+                store: None,
+            };
             let t = reported.entry(node).or_insert(empty);
             t.sum += amount;
             all += amount;
-            (t.total, t.within) = (old.record_sum(now, (node, 1), NAME, t.sum, 60.0), t.sum);
+            (t.total, t.counted_in_total) = (old.record_sum(now, (node, 1), NAME, t.sum, 60.0), t.sum);
             assert_eq!(t.total, all);
         }
         let gone: Vec<u32> = (1..=gateways).filter(|_| r.u8(0..3) == 0).collect();
@@ -303,7 +309,7 @@
         // the newest total that a remaining gateway has received; 0 if there is none
         let known =
             reported.iter().filter(|(n, _)| !gone.contains(n)).map(|(_, t)| t.total).fold(0.0, f64::max);
-        let within: f64 = all - gone_sum;
+        let sum_without_gone: f64 = all - gone_sum;
         let mut new = Counters::new(2);
         new.set_quota(CUSTOMER, Quota { rate: 100.0, size: 20.0 });
         for n in (1..=gateways).filter(|n| !gone.contains(n)) {
@@ -314,8 +320,8 @@
         new.complete_handover(now, &gone);
         let first = gateways + 1;
         let total = new.record_sum(now, (first, 1), NAME, 0.0, 60.0);
-        assert_eq!(total, within.max(known), "{gone:?}, {reported:?}");
-        if !gone.is_empty() && known > within {
+        assert_eq!(total, sum_without_gone.max(known), "{gone:?}, {reported:?}");
+        if !gone.is_empty() && known > sum_without_gone {
             for i in 1..=20 {
                 (1..=gateways + 1)
                     .filter(|n| !gone.contains(n))
@@ -349,7 +355,7 @@
         HandoverPart::single(vec![HandoverEntry {
             name: NAME,
             sum,
-            within: sum,
+            counted_in_total: sum,
             total: 1000.0,
             life: 60.0,
             store: None,
--- a/data-plane/src/counter_client.rs
+++ b/data-plane/src/counter_client.rs
@@ -38,9 +38,9 @@
 
 /// Converts a handover entry to its form on the wire.
 fn name_report(entry: HandoverEntry) -> NameReport {
-    let HandoverEntry { name, sum, within, total, life, store } = entry;
+    let HandoverEntry { name, sum, counted_in_total, total, life, store } = entry;
     let store = store.map(|reading| (reading.level, reading.age as f32));
-    NameReport { name, sum, within, total, life: life as f32, store }
+    NameReport { name, sum, counted_in_total, total, life: life as f32, store }
 }
 
 /// Sends the counter calls of all pools of this process.
@@ -99,9 +99,11 @@
         for HandoverPart { index, count, entries } in
             HandoverPart::split(self.local_sums.borrow().handover(self.now()))
         {
-            let told = entries.into_iter().map(name_report).collect();
-            self.transport
-                .send(holder, &WireMessage::CounterReport { incarnation, told, epoch, part: (index, count) });
+            let reports = entries.into_iter().map(name_report).collect();
+            self.transport.send(
+                holder,
+                &WireMessage::CounterReport { incarnation, reports, epoch, part: (index, count) },
+            );
         }
     }
 
--- a/data-plane/src/terms.rs
+++ b/data-plane/src/terms.rs
@@ -102,13 +102,13 @@
             // most once
             RouteKind::NonIdempotent | RouteKind::Keyed => Effect::NonReplayable,
         },
-        group: DedupScope::All,
-        memory: Span::ZERO,
+        dedup_scope: DedupScope::All,
+        dedup_memory: Span::ZERO,
         target: Span::from_secs(route.target.min(route.timeout)),
         late_value: 0.3 * value,
         value,
         timeout: Span::from_secs(route.timeout),
-        max_dispatches: route.max_attempts,
+        max_dispatches: route.max_dispatches,
     }
 }
 
@@ -129,8 +129,8 @@
 /// The frontend at an index that no route has.
 const UNUSED_FRONTEND: Frontend = Frontend {
     effect: Effect::NonReplayable,
-    group: DedupScope::All,
-    memory: Span::ZERO,
+    dedup_scope: DedupScope::All,
+    dedup_memory: Span::ZERO,
     target: Span::millis(1000),
     late_value: 0.0,
     value: 1.0,
@@ -257,8 +257,8 @@
         may_cancel: true,
         may_hint: true,
         longest_hint: Span::from_secs(1.0),
-        warm_after: Span::from_secs(service.warmup_s.max(0.001)),
-        fall_window: Span::from_secs(4.0),
+        warmup_time: Span::from_secs(service.warmup_s.max(0.001)),
+        overload_window: Span::from_secs(4.0),
         regions: node.regions.clone(),
         start_limit: INITIAL_LIMIT_PER_SERVER,
         retry_budget: Some((0.9 * bounds.retry_ratio, 0.45 * bounds.retry_slack * gateway_share)),
--- a/gateway-settings/src/lib.rs
+++ b/gateway-settings/src/lib.rs
@@ -47,7 +47,7 @@
         other => return Err(format!("unknown effect `{other}`")),
     };
     let uniqued = effect == Effect::Deduplicated;
-    let group = match if uniqued { section.string("group")? } else { "all" } {
+    let dedup_scope = match if uniqued { section.string("group")? } else { "all" } {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
@@ -55,8 +55,8 @@
     };
     Ok(Frontend {
         effect,
-        group,
-        memory: if uniqued { section.span("memorySpan")? } else { Span::ZERO },
+        dedup_scope,
+        dedup_memory: if uniqued { section.span("memorySpan")? } else { Span::ZERO },
         target: section.span("slo")?,
         late_value: section.number("lateWorth")?,
         value: section.number("value")?,
@@ -154,17 +154,17 @@
         count_wait: family.span("countWait")?,
         max_units: family.number("largest")?,
         bills_after: family.boolean("costAfter")?,
-        peers: limits.boolean("peers")?,
+        may_message_peers: limits.boolean("peers")?,
         peer_intake: family.number("peerIntake")?,
         list_on_request: top.string("discovery")? == "on_request",
         may_duplicate: limits.boolean("mayDuplicate")?,
         may_cancel: limits.boolean("mayCancel")?,
         may_hint: limits.boolean("retryAfter")?,
         longest_hint: limits.span("maxRetryAfter")?,
-        cold_from: rules.number("coldFrom")?,
-        warm_after: rules.span("warmAfter")?,
-        fall_multiple: rules.number("fallMultiple")?,
-        fall_window: rules.span("tipAfter")?,
+        cold_start_share: rules.number("coldFrom")?,
+        warmup_time: rules.span("warmAfter")?,
+        overload_multiple: rules.number("fallMultiple")?,
+        overload_window: rules.span("tipAfter")?,
         marks_repeats: marks_repeats(v)?,
         start_limit: 3.0,
         ..Terms::default()
--- a/simulation/src/counter_model.rs
+++ b/simulation/src/counter_model.rs
@@ -69,7 +69,7 @@
             *counted_twice += self.excess.remove(&entry.name).unwrap_or(0.0);
         }
         if counter.handed_over.insert(from) {
-            *counted_twice += (entry.sum - entry.within).max(0.0);
+            *counted_twice += (entry.sum - entry.counted_in_total).max(0.0);
         }
     }
 
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -12,9 +12,9 @@
         let mean = warm.iter().map(|&i| self.servers.passed[i] / 4.0).sum::<f64>() / warm.len().max(1) as f64;
         for i in 0..self.servers.ready.len() {
             let floor = 1.0 / self.terms.gateways.max(1) as f64; // without any measured rate
-            let rate = (0.5 * self.terms.fall_multiple * self.warmth(i) * mean).max(floor);
+            let rate = (0.5 * self.terms.overload_multiple * self.warmth(i) * mean).max(floor);
             let rate = self.terms.cold_send_rate.unwrap_or(rate);
-            let most = (rate * self.terms.fall_window.secs() / 4.0).max(1.0);
+            let most = (rate * self.terms.overload_window.secs() / 4.0).max(1.0);
             let s = &mut self.servers;
             s.tokens[i] = (s.tokens[i] + rate).min(most);
             // decays by itself: a server that was slow once gets few answers and would be avoided for good
@@ -24,7 +24,7 @@
         }
     }
 
-    /// AIMD on the pool limit (DESIGN) given enough samples. Unused places neither raise nor cut it.
+    /// AIMD on the pool limit given enough samples. Unused places neither raise nor cut it.
     fn adjust_limit(&mut self) {
         let (mut late, seen) = (false, self.full as usize + self.samples.iter().map(Vec::len).sum::<usize>());
         if seen < 10 {
@@ -69,7 +69,8 @@
         self.limit = if before == 0.0 { self.initial_limit() } else { self.limit * ready / before };
     }
 
-    /// DESIGN: fixed per ready server, over all gateways. Two and four: no better than three beyond noise.
+    /// The pool limit at the start: `start_limit` per ready server, divided among the gateways. Limits of two and four
+    /// per server were no better than three beyond noise.
     fn initial_limit(&self) -> f64 {
         self.terms.start_limit / self.terms.gateways.max(1) as f64 * self.servers.open().count().max(1) as f64
     }
@@ -77,16 +78,16 @@
     /// The share of its full capacity that a server has now, by the slowest warm-up that the rules allow.
     fn warmth(&self, i: usize) -> f64 {
         let Some(started_at) = self.servers.started_at[i] else { return 1.0 };
-        let part = self.now.since(started_at).max(0.0) / self.terms.warm_after.secs().max(1e-3);
-        (self.terms.cold_from + (1.0 - self.terms.cold_from) * part).min(1.0)
+        let part = self.now.since(started_at).max(0.0) / self.terms.warmup_time.secs().max(1e-3);
+        (self.terms.cold_start_share + (1.0 - self.terms.cold_start_share) * part).min(1.0)
     }
 
     /// Sequential probability ratio test: a server that fails is distrusted and its requests are reviewed.
     pub(crate) fn add_evidence(&mut self, i: usize, weight: f64) {
-        const CONVICTED: f64 = 6.9; // log odds of 1000 to 1; lower odds are no better with many gateways
+        const DISTRUST_THRESHOLD: f64 = 6.9; // log odds of 1000 to 1; lower odds are no better with many gateways
         self.servers.evidence[i] = (self.servers.evidence[i] + weight).max(0.0);
-        if self.servers.evidence[i] >= CONVICTED {
-            (self.servers.evidence[i], self.servers.distrust[i]) = (CONVICTED / 2.0, 1.0);
+        if self.servers.evidence[i] >= DISTRUST_THRESHOLD {
+            (self.servers.evidence[i], self.servers.distrust[i]) = (DISTRUST_THRESHOLD / 2.0, 1.0);
             self.requests.sent_to(i).into_iter().for_each(|(slot, id)| self.wakeups.push(self.now, slot, id));
         }
     }
@@ -141,9 +142,9 @@
             return false;
         }
         let Some(first) = r.tries.iter().find(|t| t.ran) else { return true };
-        let same = s.same_scope(f.group, first.server, i);
+        let same = s.same_scope(f.dedup_scope, first.server, i);
         // 0.9 of the memory: the server's may begin earlier than the send is seen here
-        let known = same && self.now - first.sent < f.memory.times(0.9);
-        f.effect == Effect::Replayable || f.effect == Effect::Deduplicated && known
+        let still_remembered = same && self.now - first.sent < f.dedup_memory.times(0.9);
+        f.effect == Effect::Replayable || f.effect == Effect::Deduplicated && still_remembered
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -570,8 +570,8 @@
         &mut self.throttle[i * self.plans + plan]
     }
     /// Whether two servers share the memory of repeats.
-    pub fn same_scope(&self, group: DedupScope, a: usize, b: usize) -> bool {
-        match group {
+    pub fn same_scope(&self, dedup_scope: DedupScope, a: usize, b: usize) -> bool {
+        match dedup_scope {
             DedupScope::All => true,
             DedupScope::Zone => self.zone[a] == self.zone[b],
             DedupScope::Cell => self.cell[a] == self.cell[b],
@@ -628,7 +628,7 @@
     pub(crate) avg_out: f64,
     /// Requests sent, by the basis of their admission.
     pub(crate) admissions: [u64; Basis::ALL],
-    /// The most dispatches out in this second.
+    /// The most dispatches without an outcome at once since the limit was last adjusted.
     pub(crate) peak: f64,
     pub(crate) queue: WaitQueue,
     /// By frontend: time taken, smoothed.
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -223,8 +223,8 @@
 fn terms(seed: u64, gateways: usize) -> Terms {
     let frontend = Frontend {
         effect: Effect::Replayable,
-        group: DedupScope::All,
-        memory: Span::ZERO,
+        dedup_scope: DedupScope::All,
+        dedup_memory: Span::ZERO,
         target: Span::millis(1_000),
         late_value: 0.3,
         value: 1.0,
@@ -254,8 +254,8 @@
         may_cancel: true,
         may_hint: true,
         longest_hint: Span::from_secs(1.0),
-        warm_after: Span::millis(1),
-        fall_window: Span::from_secs(4.0),
+        warmup_time: Span::millis(1),
+        overload_window: Span::from_secs(4.0),
         start_limit: 4.0,
         awaits_late_answers: true,
         window: Some(16.0 * 3600.0),
--- a/tests/notation/mod.rs
+++ b/tests/notation/mod.rs
@@ -23,17 +23,17 @@
         "uniqued" => Effect::Deduplicated,
         _ => Effect::NonReplayable,
     };
-    let group = match key(words, "group").unwrap_or("all") {
+    let dedup_scope = match key(words, "group").unwrap_or("all") {
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
         _ => DedupScope::All,
     };
-    let (memory, target) =
+    let (dedup_memory, target) =
         (Span::from_secs(num(words, "memory", 2.0)), Span::from_secs(num(words, "target", 1.0)));
     Frontend {
         effect,
-        group,
-        memory,
+        dedup_scope,
+        dedup_memory,
         target,
         late_value: num(words, "late", 0.0),
         value: num(words, "value", 1.0),
@@ -70,17 +70,17 @@
         count_wait: Span::millis(50),
         max_units: 1.0,
         bills_after: num(words, "settles", 0.0) > 0.0,
-        peers: num(words, "peers", 0.0) > 0.0,
+        may_message_peers: num(words, "peers", 0.0) > 0.0,
         peer_intake: 60.0,
         list_on_request: num(words, "ask", 0.0) > 0.0,
         may_duplicate: num(words, "duplicate", 1.0) > 0.0,
         may_cancel: true,
         may_hint: num(words, "hint", 0.0) > 0.0,
         longest_hint: Span::from_secs(0.5),
-        cold_from: 0.2,
-        warm_after: Span::from_secs(10.0),
-        fall_multiple: 3.0,
-        fall_window: Span::from_secs(2.0),
+        cold_start_share: 0.2,
+        warmup_time: Span::from_secs(10.0),
+        overload_multiple: 3.0,
+        overload_window: Span::from_secs(2.0),
         marks_repeats: num(words, "marks", 1.0) > 0.0,
         regions: key(words, "regions").map_or(Vec::new(), |r| r.bytes().map(|b| (b - b'0') as u16).collect()),
         start_limit: 3.0,
