--- a/soak/src/admissions.rs
+++ b/soak/src/admissions.rs
@@ -1,7 +1,7 @@
 //! What edge processes say of the requests that they sent: by half a second, on what their admission rested.
 
 use crate::cluster::Cluster;
-use crate::record::{Process, Record, Seconds, Seen};
+use crate::record::{Observations, Process, Record, Seconds};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 /// How often a process is asked.
-const EVERY: Duration = Duration::from_millis(250);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 /// Figures of the programs that are kept begin so.
-const PREFIX: &str = "admitted.";
+const METRIC_PREFIX: &str = "admitted.";
 
 /// Requests that an edge process sent since it was asked before.
 #[derive(Clone, Debug)]
@@ -34,49 +34,51 @@
         let stop = Arc::new(AtomicBool::new(false));
         let sample = |edge| {
             let (record, cluster, stop) = (record.clone(), cluster.clone(), stop.clone());
-            spawn(move || sample(&record, &cluster, Process::Edge(edge), &stop))
+            spawn(move || sample_until_stopped(&record, &cluster, Process::Edge(edge), &stop))
         };
         let threads = (0..cluster.size().edges).map(sample).collect();
         Sampler { stop, threads }
     }
 
     /// Ends when no thread asks any more.
-    pub fn end(self) {
+    pub fn stop_and_join(self) {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|thread| drop(thread.join()));
     }
 }
 
-fn sample(record: &Record, cluster: &Cluster, process: Process, stop: &AtomicBool) {
-    let mut before = BTreeMap::new();
+fn sample_until_stopped(record: &Record, cluster: &Cluster, process: Process, stop: &AtomicBool) {
+    let mut previous = BTreeMap::new();
     while !stop.load(Ordering::SeqCst) {
-        if let Some(figures) = cluster.figures(process) {
-            let figures: BTreeMap<String, u64> =
-                figures.into_iter().filter(|(name, _)| name.starts_with(PREFIX)).collect();
+        if let Some(metrics) = cluster.metrics(process) {
+            let metrics: BTreeMap<String, u64> =
+                metrics.into_iter().filter(|(name, _)| name.starts_with(METRIC_PREFIX)).collect();
             let at = record.now();
-            let admitted = figures.iter().map(|(name, count)| Admitted {
+            let admitted = metrics.iter().map(|(name, count)| Admitted {
                 at,
-                basis: name[PREFIX.len()..].to_string(),
-                count: since(before.get(name).copied().unwrap_or(0), *count),
+                basis: name[METRIC_PREFIX.len()..].to_string(),
+                count: increase(previous.get(name).copied().unwrap_or(0), *count),
             });
-            record.seen().admitted.extend(admitted.filter(|a| a.count > 0));
-            before = figures;
+            record.observations().admitted.extend(admitted.filter(|a| a.count > 0));
+            previous = metrics;
         }
-        sleep(EVERY);
+        sleep(SAMPLE_INTERVAL);
     }
 }
 
 /// What came on top; a figure that is smaller than before is another life's.
-fn since(before: u64, now: u64) -> u64 {
-    now.checked_sub(before).unwrap_or(now)
+fn increase(previous: u64, current: u64) -> u64 {
+    current.checked_sub(previous).unwrap_or(current)
 }
 
 /// Lines for a timeline: the begin of each half second, and the sums in it.
-pub fn by_half_second(seen: &Seen) -> Vec<(Seconds, String)> {
+pub fn sums_by_half_second(observations: &Observations) -> Vec<(Seconds, String)> {
     let mut sums: BTreeMap<u64, BTreeMap<&str, u64>> = BTreeMap::new();
-    for admitted in &seen.admitted {
-        let half = sums.entry((admitted.at * 2.0) as u64).or_default();
-        *half.entry(&admitted.basis).or_default() += admitted.count;
+    for admitted in &observations.admitted {
+        let half_second = sums.entry((admitted.at * 2.0) as u64).or_default();
+        *half_second.entry(&admitted.basis).or_default() += admitted.count;
     }
-    sums.into_iter().map(|(half, by_basis)| (half as f64 / 2.0, format!("admitted {by_basis:?}"))).collect()
+    sums.into_iter()
+        .map(|(half_second, by_basis)| (half_second as f64 / 2.0, format!("admitted {by_basis:?}")))
+        .collect()
 }
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,7 +1,7 @@
 //! An emulated server: runs requests, and misbehaves by a function of the seed and the request's id.
 
 use crate::configuration::KEYED;
-use crate::record::{Arrival, OperationRun, Record, Seconds, Seen};
+use crate::record::{Arrival, Observations, OperationRun, Record, Seconds};
 use lupinledge_example::http::{self, Message};
 use socket2::SockRef;
 use std::collections::hash_map::DefaultHasher;
@@ -20,17 +20,17 @@
 /// Requests at once; more are turned away.
 const SLOTS: usize = 24;
 /// Work is done in such slices, and the connection looked at between them.
-const SLICE: Duration = Duration::from_millis(10);
+const WORK_SLICE: Duration = Duration::from_millis(10);
 
 /// One body of so many is long.
-const LONG_EACH: usize = 25;
+const LONG_BODY_INTERVAL: usize = 25;
 /// Bytes of bodies at the most.
-const SHORT: usize = 4000;
-const LONG: usize = 900_000;
+const MAX_SHORT_BODY: usize = 4000;
+const MAX_LONG_BODY: usize = 900_000;
 
 /// What a server does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Deed {
+pub enum ServerAction {
     /// Answers after so many milliseconds.
     Answer(u64),
     /// Runs it and resets the connection.
@@ -42,13 +42,13 @@
     /// Runs it and answers nothing until its connection ends.
     Hang,
     /// Runs it and answers with a failure of its own.
-    Fail,
+    AnswerFailure,
     /// Says that it has not run it, and has not.
-    TurnAway,
+    Reject,
     /// Answers, and sends one answer more that belongs to nobody.
-    Surplus,
+    ExtraAnswer,
     /// Answers before it has read the body.
-    Early,
+    AnswerEarly,
 }
 
 /// How servers misbehave.
@@ -56,34 +56,34 @@
 pub struct Behaviour {
     pub seed: u64,
     /// Of a hundred requests, how many are not answered well.
-    pub faulty_in_100: u64,
+    pub faulty_percent: u64,
 }
 
-fn hash(of: impl Hash) -> u64 {
+fn hash(value: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
-    of.hash(&mut hasher);
+    value.hash(&mut hasher);
     hasher.finish()
 }
 
 impl Behaviour {
     /// What a server does with the request of this id.
-    pub fn deed(self, id: &str) -> Deed {
-        let dice = hash((self.seed, id));
-        if dice % 100 < self.faulty_in_100 {
+    pub fn action_for(self, id: &str) -> ServerAction {
+        let hash_value = hash((self.seed, id));
+        if hash_value % 100 < self.faulty_percent {
             let faults = [
-                Deed::LoseAnswer,
-                Deed::Close,
-                Deed::CutBody,
-                Deed::Hang,
-                Deed::Fail,
-                Deed::TurnAway,
-                Deed::Surplus,
-                Deed::Early,
-                Deed::Answer(1200),
+                ServerAction::LoseAnswer,
+                ServerAction::Close,
+                ServerAction::CutBody,
+                ServerAction::Hang,
+                ServerAction::AnswerFailure,
+                ServerAction::Reject,
+                ServerAction::ExtraAnswer,
+                ServerAction::AnswerEarly,
+                ServerAction::Answer(1200),
             ];
-            return faults[(dice / 100 % faults.len() as u64) as usize];
+            return faults[(hash_value / 100 % faults.len() as u64) as usize];
         }
-        Deed::Answer(5 + dice / 100 % 60)
+        ServerAction::Answer(5 + hash_value / 100 % 60)
     }
 }
 
@@ -94,16 +94,18 @@
 
 /// The body that belongs to a request; now and then a long one.
 pub fn body_for(id: &str) -> String {
-    let dice = hash(id) as usize;
-    let most = if dice.is_multiple_of(LONG_EACH) { LONG } else { SHORT };
-    format!("{id} {}", "z".repeat(dice / LONG_EACH % most))
+    let hash_value = hash(id) as usize;
+    let max_length =
+        if hash_value.is_multiple_of(LONG_BODY_INTERVAL) { MAX_LONG_BODY } else { MAX_SHORT_BODY };
+    format!("{id} {}", "z".repeat(hash_value / LONG_BODY_INTERVAL % max_length))
 }
 
 /// The body that a client sends with a request; now and then a long one.
 pub fn request_body(id: &str) -> String {
-    let dice = hash((id, 1)) as usize;
-    let most = if dice.is_multiple_of(LONG_EACH) { LONG } else { SHORT };
-    format!("{id} {}", "q".repeat(dice / LONG_EACH % most))
+    let hash_value = hash((id, 1)) as usize;
+    let max_length =
+        if hash_value.is_multiple_of(LONG_BODY_INTERVAL) { MAX_LONG_BODY } else { MAX_SHORT_BODY };
+    format!("{id} {}", "q".repeat(hash_value / LONG_BODY_INTERVAL % max_length))
 }
 
 /// One server.
@@ -112,7 +114,7 @@
     pub service: &'static str,
     pub zone: &'static str,
     pub address: SocketAddr,
-    dead: Arc<AtomicBool>,
+    crashed: Arc<AtomicBool>,
     connections: Arc<Mutex<HashMap<u64, TcpStream>>>,
 }
 
@@ -129,24 +131,24 @@
 
 impl Reply {
     /// The same for each run of a request without a key; it is told apart by its id.
-    fn plain(id: &str) -> Reply {
+    fn for_unkeyed(id: &str) -> Reply {
         Reply { stamp: "stamp".into(), body: body_for(id) }
     }
 
     /// A keyed run's, which no other run has.
-    fn of_run(stamp: String) -> Reply {
+    fn for_keyed_run(stamp: String) -> Reply {
         Reply { body: body_for(&stamp), stamp }
     }
 }
 
-struct Serving {
+struct ServerState {
     id: String,
     service: &'static str,
     zone: &'static str,
     behaviour: Behaviour,
     record: Arc<Record>,
     running: AtomicUsize,
-    dead: Arc<AtomicBool>,
+    crashed: Arc<AtomicBool>,
 }
 
 impl Backend {
@@ -160,38 +162,39 @@
     ) -> io::Result<Backend> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (dead, connections): (Arc<AtomicBool>, Arc<Mutex<HashMap<u64, TcpStream>>>) = Default::default();
+        let (crashed, connections): (Arc<AtomicBool>, Arc<Mutex<HashMap<u64, TcpStream>>>) =
+            Default::default();
         let running = AtomicUsize::new(0);
-        let serving = Arc::new(Serving {
+        let state = Arc::new(ServerState {
             id: id.clone(),
             service,
             zone,
             behaviour,
             record,
             running,
-            dead: dead.clone(),
+            crashed: crashed.clone(),
         });
-        let (ends, open) = (dead.clone(), connections.clone());
+        let (accept_crashed, open_connections) = (crashed.clone(), connections.clone());
         spawn(move || {
-            for (nth, stream) in (0..).zip(listener.incoming().flatten()) {
-                if ends.load(Ordering::SeqCst) {
+            for (index, stream) in (0..).zip(listener.incoming().flatten()) {
+                if accept_crashed.load(Ordering::SeqCst) {
                     return;
                 }
-                let Ok(held) = stream.try_clone() else { continue };
-                open.lock().unwrap_or_else(|p| p.into_inner()).insert(nth, held);
-                let (serving, open) = (serving.clone(), open.clone());
+                let Ok(stream_handle) = stream.try_clone() else { continue };
+                open_connections.lock().unwrap_or_else(|p| p.into_inner()).insert(index, stream_handle);
+                let (state, open_connections) = (state.clone(), open_connections.clone());
                 spawn(move || {
-                    let _ = serving.serve(stream);
-                    open.lock().unwrap_or_else(|p| p.into_inner()).remove(&nth);
+                    let _ = state.serve(stream);
+                    open_connections.lock().unwrap_or_else(|p| p.into_inner()).remove(&index);
                 });
             }
         });
-        Ok(Backend { id, service, zone, address, dead, connections })
+        Ok(Backend { id, service, zone, address, crashed, connections })
     }
 
     /// Ends at once: nothing is listened to, and all connections are reset.
     pub fn crash(&self) {
-        self.dead.store(true, Ordering::SeqCst);
+        self.crashed.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address);
         self.reset_connections();
     }
@@ -206,35 +209,35 @@
 }
 
 /// Whether the other side has closed a connection on which nothing more is due.
-fn closed(stream: &TcpStream) -> bool {
+fn peer_closed(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
-    let end = stream.peek(&mut [0]);
+    let peeked = stream.peek(&mut [0]);
     let _ = stream.set_nonblocking(false);
-    match end {
+    match peeked {
         Ok(n) => n == 0,
         Err(e) => e.kind() != io::ErrorKind::WouldBlock,
     }
 }
 
-fn answer(status: &str, id: &str, more: &str, body: &str) -> String {
+fn format_answer(status: &str, id: &str, extra_headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
-        "HTTP/1.1 {status}\r\nLupinledge-Attempt-Id: {id}\r\n{more}Content-Length: {length}\r\n\r\n{body}"
+        "HTTP/1.1 {status}\r\nLupinledge-Attempt-Id: {id}\r\n{extra_headers}Content-Length: {length}\r\n\r\n{body}"
     )
 }
 
-impl Serving {
+impl ServerState {
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut from = BufReader::new(stream);
-        while let Some(message) = self.read(&mut from)? {
-            if self.dead.load(Ordering::SeqCst) {
+        let mut reader = BufReader::new(stream);
+        while let Some(message) = self.read(&mut reader)? {
+            if self.crashed.load(Ordering::SeqCst) {
                 return Ok(());
             }
             self.running.fetch_add(1, Ordering::SeqCst);
-            let goes_on = self.request(&message, from.get_mut());
+            let keep_alive = self.run_request(&message, reader.get_mut());
             self.running.fetch_sub(1, Ordering::SeqCst);
-            if !goes_on? {
+            if !keep_alive? {
                 return Ok(());
             }
         }
@@ -242,17 +245,17 @@
     }
 
     /// A whole request, or only the head of one that is answered early.
-    fn read(&self, from: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
-        let Some(mut message) = http::read_head(from)? else { return Ok(None) };
+    fn read(&self, reader: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
+        let Some(mut message) = http::read_head(reader)? else { return Ok(None) };
         let id = message.header("lupinledge-attempt-id").unwrap_or_default();
-        if self.behaviour.deed(id) != Deed::Early {
-            http::read_body(from, &mut message)?;
+        if self.behaviour.action_for(id) != ServerAction::AnswerEarly {
+            http::read_body(reader, &mut message)?;
         }
         Ok(Some(message))
     }
 
     /// What of a request no client sent.
-    fn fault(&self, message: &Message, id: &str) -> Option<&'static str> {
+    fn request_fault(&self, message: &Message, id: &str) -> Option<&'static str> {
         let (path, body) = (message.start.split(' ').nth(1).unwrap_or_default(), message.text());
         let subject = subject(message, id);
         match message {
@@ -262,7 +265,7 @@
             m if m.header("authorization").is_some() => Some("a key was passed on"),
             m if m.header("lupinledge-tenant").is_none() => Some("no tenant"),
             _ if !path.ends_with(&format!("/{subject}")) => Some("another path"),
-            _ if self.behaviour.deed(id) == Deed::Early => None,
+            _ if self.behaviour.action_for(id) == ServerAction::AnswerEarly => None,
             m if m.start.starts_with("POST ") && body != request_body(subject) => Some("another body"),
             m if m.start.starts_with("GET ") && !body.is_empty() => Some("a body that was not sent"),
             _ => None,
@@ -270,17 +273,17 @@
     }
 
     /// Runs a request; whether the connection goes on.
-    fn request(&self, message: &Message, to: &mut TcpStream) -> io::Result<bool> {
+    fn run_request(&self, message: &Message, stream: &mut TcpStream) -> io::Result<bool> {
         let id = message.header("lupinledge-attempt-id").unwrap_or("none").to_string();
         let path = message.start.split(' ').nth(1).unwrap_or_default().to_string();
         if message.header("lupinledge-expect-instance") != Some(&self.id) {
-            to.write_all(answer("421 Another Instance", &id, "", "").as_bytes())?;
+            stream.write_all(format_answer("421 Another Instance", &id, "", "").as_bytes())?;
             return Ok(true);
         }
-        let deed = self.behaviour.deed(&id);
-        let full = self.running.load(Ordering::SeqCst) > SLOTS;
-        let ran = !full && deed != Deed::TurnAway;
-        let (nth, reply) = {
+        let action = self.behaviour.action_for(&id);
+        let is_full = self.running.load(Ordering::SeqCst) > SLOTS;
+        let ran = !is_full && action != ServerAction::Reject;
+        let (index, reply) = {
             let at = self.record.now();
             let arrival = Arrival {
                 id: id.clone(),
@@ -291,44 +294,53 @@
                 at,
                 ran,
                 tenant: message.header("lupinledge-tenant").map(str::to_string),
-                fault: self.fault(message, &id),
+                fault: self.request_fault(message, &id),
                 worked_until: at,
                 stopped: false,
             };
-            let mut seen = self.record.seen();
-            seen.arrivals.push(arrival);
-            let nth = seen.arrivals.len() - 1;
+            let mut observations = self.record.observations();
+            observations.arrivals.push(arrival);
+            let index = observations.arrivals.len() - 1;
             let reply = match message.header(OPERATION_KEY) {
-                Some(operation) if ran => self.operation_run(&mut seen, operation, &id, at),
-                _ => Reply::plain(&id),
+                Some(operation) if ran => self.record_operation_run(&mut observations, operation, &id, at),
+                _ => Reply::for_unkeyed(&id),
             };
-            (nth, reply)
+            (index, reply)
         };
         if !ran {
-            to.write_all(answer("503 Full", &id, "Lupinledge-Not-Executed: full\r\n", "").as_bytes())?;
+            stream.write_all(
+                format_answer("503 Full", &id, "Lupinledge-Not-Executed: full\r\n", "").as_bytes(),
+            )?;
             return Ok(true);
         }
-        let work = match deed {
-            Deed::Answer(ms) => Duration::from_millis(ms),
-            Deed::Hang => Duration::from_secs(20),
+        let work = match action {
+            ServerAction::Answer(ms) => Duration::from_millis(ms),
+            ServerAction::Hang => Duration::from_secs(20),
             _ => Duration::from_millis(10),
         };
-        let stopped = self.work(work, to);
-        let until = self.record.now();
+        let stopped = self.work(work, stream);
+        let worked_until = self.record.now();
         {
-            let mut seen = self.record.seen();
-            (seen.arrivals[nth].worked_until, seen.arrivals[nth].stopped) = (until, stopped);
+            let mut observations = self.record.observations();
+            (observations.arrivals[index].worked_until, observations.arrivals[index].stopped) =
+                (worked_until, stopped);
         }
         if stopped {
             return Ok(false);
         }
-        self.reply(deed, &id, &reply, to)
+        self.send_reply(action, &id, &reply, stream)
     }
 
     /// Notes a run of a keyed operation; its answer is its own.
-    fn operation_run(&self, seen: &mut Seen, operation: &str, attempt: &str, at: Seconds) -> Reply {
-        let reply = Reply::of_run(format!("run-{}", seen.operation_runs.len()));
-        seen.operation_runs.push(OperationRun {
+    fn record_operation_run(
+        &self,
+        observations: &mut Observations,
+        operation: &str,
+        attempt: &str,
+        at: Seconds,
+    ) -> Reply {
+        let reply = Reply::for_keyed_run(format!("run-{}", observations.operation_runs.len()));
+        observations.operation_runs.push(OperationRun {
             operation: operation.into(),
             attempt: attempt.into(),
             server: self.id.clone(),
@@ -340,42 +352,50 @@
     }
 
     /// Works for so long; whether it stopped because the connection was closed.
-    fn work(&self, span: Duration, on: &TcpStream) -> bool {
+    fn work(&self, duration: Duration, connection: &TcpStream) -> bool {
         let began = Instant::now();
-        while began.elapsed() < span {
-            sleep(SLICE.min(span));
-            if self.dead.load(Ordering::SeqCst) || closed(on) {
+        while began.elapsed() < duration {
+            sleep(WORK_SLICE.min(duration));
+            if self.crashed.load(Ordering::SeqCst) || peer_closed(connection) {
                 return true;
             }
         }
         false
     }
 
-    fn reply(&self, deed: Deed, id: &str, reply: &Reply, to: &mut TcpStream) -> io::Result<bool> {
+    fn send_reply(
+        &self,
+        action: ServerAction,
+        id: &str,
+        reply: &Reply,
+        stream: &mut TcpStream,
+    ) -> io::Result<bool> {
         let stamp = &format!("Lupinledge-Server-Stamp: {}\r\n", reply.stamp);
-        let good = answer("200 OK", id, stamp, &reply.body);
-        match deed {
-            Deed::LoseAnswer => {
-                SockRef::from(&*to).set_linger(Some(Duration::ZERO))?;
+        let ok_answer = format_answer("200 OK", id, stamp, &reply.body);
+        match action {
+            ServerAction::LoseAnswer => {
+                SockRef::from(&*stream).set_linger(Some(Duration::ZERO))?;
                 return Ok(false);
             }
-            Deed::Close | Deed::Hang => return Ok(false),
-            Deed::CutBody => {
-                to.write_all(&good.as_bytes()[..good.len() - 1])?;
+            ServerAction::Close | ServerAction::Hang => return Ok(false),
+            ServerAction::CutBody => {
+                stream.write_all(&ok_answer.as_bytes()[..ok_answer.len() - 1])?;
                 return Ok(false);
             }
-            Deed::Fail => to.write_all(answer("500 Own Failure", id, stamp, "own").as_bytes())?,
-            Deed::Surplus => {
-                let surplus = answer("200 OK", "of-nobody", stamp, &body_for("of-nobody"));
-                to.write_all((good + &surplus).as_bytes())?;
+            ServerAction::AnswerFailure => {
+                stream.write_all(format_answer("500 Own Failure", id, stamp, "own").as_bytes())?
             }
-            Deed::Early => {
-                to.write_all(good.as_bytes())?;
+            ServerAction::ExtraAnswer => {
+                let extra_answer = format_answer("200 OK", "of-nobody", stamp, &body_for("of-nobody"));
+                stream.write_all((ok_answer + &extra_answer).as_bytes())?;
+            }
+            ServerAction::AnswerEarly => {
+                stream.write_all(ok_answer.as_bytes())?;
                 // the rest of the body may come until the other side has had the answer
                 sleep(Duration::from_millis(300));
                 return Ok(false);
             }
-            Deed::Answer(_) | Deed::TurnAway => to.write_all(good.as_bytes())?,
+            ServerAction::Answer(_) | ServerAction::Reject => stream.write_all(ok_answer.as_bytes())?,
         }
         Ok(true)
     }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -3,7 +3,7 @@
 use crate::backend::{body_for, request_body};
 use crate::cluster::Cluster;
 use crate::configuration::{FREE, HOMED, HOST, LIMITED, MOVING, PAY, READ, UNKNOWN_KEY};
-use crate::record::{Ending, Record, Seconds, Sent};
+use crate::record::{Ending, Record, Seconds, SentRequest};
 use lupinledge_example::http::{Client, Message};
 use socket2::SockRef;
 use std::io::{ErrorKind, Read, Write};
@@ -16,19 +16,19 @@
 /// What clients say that they wait.
 pub const DEADLINE: Duration = Duration::from_millis(2000);
 /// Beyond its deadline a client waits so long for a final answer.
-pub const PATIENCE: Duration = Duration::from_millis(1500);
+pub const DEADLINE_MARGIN: Duration = Duration::from_millis(1500);
 /// An answer of the directory is kept for so long.
-const KEEP: Duration = Duration::from_secs(2);
+const DIRECTORY_CACHE_TTL: Duration = Duration::from_secs(2);
 
 /// Keys are drawn from so many places; these at the end are those of nobody and of the rotating tenant.
-const KEYS_IN_ALL: u8 = 20;
-const OTHER_KEYS: u8 = 4;
+const KEY_DRAWS: u8 = 20;
+const OTHER_KEY_DRAWS: u8 = 4;
 /// The limited tenant's places, unless told otherwise, and the most it may have.
-pub const LIMITED_PLACES: u8 = 5;
-pub const LIMITED_PLACES_MOST: u8 = 15;
+pub const DEFAULT_LIMITED_DRAWS: u8 = 5;
+pub const MAX_LIMITED_DRAWS: u8 = 15;
 
 /// What all clients of a run share.
-pub struct Crowd {
+pub struct ClientContext {
     pub record: Arc<Record>,
     pub cluster: Arc<Cluster>,
     /// The key of the rotating tenant that was acknowledged last.
@@ -40,14 +40,14 @@
 }
 
 /// One client that keeps to the protocol.
-struct Honest {
-    crowd: Arc<Crowd>,
+struct WellBehavedClient {
+    context: Arc<ClientContext>,
     nth: u64,
     rng: fastrand::Rng,
-    asked: u64,
+    requests_created: u64,
     fronts: Vec<SocketAddr>,
-    learnt: Option<Instant>,
-    link: Option<(SocketAddr, Client)>,
+    resolved_at: Option<Instant>,
+    connection: Option<(SocketAddr, Client)>,
 }
 
 /// One request before it is sent.
@@ -75,111 +75,122 @@
 }
 
 /// Asks until the run stops.
-pub fn honest(crowd: Arc<Crowd>, nth: u64) {
-    let rng = fastrand::Rng::with_seed(crowd.seed << 16 | nth);
-    let (fronts, learnt, link) = (Vec::new(), None, None);
-    let mut client = Honest { crowd, nth, rng, asked: 0, fronts, learnt, link };
-    while !client.crowd.stop.load(Ordering::SeqCst) {
-        client.turn();
+pub fn run_well_behaved_client(context: Arc<ClientContext>, nth: u64) {
+    let rng = fastrand::Rng::with_seed(context.seed << 16 | nth);
+    let (fronts, resolved_at, connection) = (Vec::new(), None, None);
+    let mut client =
+        WellBehavedClient { context, nth, rng, requests_created: 0, fronts, resolved_at, connection };
+    while !client.context.stop.load(Ordering::SeqCst) {
+        client.send_next_request();
         let pause = client.rng.u64(5..40);
         sleep(Duration::from_millis(pause));
     }
 }
 
-impl Honest {
-    fn request(&mut self) -> Request {
-        self.asked += 1;
-        let id = format!("{}-{}-{}", self.crowd.seed, self.nth, self.asked);
+impl WellBehavedClient {
+    fn next_request(&mut self) -> Request {
+        self.requests_created += 1;
+        let id = format!("{}-{}-{}", self.context.seed, self.nth, self.requests_created);
         let (prefix, repeatable) = match self.rng.u8(0..10) {
             0..=2 => (READ, true),
             3..=6 => (PAY, false),
             7 => (HOMED, false),
             _ => (MOVING, true),
         };
-        let limited_from = KEYS_IN_ALL - OTHER_KEYS - self.crowd.limited;
-        let key = match self.rng.u8(0..KEYS_IN_ALL) {
+        let limited_from = KEY_DRAWS - OTHER_KEY_DRAWS - self.context.limited;
+        let key = match self.rng.u8(0..KEY_DRAWS) {
             nth if nth < limited_from => FREE.1.to_string(),
-            nth if nth < KEYS_IN_ALL - OTHER_KEYS => LIMITED.1.to_string(),
+            nth if nth < KEY_DRAWS - OTHER_KEY_DRAWS => LIMITED.1.to_string(),
             16 => UNKNOWN_KEY.to_string(),
-            _ => self.crowd.rotating_key.lock().map(|key| key.clone()).unwrap_or_default(),
+            _ => self.context.rotating_key.lock().map(|key| key.clone()).unwrap_or_default(),
         };
         Request { path: format!("{prefix}{id}"), id, repeatable, key }
     }
 
     /// Learns from the directory where to go; what was known stays where nobody answers.
-    fn learn(&mut self) {
-        if self.learnt.is_some_and(|at| at.elapsed() < KEEP) {
+    fn refresh_fronts(&mut self) {
+        if self.resolved_at.is_some_and(|at| at.elapsed() < DIRECTORY_CACHE_TTL) {
             return;
         }
-        let cores = self.crowd.cluster.size().cores;
+        let cores = self.context.cluster.size().cores;
         let first = self.rng.usize(0..cores);
         for core in (0..cores).map(|i| (first + i) % cores) {
-            let at = self.crowd.cluster.control(core);
+            let at = self.context.cluster.control_address(core);
             if let Some(fronts) = resolve(at) {
-                (self.fronts, self.learnt) = (fronts, Some(Instant::now()));
+                (self.fronts, self.resolved_at) = (fronts, Some(Instant::now()));
                 return;
             }
         }
         if self.fronts.is_empty() {
-            let cluster = &self.crowd.cluster;
-            self.fronts = (0..cluster.size().edges).map(|edge| cluster.front(edge)).collect();
+            let cluster = &self.context.cluster;
+            self.fronts = (0..cluster.size().edges).map(|edge| cluster.front_address(edge)).collect();
         }
     }
 
-    fn connection(&mut self) -> Option<(SocketAddr, Client)> {
+    fn take_connection(&mut self) -> Option<(SocketAddr, Client)> {
         // an open connection is used until its process is gone, whatever the directory says meanwhile
-        if let Some(link) = self.link.take() {
-            return Some(link);
+        if let Some(connection) = self.connection.take() {
+            return Some(connection);
         }
         let front = self.fronts[self.rng.usize(0..self.fronts.len())];
-        match Client::within(front, DEADLINE + PATIENCE) {
+        match Client::within(front, DEADLINE + DEADLINE_MARGIN) {
             Ok(client) => Some((front, client)),
             Err(_) => {
                 // it failed: another answer of the directory, and until then the other fronts
                 self.fronts.retain(|other| *other != front);
-                self.learnt = None;
+                self.resolved_at = None;
                 None
             }
         }
     }
 
-    fn turn(&mut self) {
-        self.learn();
-        let Some((front, mut link)) = self.connection() else { return };
-        let Some(edge) = self.crowd.cluster.edge_at(front) else { return };
-        let request = self.request();
-        let record = self.crowd.record.clone();
-        let (leaves, mut goes_on) = (self.rng.u8(0..25) == 0, false);
-        let written = link.write(&request.bytes());
+    fn send_next_request(&mut self) {
+        self.refresh_fronts();
+        let Some((front, mut connection)) = self.take_connection() else { return };
+        let Some(edge) = self.context.cluster.edge_at(front) else { return };
+        let request = self.next_request();
+        let record = self.context.record.clone();
+        let (abandons, mut keep_alive) = (self.rng.u8(0..25) == 0, false);
+        let written = connection.write(&request.bytes());
         let at = record.now();
         let ending = match written {
             Err(_) => Ending::Unsent,
-            Ok(()) if leaves => {
+            Ok(()) if abandons => {
                 sleep(Duration::from_millis(self.rng.u64(1..60)));
                 Ending::Left
             }
             Ok(()) => {
-                let answer = link.answer();
-                let closes =
+                let answer = connection.answer();
+                let closes_connection =
                     |a: &Message| a.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-                goes_on = matches!(&answer, Ok(Some(a)) if !closes(a));
-                ending(&request, answer)
+                keep_alive = matches!(&answer, Ok(Some(a)) if !closes_connection(a));
+                classify_answer(&request, answer)
             }
         };
         let ended = record.now();
-        let answered = goes_on && matches!(ending, Ending::Answered { fault: None, .. });
+        let answered = keep_alive && matches!(ending, Ending::Answered { fault: None, .. });
         if answered && self.rng.u8(0..12) > 0 {
-            self.link = Some((front, link));
+            self.connection = Some((front, connection));
         } else if !answered {
-            self.learnt = None;
+            self.resolved_at = None;
         }
         let Request { id, path, repeatable, key } = request;
         let deadline = at + DEADLINE.as_secs_f64();
-        record.seen().sent.push(Sent { id, path, repeatable, key, edge, at, ended, deadline, ending });
+        record.observations().requests.push(SentRequest {
+            id,
+            path,
+            repeatable,
+            key,
+            edge,
+            at,
+            ended,
+            deadline,
+            ending,
+        });
     }
 }
 
-fn ending(request: &Request, answer: std::io::Result<Option<Message>>) -> Ending {
+fn classify_answer(request: &Request, answer: std::io::Result<Option<Message>>) -> Ending {
     match answer {
         Ok(Some(answer)) => {
             Ending::Answered { status: answer.status(), fault: answer_fault(&request.id, &answer) }
@@ -205,28 +216,28 @@
     let mut client = Client::within(at, Duration::from_secs(1)).ok()?;
     let call = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
     let answer = client.ask(call.as_bytes()).ok()??;
-    let told: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
-    let addresses = told["addresses"].as_array()?.iter();
+    let directory_answer: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
+    let addresses = directory_answer["addresses"].as_array()?.iter();
     let fronts: Vec<SocketAddr> = addresses.filter_map(|a| a.as_str()?.parse().ok()).collect();
     (answer.status() == 200 && !fronts.is_empty()).then_some(fronts)
 }
 
 /// Does one bad thing after another until the run stops; nothing of it is judged but what it does to others.
-pub fn misbehaving(crowd: Arc<Crowd>, nth: u64) {
-    let mut rng = fastrand::Rng::with_seed(crowd.seed << 16 | 1 << 15 | nth);
-    let mut held: Vec<TcpStream> = Vec::new();
-    while !crowd.stop.load(Ordering::SeqCst) {
-        let front = crowd.cluster.front(rng.usize(0..crowd.cluster.size().edges));
+pub fn run_misbehaving_client(context: Arc<ClientContext>, nth: u64) {
+    let mut rng = fastrand::Rng::with_seed(context.seed << 16 | 1 << 15 | nth);
+    let mut held_open: Vec<TcpStream> = Vec::new();
+    while !context.stop.load(Ordering::SeqCst) {
+        let front = context.cluster.front_address(rng.usize(0..context.cluster.size().edges));
         if let Ok(stream) = TcpStream::connect_timeout(&front, Duration::from_secs(1)) {
-            held.extend(misdeed(stream, &mut rng));
+            held_open.extend(misbehave(stream, &mut rng));
         }
-        held.truncate(20);
+        held_open.truncate(20);
         sleep(Duration::from_millis(rng.u64(20..200)));
     }
 }
 
 /// One misdeed; a connection that is kept open and silent after it.
-fn misdeed(mut stream: TcpStream, rng: &mut fastrand::Rng) -> Option<TcpStream> {
+fn misbehave(mut stream: TcpStream, rng: &mut fastrand::Rng) -> Option<TcpStream> {
     let head = format!("POST {PAY}x HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Token {}\r\n", FREE.1);
     let _ = stream.set_write_timeout(Some(Duration::from_secs(1)));
     match rng.u8(0..8) {
@@ -264,6 +275,6 @@
 }
 
 /// How long an honest client may take from its last byte until it gives up.
-pub fn longest_wait() -> Seconds {
-    (DEADLINE + PATIENCE).as_secs_f64()
+pub fn max_answer_wait() -> Seconds {
+    (DEADLINE + DEADLINE_MARGIN).as_secs_f64()
 }
--- a/soak/src/cluster.rs
+++ b/soak/src/cluster.rs
@@ -1,6 +1,6 @@
 //! The own processes of a run: each at a loopback address of its own, with settings, disk and log in one folder.
 
-use crate::configuration::{bounds_of_settings, ZONES};
+use crate::configuration::{settings_bounds, ZONES};
 use crate::record::{Process, Record};
 use eyre::{bail, eyre, WrapErr};
 use lupinledge_example::http::{Client, Message};
@@ -18,19 +18,19 @@
 
 /// How many processes of each kind a run has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Size {
+pub struct ClusterSize {
     /// Members of the core.
     pub cores: usize,
     pub edges: usize,
 }
 
-impl Default for Size {
-    fn default() -> Size {
-        Size { cores: 3, edges: 3 }
+impl Default for ClusterSize {
+    fn default() -> ClusterSize {
+        ClusterSize { cores: 3, edges: 3 }
     }
 }
 
-impl Size {
+impl ClusterSize {
     /// All processes of a run, members of the core first.
     pub fn processes(self) -> impl Iterator<Item = Process> {
         self.core().chain((0..self.edges).map(Process::Edge))
@@ -42,26 +42,30 @@
     }
 
     /// Members of the core whose disks may be lost at once.
-    pub fn disks_to_lose(self) -> usize {
+    pub fn max_lost_disks(self) -> usize {
         (self.cores - 1) / 2
     }
 
     /// Whether there are addresses for all processes, and a core that can lose a member.
     pub fn check(self) -> eyre::Result<()> {
         eyre::ensure!((3..=9).contains(&self.cores), "--cores: {} is not within 3 to 9", self.cores);
-        let most = usize::from(FIRST_SUCCESSOR) - 1 - self.cores;
-        eyre::ensure!((1..=most).contains(&self.edges), "--edges: {} is not within 1 to {most}", self.edges);
+        let max_edges = usize::from(FIRST_SUCCESSOR_OCTET) - 1 - self.cores;
+        eyre::ensure!(
+            (1..=max_edges).contains(&self.edges),
+            "--edges: {} is not within 1 to {max_edges}",
+            self.edges
+        );
         Ok(())
     }
 }
 
 /// The last part of the addresses of machines that come later.
-const FIRST_SUCCESSOR: u8 = 200;
+const FIRST_SUCCESSOR_OCTET: u8 = 200;
 /// The file with the ids of all processes started.
-const STARTED: &str = "started";
+const STARTED_FILE: &str = "started";
 
 /// A process that was asked to end has so long before it is killed; beyond the grace it breaks a promise.
-const END_WAIT: Duration = Duration::from_secs(12);
+const TERMINATION_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// The programs.
 #[derive(Clone, Debug)]
@@ -104,7 +108,7 @@
     ip: Ipv4Addr,
     child: Option<Child>,
     /// Its end is expected: it was killed or asked to end.
-    ending: bool,
+    exit_expected: bool,
 }
 
 /// See the module.
@@ -113,7 +117,7 @@
     programs: Programs,
     folder: PathBuf,
     platform: SocketAddr,
-    size: Size,
+    size: ClusterSize,
     ports: Ports,
     nodes: Vec<Mutex<Node>>,
     /// Ends the processes should this one be killed.
@@ -138,16 +142,16 @@
 }
 
 /// Addresses that no other run of this machine has.
-fn network() -> [u8; 2] {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
-    let nth = GIVEN.fetch_add(1, Ordering::SeqCst);
+fn unique_network() -> [u8; 2] {
+    static NEXT_NETWORK: AtomicU32 = AtomicU32::new(0);
+    let nth = NEXT_NETWORK.fetch_add(1, Ordering::SeqCst);
     let id = std::process::id().wrapping_mul(64).wrapping_add(nth);
     [64 + (id >> 8) as u8 % 128, id as u8]
 }
 
 /// A process that waits for the end of this one and then ends those whose ids stand in the folder.
-fn watchdog(folder: &Path) -> eyre::Result<Child> {
-    let started = folder.join(STARTED);
+fn spawn_watchdog(folder: &Path) -> eyre::Result<Child> {
+    let started = folder.join(STARTED_FILE);
     File::create(&started)?;
     let script = "while kill -0 $1; do sleep 1; done; xargs kill -KILL < \"$2\"";
     let mut command = Command::new("sh");
@@ -160,9 +164,9 @@
     let mut free = Vec::new();
     for _ in 0..200 {
         let port = TcpListener::bind((ips[0], 0))?.local_addr()?.port();
-        let binds =
+        let is_free =
             |ip: &Ipv4Addr| TcpListener::bind((*ip, port)).is_ok() && UdpSocket::bind((*ip, port)).is_ok();
-        if !free.contains(&port) && ips.iter().all(binds) {
+        if !free.contains(&port) && ips.iter().all(is_free) {
             free.push(port);
         }
         if let [peers, control, front, ready] = free[..] {
@@ -179,22 +183,22 @@
         programs: Programs,
         folder: PathBuf,
         platform: SocketAddr,
-        size: Size,
+        size: ClusterSize,
     ) -> eyre::Result<Arc<Cluster>> {
         // what an earlier run of the same seed left is no state of this one
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).wrap_err_with(|| folder.display().to_string())?;
-        let [second, third] = network();
+        let [second, third] = unique_network();
         let nodes: Vec<Mutex<Node>> = (1..)
             .zip(size.processes())
             .map(|(last, process)| {
                 let ip = Ipv4Addr::new(127, second, third, last);
-                Mutex::new(Node { process, ip, child: None, ending: false })
+                Mutex::new(Node { process, ip, child: None, exit_expected: false })
             })
             .collect();
         let ips: Vec<Ipv4Addr> = nodes.iter().map(|n| lock(n).ip).collect();
         let ports = free_ports(&ips)?;
-        let watchdog = watchdog(&folder)?;
+        let watchdog = spawn_watchdog(&folder)?;
         Ok(Arc::new(Cluster {
             record,
             programs,
@@ -218,7 +222,7 @@
     }
 
     /// How many processes there are.
-    pub fn size(&self) -> Size {
+    pub fn size(&self) -> ClusterSize {
         self.size
     }
 
@@ -228,21 +232,21 @@
     }
 
     /// Where the operator and clients that ask where to go call a member of the core.
-    pub fn control(&self, core: usize) -> SocketAddr {
+    pub fn control_address(&self, core: usize) -> SocketAddr {
         (self.ip(Process::Core(core)), self.ports.control).into()
     }
 
     /// Where clients call an edge process.
-    pub fn front(&self, edge: usize) -> SocketAddr {
+    pub fn front_address(&self, edge: usize) -> SocketAddr {
         (self.ip(Process::Edge(edge)), self.ports.front).into()
     }
 
     /// The edge process at an address.
     pub fn edge_at(&self, front: SocketAddr) -> Option<usize> {
-        (0..self.size.edges).find(|edge| self.front(*edge) == front)
+        (0..self.size.edges).find(|edge| self.front_address(*edge) == front)
     }
 
-    fn name(process: Process) -> String {
+    fn node_name(process: Process) -> String {
         match process {
             Process::Core(i) => format!("core-{i}"),
             Process::Edge(i) => format!("edge-{i}"),
@@ -250,12 +254,12 @@
     }
 
     /// What a process wrote, over all its lives.
-    pub fn log(&self, process: Process) -> PathBuf {
-        self.folder.join(format!("{}.log", Self::name(process)))
+    pub fn log_path(&self, process: Process) -> PathBuf {
+        self.folder.join(format!("{}.log", Self::node_name(process)))
     }
 
     /// The disk of the machine at an address.
-    fn data(&self, ip: Ipv4Addr) -> PathBuf {
+    fn data_path(&self, ip: Ipv4Addr) -> PathBuf {
         self.folder.join(format!("{ip}.data"))
     }
 
@@ -270,7 +274,7 @@
 
     /// Where the members of the core are called, as the operator's list has them now.
     fn seeds(&self) -> Vec<SocketAddr> {
-        (0..self.size.cores).map(|core| self.control(core)).collect()
+        (0..self.size.cores).map(|core| self.control_address(core)).collect()
     }
 
     fn settings(&self, process: Process, ip: Ipv4Addr, seeds: &[SocketAddr], bootstrap: bool) -> Value {
@@ -285,15 +289,15 @@
             Process::Edge(_) => json!({"front": at(self.ports.front), "ready": at(self.ports.ready)}),
         };
         let mut settings = json!({
-            "node_name": Self::name(process), "ip": ip, "zone": place.0, "region": place.1,
+            "node_name": Self::node_name(process), "ip": ip, "zone": place.0, "region": place.1,
             "zones": ZONES.into_iter().collect::<BTreeMap<_, _>>(),
             "listen": listen, "port_range": [self.ports.peers, self.ports.peers], "seeds": seeds,
             "bootstrap": bootstrap, "counted": matches!(process, Process::Core(_)),
-            "tolerate": {"machines": self.size.disks_to_lose(), "zones": 1, "regions": 1}, "bounds": bounds_of_settings(),
+            "tolerate": {"machines": self.size.max_lost_disks(), "zones": 1, "regions": 1}, "bounds": settings_bounds(),
             "cloud_api": {"address": self.platform, "rate_per_s": 39.0},
         });
         if matches!(process, Process::Core(_)) {
-            settings["data_dir"] = json!(self.data(ip));
+            settings["data_dir"] = json!(self.data_path(ip));
         }
         settings
     }
@@ -303,9 +307,9 @@
         let (ip, seeds) = (self.ip(process), self.seeds());
         let text = self.settings(process, ip, &seeds, false).to_string();
         let text = if whole { &text[..] } else { &text[..text.len() / 2] };
-        let (path, new) = (self.settings_path(ip), self.settings_path(ip).with_extension("new"));
-        fs::write(&new, text)?;
-        fs::rename(new, path)?;
+        let (path, new_path) = (self.settings_path(ip), self.settings_path(ip).with_extension("new"));
+        fs::write(&new_path, text)?;
+        fs::rename(new_path, path)?;
         Ok(())
     }
 
@@ -314,7 +318,7 @@
         let ip = self.ip(process);
         let child = self.spawn(process, ip, bootstrap)?;
         let mut node = self.node(process);
-        (node.child, node.ending) = (Some(child), false);
+        (node.child, node.exit_expected) = (Some(child), false);
         Ok(())
     }
 
@@ -327,14 +331,14 @@
             Process::Edge(_) => &self.programs.edge,
         };
         if matches!(process, Process::Core(_)) {
-            fs::create_dir_all(self.data(ip))?;
+            fs::create_dir_all(self.data_path(ip))?;
         }
-        let log: File = OpenOptions::new().create(true).append(true).open(self.log(process))?;
+        let log: File = OpenOptions::new().create(true).append(true).open(self.log_path(process))?;
         let mut command = Command::new(program);
         command.env("LUPINLEDGE_NODE_FILE", &path).env("LUPINLEDGE_CUTS_FILE", self.cuts_path());
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let child = command.spawn().wrap_err_with(|| program.display().to_string())?;
-        let mut started = OpenOptions::new().append(true).open(self.folder.join(STARTED))?;
+        let mut started = OpenOptions::new().append(true).open(self.folder.join(STARTED_FILE))?;
         writeln!(started, "{}", child.id())?;
         Ok(child)
     }
@@ -343,27 +347,28 @@
     /// [`Cluster::take_place`]; where it is.
     pub fn start_successor(&self, core: usize) -> eyre::Result<Successor> {
         let [a, b, c, _] = self.ip(Process::Core(core)).octets();
-        let ip = Ipv4Addr::new(a, b, c, FIRST_SUCCESSOR + self.successors.fetch_add(1, Ordering::SeqCst));
+        let ip =
+            Ipv4Addr::new(a, b, c, FIRST_SUCCESSOR_OCTET + self.successors.fetch_add(1, Ordering::SeqCst));
         let child = self.spawn(Process::Core(core), ip, false)?;
         Ok(Successor { core, ip, child })
     }
 
     /// Whether a successor counts in the core.
-    pub fn counts(&self, successor: &Successor) -> bool {
-        let figures = self.figures_at((successor.ip, self.ports.control).into());
-        figures.is_some_and(|figures| figures.get("core.member") == Some(&1))
+    pub fn is_core_member(&self, successor: &Successor) -> bool {
+        let metrics = self.metrics_at((successor.ip, self.ports.control).into());
+        metrics.is_some_and(|metrics| metrics.get("core.member") == Some(&1))
     }
 
     /// From here on the successor is that member of the core; the one before has ended.
-    pub fn take_place(&self, successor: Successor) {
+    pub fn promote_successor(&self, successor: Successor) {
         let mut node = self.node(Process::Core(successor.core));
-        (node.ip, node.child, node.ending) = (successor.ip, Some(successor.child), false);
+        (node.ip, node.child, node.exit_expected) = (successor.ip, Some(successor.child), false);
     }
 
     /// Sends a signal to a process that runs.
     pub fn signal(&self, process: Process, signal: Signal) {
         let mut node = self.node(process);
-        node.ending |= matches!(signal, Signal::Kill | Signal::Terminate);
+        node.exit_expected |= matches!(signal, Signal::Kill | Signal::Terminate);
         let Some(child) = &node.child else { return };
         let _ = Command::new("kill").args(["-s", signal.name(), &child.id().to_string()]).status();
     }
@@ -371,7 +376,7 @@
     /// Kills a process; ends when it is gone.
     pub fn kill(&self, process: Process) {
         let mut node = self.node(process);
-        node.ending = true;
+        node.exit_expected = true;
         if let Some(mut child) = node.child.take() {
             let _ = (child.kill(), child.wait());
         }
@@ -382,7 +387,7 @@
         self.signal(process, Signal::Terminate);
         let began = Instant::now();
         // its child stays in its place: one that is frozen meanwhile is to be thawed
-        while began.elapsed() < END_WAIT {
+        while began.elapsed() < TERMINATION_TIMEOUT {
             let mut node = self.node(process);
             if let Ok(Some(status)) = node.child.as_mut()?.try_wait() {
                 node.child = None;
@@ -396,20 +401,20 @@
     }
 
     /// Removes what a process that does not run had on its disk.
-    pub fn wipe(&self, process: Process) -> eyre::Result<()> {
-        fs::remove_dir_all(self.data(self.ip(process))).wrap_err("wipe")
+    pub fn remove_data(&self, process: Process) -> eyre::Result<()> {
+        fs::remove_dir_all(self.data_path(self.ip(process))).wrap_err("wipe")
     }
 
     /// Notes each process that ended without having been told to.
-    pub fn look_for_own_ends(&self) {
+    pub fn check_unexpected_exits(&self) {
         for node in &self.nodes {
             let mut node = lock(node);
-            if node.ending {
+            if node.exit_expected {
                 continue;
             }
             let ended = node.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
             if let Some(status) = ended {
-                node.ending = true;
+                node.exit_expected = true;
                 self.record.violation(format!("own end: {:?} ended by itself: {status}", node.process));
             }
         }
@@ -423,26 +428,26 @@
 
     /// A figure that a process tells of itself.
     pub fn metric(&self, process: Process, name: &str) -> Option<u64> {
-        self.figures(process)?.get(name).copied()
+        self.metrics(process)?.get(name).copied()
     }
 
     /// All figures that a process tells of itself.
-    pub fn figures(&self, process: Process) -> Option<BTreeMap<String, u64>> {
+    pub fn metrics(&self, process: Process) -> Option<BTreeMap<String, u64>> {
         let ip = self.ip(process);
         let port = match process {
             Process::Core(_) => self.ports.control,
             Process::Edge(_) => self.ports.ready,
         };
-        self.figures_at((ip, port).into())
+        self.metrics_at((ip, port).into())
     }
 
-    fn figures_at(&self, at: SocketAddr) -> Option<BTreeMap<String, u64>> {
+    fn metrics_at(&self, at: SocketAddr) -> Option<BTreeMap<String, u64>> {
         let text = self.get(at, "/lupinledge/metrics")?.text();
-        let figure = |line: &str| {
+        let parse_metric = |line: &str| {
             let (name, value) = line.split_once(' ')?;
             Some((name.to_string(), value.parse().ok()?))
         };
-        Some(text.lines().filter_map(figure).collect())
+        Some(text.lines().filter_map(parse_metric).collect())
     }
 
     /// Whether an edge process says that it is ready.
@@ -452,11 +457,11 @@
     }
 
     /// Has the programs take these pairs of processes for cut off from each other, and no others.
-    pub fn cut(&self, pairs: &[(Process, Process)]) -> eyre::Result<()> {
+    pub fn write_cuts(&self, pairs: &[(Process, Process)]) -> eyre::Result<()> {
         let line = |(a, b): &(Process, Process)| format!("{} {}\n", self.ip(*a), self.ip(*b));
-        let new = self.cuts_path().with_extension("new");
-        fs::write(&new, pairs.iter().map(line).collect::<String>())?;
-        fs::rename(&new, self.cuts_path())?;
+        let new_path = self.cuts_path().with_extension("new");
+        fs::write(&new_path, pairs.iter().map(line).collect::<String>())?;
+        fs::rename(&new_path, self.cuts_path())?;
         Ok(())
     }
 
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -55,7 +55,7 @@
 }
 
 /// The bounds as the settings files tell them.
-pub fn bounds_of_settings() -> Value {
+pub fn settings_bounds() -> Value {
     use bounds::*;
     json!({
         "contact_s": CONTACT, "config_apply_s": CONFIG_APPLY, "evacuate_s": EVACUATE, "grace_s": GRACE,
--- a/soak/src/keyed_client.rs
+++ b/soak/src/keyed_client.rs
@@ -1,8 +1,8 @@
 //! Clients of the keyed route: they try operations again after failures, after good answers and twice at once, mostly
 //! through other edge processes.
 
-use crate::backend::{body_for, digest, request_body, Behaviour, Deed};
-use crate::client::{Crowd, DEADLINE, PATIENCE};
+use crate::backend::{body_for, digest, request_body, Behaviour, ServerAction};
+use crate::client::{ClientContext, DEADLINE, DEADLINE_MARGIN};
 use crate::cluster::Cluster;
 use crate::configuration::{FREE, HOST, KEYED, LIMITED};
 use crate::record::{Ending, OperationProbe, OperationTry, Record, Seconds};
@@ -14,19 +14,19 @@
 use std::time::{Duration, Instant};
 
 /// An operation without a success is given up after so many tries.
-const TRIES_MOST: u32 = 6;
+const MAX_TRIES: u32 = 6;
 /// Operations that one client means to repeat later.
-const LATER_MOST: usize = 64;
+const MAX_PENDING_REPEATS: usize = 64;
 /// Of those, so many are repeated at the end of a run.
-const LATER_AT_END: usize = 8;
+const MAX_REPEATS_AT_END: usize = 8;
 /// Seconds until an operation is repeated later.
-const LATER_S: std::ops::Range<f64> = 1.0..12.0;
+const REPEAT_DELAY_S: std::ops::Range<f64> = 1.0..12.0;
 /// Milliseconds until a failed try is followed by the next.
-const RETRY_MS: std::ops::Range<u64> = 0..400;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 0..400;
 /// Milliseconds between operations.
-const PAUSE_MS: std::ops::Range<u64> = 5..60;
+const OPERATION_PAUSE_MS: std::ops::Range<u64> = 5..60;
 /// Milliseconds after which an impatient client leaves.
-const LEAVE_MS: std::ops::Range<u64> = 1..60;
+const ABANDON_AFTER_MS: std::ops::Range<u64> = 1..60;
 /// Between two tries of a probe.
 const PROBE_PAUSE: Duration = Duration::from_millis(100);
 
@@ -63,30 +63,39 @@
 
 /// Where one try is sent, and whether its client waits for the answer.
 #[derive(Clone, Copy)]
-struct Way {
+struct Delivery {
     edge: usize,
-    leaves_after: Option<Duration>,
+    abandon_after: Option<Duration>,
 }
 
 /// Sends one try; whether it was a success. One that could not be sent is not recorded.
-fn attempt(record: &Record, cluster: &Cluster, operation: &Operation, attempt: String, way: Way) -> bool {
-    let Ok(mut link) = Client::within(cluster.front(way.edge), DEADLINE + PATIENCE) else { return false };
-    let written = link.write(&operation.request(&attempt));
+fn send_attempt(
+    record: &Record,
+    cluster: &Cluster,
+    operation: &Operation,
+    attempt: String,
+    delivery: Delivery,
+) -> bool {
+    let Ok(mut connection) = Client::within(cluster.front_address(delivery.edge), DEADLINE + DEADLINE_MARGIN)
+    else {
+        return false;
+    };
+    let written = connection.write(&operation.request(&attempt));
     let at = record.now();
-    let (ending, answer) = match (written, way.leaves_after) {
+    let (ending, answer) = match (written, delivery.abandon_after) {
         (Err(_), _) => (Ending::Unsent, None),
         (Ok(()), Some(after)) => {
             sleep(after);
             (Ending::Left, None)
         }
-        (Ok(()), None) => ended(&attempt, link.answer()),
+        (Ok(()), None) => classify_answer(&attempt, connection.answer()),
     };
     let success = matches!(ending, Ending::Answered { status: 200..300, .. });
     let ended = record.now();
-    record.seen().operation_tries.push(OperationTry {
+    record.observations().operation_tries.push(OperationTry {
         operation: operation.name.clone(),
         attempt,
-        edge: way.edge,
+        edge: delivery.edge,
         at,
         ended,
         ending,
@@ -96,10 +105,10 @@
     success
 }
 
-fn ended(attempt: &str, answer: std::io::Result<Option<Message>>) -> (Ending, Option<Message>) {
+fn classify_answer(attempt: &str, answer: std::io::Result<Option<Message>>) -> (Ending, Option<Message>) {
     match answer {
         Ok(Some(answer)) => {
-            let ending = Ending::Answered { status: answer.status(), fault: fault(attempt, &answer) };
+            let ending = Ending::Answered { status: answer.status(), fault: answer_fault(attempt, &answer) };
             (ending, Some(answer))
         }
         Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => (Ending::Silent, None),
@@ -108,7 +117,7 @@
 }
 
 /// What is wrong with an answer by itself.
-fn fault(attempt: &str, answer: &Message) -> Option<&'static str> {
+fn answer_fault(attempt: &str, answer: &Message) -> Option<&'static str> {
     let stamp = answer.header("lupinledge-server-stamp");
     match answer.status() {
         200..300 if stamp.is_none() => Some("no stamp"),
@@ -122,58 +131,58 @@
 }
 
 /// One client of the keyed route.
-struct Keyed {
-    crowd: Arc<Crowd>,
+struct KeyedClient {
+    context: Arc<ClientContext>,
     nth: u64,
     rng: fastrand::Rng,
-    asked: u64,
+    operations_created: u64,
     /// Operations that are to be repeated, and when.
-    later: Vec<(Instant, Operation)>,
+    pending_repeats: Vec<(Instant, Operation)>,
 }
 
 /// Sends keyed operations until the run stops.
-pub fn keyed(crowd: Arc<Crowd>, nth: u64) {
-    let rng = fastrand::Rng::with_seed(crowd.seed << 16 | 1 << 14 | nth);
-    let mut client = Keyed { crowd, nth, rng, asked: 0, later: Vec::new() };
-    while !client.crowd.stop.load(Ordering::SeqCst) {
-        client.turn();
-        let pause = client.rng.u64(PAUSE_MS);
+pub fn run_keyed_client(context: Arc<ClientContext>, nth: u64) {
+    let rng = fastrand::Rng::with_seed(context.seed << 16 | 1 << 14 | nth);
+    let mut client = KeyedClient { context, nth, rng, operations_created: 0, pending_repeats: Vec::new() };
+    while !client.context.stop.load(Ordering::SeqCst) {
+        client.send_next_operation();
+        let pause = client.rng.u64(OPERATION_PAUSE_MS);
         sleep(Duration::from_millis(pause));
     }
-    let last = std::mem::take(&mut client.later);
-    for (_, mut operation) in last.into_iter().take(LATER_AT_END) {
+    let last = std::mem::take(&mut client.pending_repeats);
+    for (_, mut operation) in last.into_iter().take(MAX_REPEATS_AT_END) {
         let edge = client.any_edge();
         client.send(&mut operation, edge);
     }
 }
 
-impl Keyed {
-    fn turn(&mut self) {
+impl KeyedClient {
+    fn send_next_operation(&mut self) {
         let now = Instant::now();
-        if let Some(due) = self.later.iter().position(|(at, _)| *at <= now) {
-            let (_, operation) = self.later.swap_remove(due);
-            return self.see_through(operation);
+        if let Some(due) = self.pending_repeats.iter().position(|(at, _)| *at <= now) {
+            let (_, operation) = self.pending_repeats.swap_remove(due);
+            return self.send_until_success(operation);
         }
-        let operation = self.fresh();
+        let operation = self.next_operation();
         match self.rng.u8(0..6) {
-            0 => self.twice_at_once(operation),
-            _ => self.see_through(operation),
+            0 => self.send_twice_at_once(operation),
+            _ => self.send_until_success(operation),
         }
     }
 
-    fn fresh(&mut self) -> Operation {
-        self.asked += 1;
+    fn next_operation(&mut self) -> Operation {
+        self.operations_created += 1;
         let tenant_key = if self.rng.u8(0..10) == 0 { LIMITED.1 } else { FREE.1 };
-        Operation::new(format!("{}-k{}-{}", self.crowd.seed, self.nth, self.asked), tenant_key)
+        Operation::new(format!("{}-k{}-{}", self.context.seed, self.nth, self.operations_created), tenant_key)
     }
 
     fn any_edge(&mut self) -> usize {
-        self.rng.usize(0..self.crowd.cluster.size().edges)
+        self.rng.usize(0..self.context.cluster.size().edges)
     }
 
     /// Mostly not the one before.
     fn next_edge(&mut self, before: usize) -> usize {
-        let edges = self.crowd.cluster.size().edges;
+        let edges = self.context.cluster.size().edges;
         match self.rng.u8(0..5) {
             0 => before,
             _ => (before + 1 + self.rng.usize(0..edges.max(2) - 1)) % edges,
@@ -181,20 +190,20 @@
     }
 
     fn send(&mut self, operation: &mut Operation, edge: usize) -> bool {
-        let leaves = self.rng.u8(0..25) == 0;
-        let leave = Duration::from_millis(self.rng.u64(LEAVE_MS));
-        let way = Way { edge, leaves_after: leaves.then_some(leave) };
-        let id = operation.next_attempt();
-        attempt(&self.crowd.record, &self.crowd.cluster, operation, id, way)
+        let abandons = self.rng.u8(0..25) == 0;
+        let delay = Duration::from_millis(self.rng.u64(ABANDON_AFTER_MS));
+        let delivery = Delivery { edge, abandon_after: abandons.then_some(delay) };
+        let attempt_id = operation.next_attempt();
+        send_attempt(&self.context.record, &self.context.cluster, operation, attempt_id, delivery)
     }
 
     /// Tries until a success or the last try, and may repeat what succeeded.
-    fn see_through(&mut self, mut operation: Operation) {
+    fn send_until_success(&mut self, mut operation: Operation) {
         let mut edge = self.any_edge();
-        let last = operation.tries + TRIES_MOST;
+        let last = operation.tries + MAX_TRIES;
         let mut succeeded = self.send(&mut operation, edge);
         while !succeeded && operation.tries < last {
-            let pause = self.rng.u64(RETRY_MS);
+            let pause = self.rng.u64(RETRY_DELAY_MS);
             sleep(Duration::from_millis(pause));
             edge = self.next_edge(edge);
             succeeded = self.send(&mut operation, edge);
@@ -207,32 +216,33 @@
     }
 
     /// Sends one operation through two edge processes at the same moment.
-    fn twice_at_once(&mut self, mut operation: Operation) {
+    fn send_twice_at_once(&mut self, mut operation: Operation) {
         let first = self.any_edge();
         let second = self.next_edge(first);
-        let tries = [first, second].map(|edge| (operation.next_attempt(), Way { edge, leaves_after: None }));
-        let (record, cluster) = (&self.crowd.record, &self.crowd.cluster);
-        let sent = &operation;
+        let tries =
+            [first, second].map(|edge| (operation.next_attempt(), Delivery { edge, abandon_after: None }));
+        let (record, cluster) = (&self.context.record, &self.context.cluster);
+        let shared_operation = &operation;
         std::thread::scope(|scope| {
-            for (id, way) in tries {
-                scope.spawn(move || attempt(record, cluster, sent, id, way));
+            for (attempt_id, delivery) in tries {
+                scope.spawn(move || send_attempt(record, cluster, shared_operation, attempt_id, delivery));
             }
         });
-        self.see_through(operation);
+        self.send_until_success(operation);
     }
 
     /// A share of all operations is repeated seconds later.
     fn repeat_later(&mut self, operation: Operation) {
-        if self.rng.u8(0..3) > 0 || self.later.len() >= LATER_MOST {
+        if self.rng.u8(0..3) > 0 || self.pending_repeats.len() >= MAX_PENDING_REPEATS {
             return;
         }
-        let wait = LATER_S.start + self.rng.f64() * (LATER_S.end - LATER_S.start);
-        self.later.push((Instant::now() + Duration::from_secs_f64(wait), operation));
+        let wait = REPEAT_DELAY_S.start + self.rng.f64() * (REPEAT_DELAY_S.end - REPEAT_DELAY_S.start);
+        self.pending_repeats.push((Instant::now() + Duration::from_secs_f64(wait), operation));
     }
 }
 
 /// After all troubles: has each edge process serve a fresh operation, and another one repeat it, until `until`.
-pub fn probe(record: &Record, cluster: &Cluster, behaviour: Behaviour, until: Seconds) {
+pub fn probe_edges(record: &Record, cluster: &Cluster, behaviour: Behaviour, until: Seconds) {
     std::thread::scope(|scope| {
         for edge in 0..cluster.size().edges {
             scope.spawn(move || probe_edge(record, cluster, behaviour, edge, until));
@@ -241,30 +251,31 @@
 }
 
 fn probe_edge(record: &Record, cluster: &Cluster, behaviour: Behaviour, edge: usize, until: Seconds) {
-    let repeated_at = (edge + 1) % cluster.size().edges;
+    let repeating_edge = (edge + 1) % cluster.size().edges;
     let mut operations = Vec::new();
     while record.now() < until {
-        let mut operation = fresh_probe(behaviour, edge, operations.len());
+        let mut operation = new_probe_operation(behaviour, edge, operations.len());
         operations.push(operation.name.clone());
-        let served = tried_until(record, cluster, &mut operation, edge, record.now());
-        if served && tried_until(record, cluster, &mut operation, repeated_at, until) {
+        let served = send_until(record, cluster, &mut operation, edge, record.now());
+        if served && send_until(record, cluster, &mut operation, repeating_edge, until) {
             break;
         }
         sleep(PROBE_PAUSE);
     }
-    record.seen().operation_probes.push(OperationProbe { edge, operations });
+    record.observations().operation_probes.push(OperationProbe { edge, operations });
 }
 
 /// An operation whose first try each server answers well.
-fn fresh_probe(behaviour: Behaviour, edge: usize, nth: usize) -> Operation {
-    let names = (0..).map(|mark| format!("{}-probe{edge}-{nth}-{mark}", behaviour.seed));
-    let well = |name: &String| matches!(behaviour.deed(&format!("{name}.1")), Deed::Answer(0..=100));
-    let name = names.into_iter().find(well).unwrap_or_default();
+fn new_probe_operation(behaviour: Behaviour, edge: usize, nth: usize) -> Operation {
+    let names = (0..).map(|suffix| format!("{}-probe{edge}-{nth}-{suffix}", behaviour.seed));
+    let succeeds_first =
+        |name: &String| matches!(behaviour.action_for(&format!("{name}.1")), ServerAction::Answer(0..=100));
+    let name = names.into_iter().find(succeeds_first).unwrap_or_default();
     Operation::new(name, FREE.1)
 }
 
 /// Tries once, and again until a success or `until`.
-fn tried_until(
+fn send_until(
     record: &Record,
     cluster: &Cluster,
     operation: &mut Operation,
@@ -272,8 +283,8 @@
     until: Seconds,
 ) -> bool {
     loop {
-        let id = operation.next_attempt();
-        if attempt(record, cluster, operation, id, Way { edge, leaves_after: None }) {
+        let attempt_id = operation.next_attempt();
+        if send_attempt(record, cluster, operation, attempt_id, Delivery { edge, abandon_after: None }) {
             return true;
         }
         if record.now() >= until {
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -2,7 +2,7 @@
 
 use eyre::{eyre, WrapErr};
 use lupinledge_soak::checks::Scope;
-use lupinledge_soak::client::LIMITED_PLACES_MOST;
+use lupinledge_soak::client::MAX_LIMITED_DRAWS;
 use lupinledge_soak::cluster::Programs;
 use lupinledge_soak::faults::Kind;
 use lupinledge_soak::run::{run, Plan};
@@ -30,7 +30,7 @@
 ";
 
 fn main() -> ExitCode {
-    match soak(pico_args::Arguments::from_env()) {
+    match run_seeds(pico_args::Arguments::from_env()) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(e) => {
@@ -41,12 +41,12 @@
 }
 
 /// Kinds of trouble, with commas between them.
-fn kinds(text: &str) -> eyre::Result<Vec<Kind>> {
+fn parse_kinds(text: &str) -> eyre::Result<Vec<Kind>> {
     text.split(',').map(Kind::from_str).collect()
 }
 
 /// A span of milliseconds, `from..to`.
-fn pause(text: &str) -> eyre::Result<Range<u64>> {
+fn parse_pause(text: &str) -> eyre::Result<Range<u64>> {
     let (from, to) = text.split_once("..").ok_or_else(|| eyre!("{text}: not FROM..TO"))?;
     let (from, to): (u64, u64) = (from.parse()?, to.parse()?);
     eyre::ensure!(from < to, "{text}: nothing lies between");
@@ -54,7 +54,7 @@
 }
 
 /// Plays all seeds; returns how many runs broke a promise.
-fn soak(mut args: pico_args::Arguments) -> eyre::Result<u64> {
+fn run_seeds(mut args: pico_args::Arguments) -> eyre::Result<u64> {
     if args.contains(["-h", "--help"]) {
         print!("{HELP}");
         return Ok(0);
@@ -63,47 +63,47 @@
     let from: u64 = args.opt_value_from_str("--from")?.unwrap_or(1);
     let seeds: u64 = args.opt_value_from_str("--seeds")?.unwrap_or(1);
     let seconds: u64 = args.opt_value_from_str("--seconds")?.unwrap_or(20);
-    let mut usual = Plan::usual(
+    let mut defaults = Plan::with_defaults(
         from,
         Duration::from_secs(seconds),
         Programs::within(&programs),
         Scope::All,
         PathBuf::new(),
     );
-    usual.clients = args.opt_value_from_str("--clients")?.unwrap_or(usual.clients);
-    usual.keyed = args.opt_value_from_str("--keyed")?.unwrap_or(usual.keyed);
-    usual.limited = args.opt_value_from_str("--limited")?.unwrap_or(usual.limited);
-    eyre::ensure!(usual.limited <= LIMITED_PLACES_MOST, "--limited: {LIMITED_PLACES_MOST} at most");
-    usual.size.edges = args.opt_value_from_str("--edges")?.unwrap_or(usual.size.edges);
-    usual.size.cores = args.opt_value_from_str("--cores")?.unwrap_or(usual.size.cores);
-    usual.size.check()?;
-    if let Some(kinds) = args.opt_value_from_fn("--troubles", kinds)? {
-        usual.schedule.kinds = kinds;
+    defaults.clients = args.opt_value_from_str("--clients")?.unwrap_or(defaults.clients);
+    defaults.keyed = args.opt_value_from_str("--keyed")?.unwrap_or(defaults.keyed);
+    defaults.limited = args.opt_value_from_str("--limited")?.unwrap_or(defaults.limited);
+    eyre::ensure!(defaults.limited <= MAX_LIMITED_DRAWS, "--limited: {MAX_LIMITED_DRAWS} at most");
+    defaults.size.edges = args.opt_value_from_str("--edges")?.unwrap_or(defaults.size.edges);
+    defaults.size.cores = args.opt_value_from_str("--cores")?.unwrap_or(defaults.size.cores);
+    defaults.size.check()?;
+    if let Some(kinds) = args.opt_value_from_fn("--troubles", parse_kinds)? {
+        defaults.schedule.kinds = kinds;
     }
-    if let Some(pause) = args.opt_value_from_fn("--pause", pause)? {
-        usual.schedule.pause = pause;
+    if let Some(pause) = args.opt_value_from_fn("--pause", parse_pause)? {
+        defaults.schedule.pause = pause;
     }
     let jobs: u64 = args.opt_value_from_str("--jobs")?.unwrap_or(1);
     let keep_all = args.contains("--keep-all");
-    let keep: Option<PathBuf> = args.opt_value_from_str("--keep")?;
-    let rest = args.finish();
-    eyre::ensure!(rest.is_empty(), "{rest:?}: not understood; see --help");
-    let own = format!("lupinledge-soak-{}", std::process::id());
-    let keep = keep.unwrap_or_else(|| std::env::temp_dir().join(own));
-    let (next, broken) = (AtomicU64::new(from), AtomicU64::new(0));
+    let folder_root: Option<PathBuf> = args.opt_value_from_str("--keep")?;
+    let unknown_arguments = args.finish();
+    eyre::ensure!(unknown_arguments.is_empty(), "{unknown_arguments:?}: not understood; see --help");
+    let default_name = format!("lupinledge-soak-{}", std::process::id());
+    let folder_root = folder_root.unwrap_or_else(|| std::env::temp_dir().join(default_name));
+    let (next, failed_runs) = (AtomicU64::new(from), AtomicU64::new(0));
     let worker = || -> eyre::Result<()> {
         loop {
             let seed = next.fetch_add(1, Ordering::SeqCst);
             if seed >= from + seeds {
                 return Ok(());
             }
-            let folder = keep.join(format!("seed-{seed}"));
-            let plan = Plan { seed, folder: folder.clone(), ..usual.clone() };
+            let folder = folder_root.join(format!("seed-{seed}"));
+            let plan = Plan { seed, folder: folder.clone(), ..defaults.clone() };
             let verdict = run(&plan).wrap_err_with(|| format!("seed {seed}"))?;
             println!("seed={seed} violations={} {}", verdict.violations.len(), verdict.summary);
             verdict.violations.iter().for_each(|v| println!("seed={seed} {v}"));
             if !verdict.violations.is_empty() {
-                broken.fetch_add(1, Ordering::SeqCst);
+                failed_runs.fetch_add(1, Ordering::SeqCst);
             } else if !keep_all {
                 let _ = std::fs::remove_dir_all(&folder);
             }
@@ -113,7 +113,7 @@
         let workers: Vec<_> = (0..jobs.max(1)).map(|_| scope.spawn(worker)).collect();
         workers.into_iter().try_for_each(|w| w.join().map_err(|_| eyre!("a run broke"))?)
     })?;
-    let broken = broken.into_inner();
-    println!("runs={seeds} broken={broken}");
-    Ok(broken)
+    let failed_runs = failed_runs.into_inner();
+    println!("runs={seeds} broken={failed_runs}");
+    Ok(failed_runs)
 }
--- a/soak/src/operation_checks.rs
+++ b/soak/src/operation_checks.rs
@@ -1,40 +1,40 @@
 //! The verdict on keyed operations: what servers ran against what clients were answered.
 
 use crate::configuration::bounds::{CONTACT, KEY_WINDOW, SLACK};
-use crate::record::{Ending, OperationProbe, OperationRun, OperationTry, Seconds, Seen};
+use crate::record::{Ending, Observations, OperationProbe, OperationRun, OperationTry, Seconds};
 use std::collections::{BTreeMap, HashMap};
 
 /// All runs and tries, by operation and by try.
 pub struct Operations<'a> {
-    seen: &'a Seen,
+    observations: &'a Observations,
     runs: BTreeMap<&'a str, Vec<&'a OperationRun>>,
     tries: BTreeMap<&'a str, Vec<&'a OperationTry>>,
     runs_of_attempt: HashMap<&'a str, Vec<&'a OperationRun>>,
 }
 
-fn is_success(sent: &OperationTry) -> bool {
-    matches!(sent.ending, Ending::Answered { status: 200..300, .. })
+fn is_success(operation_try: &OperationTry) -> bool {
+    matches!(operation_try.ending, Ending::Answered { status: 200..300, .. })
 }
 
 /// Whether two successes are one run's answer.
-fn alike(first: &OperationTry, second: &OperationTry) -> bool {
+fn same_answer(first: &OperationTry, second: &OperationTry) -> bool {
     first.stamp == second.stamp && first.body == second.body
 }
 
 impl<'a> Operations<'a> {
     /// Indexes what was seen.
-    pub fn new(seen: &'a Seen) -> Operations<'a> {
+    pub fn new(observations: &'a Observations) -> Operations<'a> {
         let mut runs: BTreeMap<&str, Vec<&OperationRun>> = BTreeMap::new();
         let mut tries: BTreeMap<&str, Vec<&OperationTry>> = BTreeMap::new();
         let mut runs_of_attempt: HashMap<&str, Vec<&OperationRun>> = HashMap::new();
-        for run in &seen.operation_runs {
+        for run in &observations.operation_runs {
             runs.entry(&run.operation).or_default().push(run);
             runs_of_attempt.entry(&run.attempt).or_default().push(run);
         }
-        for sent in &seen.operation_tries {
-            tries.entry(&sent.operation).or_default().push(sent);
+        for operation_try in &observations.operation_tries {
+            tries.entry(&operation_try.operation).or_default().push(operation_try);
         }
-        Operations { seen, runs, tries, runs_of_attempt }
+        Operations { observations, runs, tries, runs_of_attempt }
     }
 
     fn runs(&self, operation: &str) -> &[&'a OperationRun] {
@@ -42,56 +42,63 @@
     }
 
     fn successes(&self, operation: &str) -> impl Iterator<Item = &&'a OperationTry> {
-        self.tries.get(operation).into_iter().flatten().filter(|sent| is_success(sent))
+        self.tries.get(operation).into_iter().flatten().filter(|operation_try| is_success(operation_try))
     }
 
     /// All that is broken; none of it has a bound in time.
     pub fn violations(&self) -> Vec<String> {
-        let mut found = self.twice();
-        found.extend(self.different_successes());
-        for sent in &self.seen.operation_tries {
-            found.extend(self.of_try(sent).map(|what| format!("{what}: {}", self.story(&sent.operation))));
+        let mut violations = self.check_twice();
+        violations.extend(self.check_successes_equal());
+        for operation_try in &self.observations.operation_tries {
+            violations.extend(
+                self.check_try(operation_try)
+                    .map(|violation| format!("{violation}: {}", self.describe(&operation_try.operation))),
+            );
         }
-        found.extend(self.seen.operation_probes.iter().filter_map(|probe| self.recover(probe)));
-        found
+        violations
+            .extend(self.observations.operation_probes.iter().filter_map(|probe| self.check_probe(probe)));
+        violations
     }
 
     /// TWICE: two runs of an operation, less than its key's window apart.
-    fn twice(&self) -> Vec<String> {
-        let mut found = Vec::new();
+    fn check_twice(&self) -> Vec<String> {
+        let mut violations = Vec::new();
         for (operation, runs) in &self.runs {
             let mut times: Vec<f64> = runs.iter().map(|run| run.at).collect();
             times.sort_by(f64::total_cmp);
             if times.windows(2).any(|pair| pair[1] - pair[0] < KEY_WINDOW) {
-                found.push(format!(
+                violations.push(format!(
                     "TWICE: an operation ran {} times: {}",
                     runs.len(),
-                    self.story(operation)
+                    self.describe(operation)
                 ));
             }
         }
-        found
+        violations
     }
 
     /// MIXED: successes of one operation that differ.
-    fn different_successes(&self) -> Vec<String> {
-        let mut found = Vec::new();
+    fn check_successes_equal(&self) -> Vec<String> {
+        let mut violations = Vec::new();
         for operation in self.tries.keys() {
             let mut successes = self.successes(operation);
             let Some(first) = successes.next() else { continue };
-            if successes.any(|later| !alike(first, later)) {
-                found.push(format!("MIXED: repeats were answered differently: {}", self.story(operation)));
+            if successes.any(|later| !same_answer(first, later)) {
+                violations
+                    .push(format!("MIXED: repeats were answered differently: {}", self.describe(operation)));
             }
         }
-        found
+        violations
     }
 
-    fn of_try(&self, sent: &OperationTry) -> Option<String> {
-        let Ending::Answered { status, fault } = &sent.ending else { return None };
-        let ran = self.runs_of_attempt.contains_key(sent.attempt.as_str());
+    fn check_try(&self, operation_try: &OperationTry) -> Option<String> {
+        let Ending::Answered { status, fault } = &operation_try.ending else { return None };
+        let ran = self.runs_of_attempt.contains_key(operation_try.attempt.as_str());
         match status {
             _ if fault.is_some() => Some(format!("MIXED: {}", fault.unwrap_or_default())),
-            200..300 if !self.is_of_a_run(sent) => Some("MIXED: a success of no run of its operation".into()),
+            200..300 if !self.matches_a_run(operation_try) => {
+                Some("MIXED: a success of no run of its operation".into())
+            }
             400 | 401 | 403 | 404 | 413 | 422 | 431 => {
                 Some(format!("DENIED: a proper keyed request was answered {status}"))
             }
@@ -100,44 +107,62 @@
         }
     }
 
-    fn is_of_a_run(&self, sent: &OperationTry) -> bool {
-        let runs = self.runs(&sent.operation);
-        runs.iter().any(|run| Some(&run.stamp) == sent.stamp.as_ref() && run.body == sent.body)
+    fn matches_a_run(&self, operation_try: &OperationTry) -> bool {
+        let runs = self.runs(&operation_try.operation);
+        runs.iter()
+            .any(|run| Some(&run.stamp) == operation_try.stamp.as_ref() && run.body == operation_try.body)
     }
 
     /// RECOVER: the last of a probe's operations is served, and answered alike when it is repeated.
-    fn recover(&self, probe: &OperationProbe) -> Option<String> {
+    fn check_probe(&self, probe: &OperationProbe) -> Option<String> {
         let last = probe.operations.last().map_or("", String::as_str);
         let mut successes = self.successes(last);
         let repeated = match successes.next() {
-            Some(first) => successes.next().is_some_and(|second| alike(first, second)),
+            Some(first) => successes.next().is_some_and(|second| same_answer(first, second)),
             None => false,
         };
         let edge = (!repeated).then_some(probe.edge)?;
-        Some(format!("RECOVER: edge {edge} serves no operation that is repeated alike: {}", self.story(last)))
+        Some(format!(
+            "RECOVER: edge {edge} serves no operation that is repeated alike: {}",
+            self.describe(last)
+        ))
     }
 
     /// LOST: tries whose connection ended without an answer, at edge processes that `calm` says nothing befell.
-    pub fn lost(&self, calm: impl Fn(&OperationTry) -> bool) -> Vec<String> {
-        let broken = self.seen.operation_tries.iter().filter(|sent| sent.ending == Ending::Broken);
-        let was_taken = |sent: &&OperationTry| {
-            self.runs_of_attempt.contains_key(sent.attempt.as_str()) || sent.ended - sent.at > SLACK
+    pub fn check_lost(&self, undisturbed: impl Fn(&OperationTry) -> bool) -> Vec<String> {
+        let broken = self
+            .observations
+            .operation_tries
+            .iter()
+            .filter(|operation_try| operation_try.ending == Ending::Broken);
+        let was_taken = |operation_try: &&OperationTry| {
+            self.runs_of_attempt.contains_key(operation_try.attempt.as_str())
+                || operation_try.ended - operation_try.at > SLACK
         };
-        let lost = broken.filter(|sent| calm(sent)).filter(was_taken);
-        lost.map(|sent| format!("LOST: no answer to {}: {}", sent.attempt, self.story(&sent.operation)))
-            .collect()
+        let lost = broken.filter(|operation_try| undisturbed(operation_try)).filter(was_taken);
+        lost.map(|operation_try| {
+            format!(
+                "LOST: no answer to {}: {}",
+                operation_try.attempt,
+                self.describe(&operation_try.operation)
+            )
+        })
+        .collect()
     }
 
     /// Repeats of operations that were answered well, with no trouble of any process since shortly before that: how
     /// many were answered well too, and how many there were.
-    pub fn calm_repeats(&self) -> (usize, usize) {
+    pub fn undisturbed_repeats(&self) -> (usize, usize) {
         let (mut answered, mut all) = (0, 0);
         for (operation, tries) in &self.tries {
             let Some(first) = self.successes(operation).next() else { continue };
-            let waited = |sent: &&&OperationTry| matches!(sent.ending, Ending::Answered { .. });
-            let repeats = tries.iter().filter(|sent| sent.at > first.ended).filter(waited);
-            let calm = repeats.filter(|sent| self.calm(first.at - CONTACT, sent.ended));
-            for repeat in calm {
+            let was_answered =
+                |operation_try: &&&OperationTry| matches!(operation_try.ending, Ending::Answered { .. });
+            let repeats =
+                tries.iter().filter(|operation_try| operation_try.at > first.ended).filter(was_answered);
+            let undisturbed =
+                repeats.filter(|operation_try| self.undisturbed(first.at - CONTACT, operation_try.ended));
+            for repeat in undisturbed {
                 all += 1;
                 answered += usize::from(is_success(repeat));
             }
@@ -145,20 +170,20 @@
         (answered, all)
     }
 
-    fn calm(&self, from: Seconds, until: Seconds) -> bool {
-        let mut of_processes = self.seen.troubles.iter().filter(|trouble| trouble.process.is_some());
+    fn undisturbed(&self, from: Seconds, until: Seconds) -> bool {
+        let mut of_processes = self.observations.troubles.iter().filter(|trouble| trouble.process.is_some());
         !of_processes.any(|trouble| trouble.from <= until && trouble.until >= from)
     }
 
     /// All operations with their tries and runs, a line each.
-    pub fn stories(&self) -> String {
-        self.tries.keys().map(|operation| self.story(operation) + "\n").collect()
+    pub fn describe_all(&self) -> String {
+        self.tries.keys().map(|operation| self.describe(operation) + "\n").collect()
     }
 
     /// An operation's tries and runs, for the report.
-    fn story(&self, operation: &str) -> String {
-        let tries = self.tries.get(operation).into_iter().flatten().map(|sent| {
-            let OperationTry { attempt, edge, at, ended, ending, stamp, .. } = sent;
+    fn describe(&self, operation: &str) -> String {
+        let tries = self.tries.get(operation).into_iter().flatten().map(|operation_try| {
+            let OperationTry { attempt, edge, at, ended, ending, stamp, .. } = operation_try;
             format!("{attempt} edge {edge} {at:.3}-{ended:.3} {ending:?} {stamp:?}")
         });
         let runs = self.runs(operation).iter().map(|run| {
@@ -172,15 +197,15 @@
     /// A line of figures: operations, tries, runs, and tries by ending.
     pub fn summary(&self) -> String {
         let mut endings: BTreeMap<String, usize> = BTreeMap::new();
-        for sent in &self.seen.operation_tries {
-            let ending = match &sent.ending {
+        for operation_try in &self.observations.operation_tries {
+            let ending = match &operation_try.ending {
                 Ending::Answered { status, .. } => status.to_string(),
                 other => format!("{other:?}").to_lowercase(),
             };
             *endings.entry(ending).or_default() += 1;
         }
-        let (operations, runs) = (self.tries.len(), self.seen.operation_runs.len());
-        let (answered, repeats) = self.calm_repeats();
+        let (operations, runs) = (self.tries.len(), self.observations.operation_runs.len());
+        let (answered, repeats) = self.undisturbed_repeats();
         format!("operations={operations} operation_runs={runs} tries={endings:?} calm_repeats={answered}/{repeats}")
     }
 }
--- a/soak/src/platform.rs
+++ b/soak/src/platform.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Servers of each service in each zone.
-const EACH: usize = 2;
+const SERVERS_PER_ZONE: usize = 2;
 
 struct Entry {
     server: Backend,
@@ -26,7 +26,7 @@
     record: Arc<Record>,
     behaviour: Behaviour,
     entries: Mutex<Vec<Entry>>,
-    given: AtomicU64,
+    next_id: AtomicU64,
     /// While set, calls are not answered.
     pub silent: AtomicBool,
 }
@@ -35,11 +35,11 @@
     /// Starts all servers and the list; returns where the list is.
     pub fn start(record: Arc<Record>, behaviour: Behaviour) -> std::io::Result<(Arc<Platform>, SocketAddr)> {
         let entries = Mutex::default();
-        let (given, silent) = (AtomicU64::new(0), AtomicBool::new(false));
-        let platform = Arc::new(Platform { record, behaviour, entries, given, silent });
+        let (next_id, silent) = (AtomicU64::new(0), AtomicBool::new(false));
+        let platform = Arc::new(Platform { record, behaviour, entries, next_id, silent });
         for service in SERVICES {
             for (zone, _) in ZONES {
-                (0..EACH).try_for_each(|_| platform.add(service, zone))?;
+                (0..SERVERS_PER_ZONE).try_for_each(|_| platform.add(service, zone))?;
             }
         }
         let answers = platform.clone();
@@ -49,7 +49,7 @@
 
     /// Starts one more server.
     pub fn add(&self, service: &'static str, zone: &'static str) -> std::io::Result<()> {
-        let id = format!("i-{}", self.given.fetch_add(1, Ordering::SeqCst));
+        let id = format!("i-{}", self.next_id.fetch_add(1, Ordering::SeqCst));
         let server = Backend::start(id, service, zone, self.behaviour, self.record.clone())?;
         self.lock().push(Entry { server, draining: false });
         Ok(())
@@ -61,7 +61,7 @@
 
     /// A server crashes, stays in the list for a moment, and another one comes.
     pub fn crash(&self, nth: usize) {
-        let Some((id, service, zone)) = self.nth(nth) else { return };
+        let Some((id, service, zone)) = self.ready_server(nth) else { return };
         self.lock().iter().filter(|e| e.server.id == id).for_each(|e| e.server.crash());
         sleep(Duration::from_millis(700));
         self.lock().retain(|e| e.server.id != id);
@@ -70,7 +70,7 @@
 
     /// A server is replaced: the new one first, then the old one drains and ends.
     pub fn replace(&self, nth: usize) {
-        let Some((id, service, zone)) = self.nth(nth) else { return };
+        let Some((id, service, zone)) = self.ready_server(nth) else { return };
         let _ = self.add(service, zone);
         sleep(Duration::from_millis(500));
         self.lock().iter_mut().filter(|e| e.server.id == id).for_each(|e| e.draining = true);
@@ -81,11 +81,11 @@
 
     /// All open connections of a server are reset.
     pub fn reset_connections(&self, nth: usize) {
-        let Some((id, ..)) = self.nth(nth) else { return };
+        let Some((id, ..)) = self.ready_server(nth) else { return };
         self.lock().iter().filter(|e| e.server.id == id).for_each(|e| e.server.reset_connections());
     }
 
-    fn nth(&self, nth: usize) -> Option<(String, &'static str, &'static str)> {
+    fn ready_server(&self, nth: usize) -> Option<(String, &'static str, &'static str)> {
         let entries = self.lock();
         let ready: Vec<_> = entries.iter().filter(|e| !e.draining).collect();
         let chosen = ready.get(nth % ready.len().max(1))?;
@@ -93,17 +93,17 @@
     }
 
     fn list(&self) -> Value {
-        let row = |e: &Entry| {
+        let instance = |e: &Entry| {
             let state = if e.draining { "draining" } else { "ready" };
             json!({"id": e.server.id, "service": e.server.service, "address": e.server.address, "zone": e.server.zone,
                    "version": "v1", "slots": 16, "state": state, "warmup_left_s": 0})
         };
-        json!({"instances": self.lock().iter().map(row).collect::<Vec<_>>(), "next_token": null})
+        json!({"instances": self.lock().iter().map(instance).collect::<Vec<_>>(), "next_token": null})
     }
 
     fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
-        let mut from = BufReader::new(stream);
-        while http::read(&mut from)?.is_some() {
+        let mut reader = BufReader::new(stream);
+        while http::read(&mut reader)?.is_some() {
             while self.silent.load(Ordering::SeqCst) {
                 sleep(Duration::from_millis(20));
             }
@@ -112,7 +112,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
                 body.len()
             );
-            from.get_mut().write_all((head + &body).as_bytes())?;
+            reader.get_mut().write_all((head + &body).as_bytes())?;
         }
         Ok(())
     }
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -24,7 +24,7 @@
 
 /// A request, as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentRequest {
     pub id: String,
     pub path: String,
     pub repeatable: bool,
@@ -101,7 +101,7 @@
 pub struct Version {
     pub number: u64,
     pub base: u64,
-    pub sent: Seconds,
+    pub sent_at: Seconds,
     pub acknowledged: Option<Seconds>,
     /// Refused by 412: it is not in force.
     pub refused: bool,
@@ -118,13 +118,13 @@
     pub zone: String,
     pub acknowledged: Option<Seconds>,
     /// When taking it back was sent first.
-    pub taken_back: Option<Seconds>,
+    pub revoked: Option<Seconds>,
 }
 
 /// A span in which something outside the promise's terms happened to a process or to the whole.
 #[derive(Clone, Debug)]
 pub struct Trouble {
-    pub what: String,
+    pub description: String,
     pub process: Option<Process>,
     pub from: Seconds,
     pub until: Seconds,
@@ -141,8 +141,8 @@
 
 /// See the module.
 #[derive(Default)]
-pub struct Seen {
-    pub sent: Vec<Sent>,
+pub struct Observations {
+    pub requests: Vec<SentRequest>,
     pub arrivals: Vec<Arrival>,
     pub operation_runs: Vec<OperationRun>,
     pub operation_tries: Vec<OperationTry>,
@@ -159,12 +159,12 @@
 /// What all parties of a run write to.
 pub struct Record {
     began: Instant,
-    seen: Mutex<Seen>,
+    observations: Mutex<Observations>,
 }
 
 impl Default for Record {
     fn default() -> Record {
-        Record { began: Instant::now(), seen: Mutex::default() }
+        Record { began: Instant::now(), observations: Mutex::default() }
     }
 }
 
@@ -175,33 +175,33 @@
     }
 
     /// All that was seen so far.
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    pub fn observations(&self) -> MutexGuard<'_, Observations> {
+        self.observations.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Notes a broken promise.
-    pub fn violation(&self, what: String) {
+    pub fn violation(&self, description: String) {
         let at = self.now();
-        self.seen().violations.push(format!("{at:.3} {what}"));
+        self.observations().violations.push(format!("{at:.3} {description}"));
     }
 
     /// Notes a trouble that begins now; returns its index for [`Record::over`].
-    pub fn trouble(&self, what: String, process: Option<Process>, planned: bool) -> usize {
+    pub fn begin_trouble(&self, description: String, process: Option<Process>, planned: bool) -> usize {
         let from = self.now();
-        let mut seen = self.seen();
-        seen.troubles.push(Trouble { what, process, from, until: f64::INFINITY, planned });
-        seen.troubles.len() - 1
+        let mut observations = self.observations();
+        observations.troubles.push(Trouble { description, process, from, until: f64::INFINITY, planned });
+        observations.troubles.len() - 1
     }
 
     /// Whether anything unplanned befell a process since then.
-    pub fn disturbed(&self, process: Process, since: Seconds) -> bool {
-        let of = |t: &Trouble| t.process == Some(process) && !t.planned && t.until >= since;
-        self.seen().troubles.iter().any(of)
+    pub fn had_unplanned_trouble(&self, process: Process, since: Seconds) -> bool {
+        let is_unplanned = |t: &Trouble| t.process == Some(process) && !t.planned && t.until >= since;
+        self.observations().troubles.iter().any(is_unplanned)
     }
 
     /// A trouble has ended.
-    pub fn over(&self, trouble: usize) {
+    pub fn end_trouble(&self, trouble: usize) {
         let now = self.now();
-        self.seen().troubles[trouble].until = now;
+        self.observations().troubles[trouble].until = now;
     }
 }
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -2,7 +2,7 @@
 //! troubles a seed, and the promises that have no bound in time. `docs/soak.md` tells of the long form.
 
 use lupinledge_soak::checks::Scope;
-use lupinledge_soak::cluster::{Programs, Size};
+use lupinledge_soak::cluster::{ClusterSize, Programs};
 use lupinledge_soak::faults::{Kind, Schedule};
 use lupinledge_soak::run::{run, Plan};
 use std::path::PathBuf;
@@ -11,8 +11,8 @@
 
 /// The folder into which the workspace's programs are built, two above that of this test's own program.
 fn programs() -> Programs {
-    let own = std::env::current_exe().expect("this program");
-    let folder: PathBuf = own.ancestors().nth(2).expect("its folder").into();
+    let test_program = std::env::current_exe().expect("this program");
+    let folder: PathBuf = test_program.ancestors().nth(2).expect("its folder").into();
     let programs = Programs::within(&folder);
     for program in [&programs.core, &programs.edge] {
         assert!(program.exists(), "{}: not built; `cargo test --workspace` builds it", program.display());
@@ -21,31 +21,31 @@
 }
 
 /// Plays a run and asks for no broken promise.
-fn kept(plan: &Plan) {
+fn assert_no_violations(plan: &Plan) {
     let verdict = run(plan).expect("a run");
     assert!(verdict.violations.is_empty(), "{}\n{:#?}", verdict.summary, verdict.violations);
     std::fs::remove_dir_all(&plan.folder).expect("its folder goes");
 }
 
 /// A run of some seconds; its folder is its own.
-fn short(seed: u64, name: &str) -> Plan {
+fn short_plan(seed: u64, name: &str) -> Plan {
     let folder = std::env::temp_dir().join(format!("lupinledge-soak-{}-{name}-{seed}", std::process::id()));
-    Plan::usual(seed, Duration::from_secs(8), programs(), Scope::Untimed, folder)
+    Plan::with_defaults(seed, Duration::from_secs(8), programs(), Scope::Untimed, folder)
 }
 
 #[test_case(1)]
 #[test_case(2)]
 #[test_case(3)]
 fn promises_are_kept_under_overlapping_troubles(seed: u64) {
-    kept(&short(seed, "usual"));
+    assert_no_violations(&short_plan(seed, "usual"));
 }
 
 /// Many edge processes that are killed, restarted and reloaded in series, and members of the core with them.
 #[test]
-fn promises_are_kept_by_a_fleet_that_starts_again_and_again() {
+fn promises_are_kept_during_series_of_edge_restarts() {
     use Kind::{KillCores, KillEdges, ReloadEdges, RestartCore, RestartEdges};
     let kinds = vec![KillEdges, RestartEdges, RestartEdges, ReloadEdges, RestartCore, KillCores];
     let schedule = Schedule { kinds, pause: 200..1_500 };
-    let size = Size { edges: 16, ..Size::default() };
-    kept(&Plan { size, schedule, clients: 20, limited: 12, ..short(4, "fleet") });
+    let size = ClusterSize { edges: 16, ..ClusterSize::default() };
+    assert_no_violations(&Plan { size, schedule, clients: 20, limited: 12, ..short_plan(4, "fleet") });
 }
