--- a/soak/src/admissions.rs
+++ b/soak/src/admissions.rs
@@ -1,4 +1,4 @@
-//! What edge processes say of the requests that they sent: by half a second, on what their admission rested.
+//! Samples the edge processes' counters of admitted requests, by the basis of the admission.
 
 use crate::cluster::Cluster;
 use crate::record::{Observations, Process, Record, Seconds};
@@ -8,28 +8,29 @@
 use std::thread::{sleep, spawn, JoinHandle};
 use std::time::Duration;
 
-/// How often a process is asked.
+/// Interval between samples of a process.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Figures of the programs that are kept begin so.
+/// Prefix of the metrics that are sampled.
 const METRIC_PREFIX: &str = "admitted.";
 
-/// Requests that an edge process sent since it was asked before.
+/// Requests that an edge process admitted since the sample before.
 #[derive(Clone, Debug)]
 pub struct Admitted {
+    /// When the sample was taken.
     pub at: Seconds,
-    /// What the admission rested on.
+    /// The basis of the admission: the metric's name without its prefix.
     pub basis: String,
     pub count: u64,
 }
 
-/// Asks all edge processes until its run stops. What a process sent between the last answer and a kill is not seen.
+/// Samples all edge processes until it is stopped. Requests admitted between the last sample and a kill are missed.
 pub struct Sampler {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Sampler {
-    /// One thread an edge process: one that is frozen holds up no other.
+    /// Starts one thread for each edge process, so that a frozen process doesn't delay the samples of the others.
     pub fn start(record: &Arc<Record>, cluster: &Arc<Cluster>) -> Sampler {
         let stop = Arc::new(AtomicBool::new(false));
         let sample = |edge| {
@@ -40,7 +41,7 @@
         Sampler { stop, threads }
     }
 
-    /// Ends when no thread asks any more.
+    /// Stops all threads and waits for their end.
     pub fn stop_and_join(self) {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().for_each(|thread| drop(thread.join()));
@@ -66,12 +67,13 @@
     }
 }
 
-/// What came on top; a figure that is smaller than before is another life's.
+/// The increase of a counter. A value below the previous one means that the process was restarted: its counters
+/// began at zero again.
 fn increase(previous: u64, current: u64) -> u64 {
     current.checked_sub(previous).unwrap_or(current)
 }
 
-/// Lines for a timeline: the begin of each half second, and the sums in it.
+/// Lines for the timeline: the start of each half second, and the sums in it by basis.
 pub fn sums_by_half_second(observations: &Observations) -> Vec<(Seconds, String)> {
     let mut sums: BTreeMap<u64, BTreeMap<&str, u64>> = BTreeMap::new();
     for admitted in &observations.admitted {
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! The verdict: what was seen outside against the system's promises. Each check names the rule that it stands for.
+//! Checks the observations of a run against the system's promises. Each violation begins with the name of its rule.
 
 use crate::configuration::bounds::*;
 use crate::configuration::{
@@ -8,28 +8,28 @@
 use crate::record::{Arrival, Ending, Observations, Process, Seconds, SentRequest, Version};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Requests that may miss a promise with a number of its own in the rules.
+/// How many requests may miss a promise whose rule itself tolerates some misses.
 const TOLERATED_REQUESTS: usize = 3;
-/// What threads of the harness may be late, on a machine that is busy with other runs.
+/// How late threads of the harness may be, as the machine may be busy with other runs.
 const HARNESS_DELAY: Seconds = 0.3;
 
-/// Which promises are judged.
+/// Which promises are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All of them; the machine is to have a processor to spare.
+    /// All promises. The machine needs a spare processor, else the bounds in time are missed without a fault.
     All,
-    /// Those without a bound in time: their verdict is the same on a machine of any load.
+    /// Promises without a bound in time; their result does not depend on the load of the machine.
     Untimed,
 }
 
-/// All that is asked of what was seen, by index.
+/// The observations of a run with an index, and the checks on them.
 pub struct Evidence<'a> {
     observations: &'a Observations,
     by_id: HashMap<&'a str, Vec<&'a Arrival>>,
 }
 
 impl<'a> Evidence<'a> {
-    /// Indexes what was seen.
+    /// Indexes the arrivals by request id.
     pub fn new(observations: &'a Observations) -> Evidence<'a> {
         let mut by_id: HashMap<&str, Vec<&Arrival>> = HashMap::new();
         observations.arrivals.iter().for_each(|a| by_id.entry(a.id.as_str()).or_default().push(a));
@@ -40,18 +40,20 @@
         self.by_id.get(id).into_iter().flatten().filter(|a| a.ran)
     }
 
-    /// Whether nothing unplanned befell an edge process or the core from the contact time before `from` to `until`.
+    /// Whether neither the edge process nor the core had an unplanned trouble between `from`, less the contact time,
+    /// and `until`.
     fn edge_and_core_undisturbed(&self, edge: usize, from: Seconds, until: Seconds) -> bool {
         self.undisturbed(from, until, |process| {
             process == Process::Edge(edge) || matches!(process, Process::Core(_))
         })
     }
 
-    /// Whether nothing unplanned befell an edge process itself.
+    /// Whether the edge process itself had no unplanned trouble in this span.
     fn edge_undisturbed(&self, edge: usize, from: Seconds, until: Seconds) -> bool {
         self.undisturbed(from, until, |process| process == Process::Edge(edge))
     }
 
+    /// Whether no process that `concerns` selects had an unplanned trouble; planned ones of the core count too.
     fn undisturbed(&self, from: Seconds, until: Seconds, concerns: impl Fn(Process) -> bool) -> bool {
         let unplanned_troubles = |from: Seconds, until: Seconds| {
             let concerned = self.observations.troubles.iter().filter(|t| t.process.is_some_and(&concerns));
@@ -62,7 +64,7 @@
         unplanned_troubles(from, until) == 0
     }
 
-    /// All that is broken.
+    /// All violations; those with a bound in time only in [`Scope::All`].
     pub fn violations(&self, scope: Scope) -> Vec<String> {
         let mut violations = self.observations.violations.clone();
         for request in &self.observations.requests {
@@ -79,7 +81,7 @@
         violations
     }
 
-    /// What is broken of the promises with a bound in time.
+    /// Violations of the promises with a bound in time.
     fn timed_violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for request in &self.observations.requests {
@@ -104,7 +106,7 @@
         violations
     }
 
-    /// A request and what became of it, for the report.
+    /// A request with its ending and its arrivals at servers, for the report.
     fn describe(&self, request: &SentRequest) -> String {
         let arrivals = self.by_id.get(request.id.as_str()).into_iter().flatten();
         let arrivals: Vec<String> = arrivals
@@ -116,6 +118,7 @@
         format!("{id} {path} edge {edge} {at:.3}-{ended:.3} {ending:?} {arrivals:?}")
     }
 
+    /// Rules that one request can break regardless of time.
     fn check_request(&self, request: &SentRequest) -> Vec<String> {
         let runs = self.runs(&request.id).count();
         let mut violations = Vec::new();
@@ -125,44 +128,45 @@
         match &request.ending {
             Ending::Answered { fault: Some(fault), .. } => violations.push(format!("MIXED: {fault}")),
             Ending::Answered { status: 408 | 421 | 429 | 503, .. } if !request.repeatable && runs > 0 => {
-                violations.push("REFUSED: a promise for what ran".into());
+                violations.push("REFUSED: answered as not executed, but a server ran it".into());
             }
             Ending::Answered { status: 200..300, .. } if runs == 0 => {
-                violations.push("MIXED: a success that nobody made".into())
+                violations.push("MIXED: answered with success, but no server ran it".into())
             }
             Ending::Answered { status: status @ (400 | 401 | 403 | 404 | 409 | 413 | 431), .. }
                 if self.is_always_allowed(request) =>
             {
-                violations.push(format!("DENIED: a proper request was answered {status}"));
+                violations.push(format!("DENIED: an allowed request was answered {status}"));
             }
             _ => {}
         }
         if request.key == UNKNOWN_KEY && runs > 0 {
-            violations.push("ROUTE: ran with a key that no configuration held".into());
+            violations.push("ROUTE: ran with a key that no configuration contains".into());
         }
         let servers: BTreeSet<&str> =
             self.by_id.get(request.id.as_str()).into_iter().flatten().map(|a| a.server.as_str()).collect();
         if servers.len() > MAX_ATTEMPTS {
-            violations.push(format!("BUDGET: went to {} servers", servers.len()));
+            violations.push(format!("BUDGET: sent to {} servers", servers.len()));
         }
         violations
     }
 
-    /// CONFIG: no final answer in time.
+    /// CONFIG: a request gets its final answer in time.
     fn check_answer_received(&self, request: &SentRequest) -> Option<String> {
         let silent = request.ending == Ending::Silent
             && self.edge_undisturbed(request.edge, request.at, request.ended);
-        silent.then(|| "CONFIG: no answer for long after its deadline".into())
+        silent.then(|| "CONFIG: no answer until long after the deadline".into())
     }
 
-    /// Whether every configuration that may be in force allows it: its key is no rotating one.
+    /// Whether every configuration that may be in force allows the request: its key is in all of them, unlike the
+    /// rotating keys.
     fn is_always_allowed(&self, request: &SentRequest) -> bool {
         let first =
             self.observations.versions.iter().filter_map(|v| v.acknowledged).fold(f64::INFINITY, f64::min);
         (request.key == FREE.1 || request.key == LIMITED.1) && first < request.at
     }
 
-    /// The versions that an edge process in touch may go by, for a request of this span.
+    /// The versions that an undisturbed edge process may apply to a request of this span.
     fn may_be_in_force(&self, at: Seconds, ended: Seconds) -> Vec<&Version> {
         let applied = |v: &&Version| v.acknowledged.is_some_and(|t| t + CONFIG_APPLY + HARNESS_DELAY < at);
         let newest = self.observations.versions.iter().filter(applied).map(|v| v.number).max().unwrap_or(0);
@@ -170,7 +174,7 @@
         self.observations.versions.iter().filter(is_candidate).collect()
     }
 
-    /// CONFIG: what only an older configuration allows, at an edge process in touch.
+    /// CONFIG: an undisturbed edge process doesn't run what only an outdated configuration allows.
     fn check_versions(&self, request: &SentRequest) -> Vec<String> {
         if !self.edge_and_core_undisturbed(request.edge, request.at - CONFIG_APPLY, request.ended) {
             return Vec::new();
@@ -180,17 +184,19 @@
         let keys: Vec<&str> = candidates.iter().map(|v| v.key.as_str()).chain([FREE.1, LIMITED.1]).collect();
         let mut runs = self.runs(&request.id).peekable();
         if request.key != UNKNOWN_KEY && runs.peek().is_some() && !keys.contains(&request.key.as_str()) {
-            violations.push(format!("CONFIG: ran with a key that was taken away, {}", request.key));
+            violations.push(format!("CONFIG: ran with a key that had been removed, {}", request.key));
         }
         if request.path.starts_with(MOVING) {
             let misrouted = runs.filter(|run| !candidates.iter().any(|v| v.moving_to == run.service));
             violations.extend(
-                misrouted.map(|run| format!("CONFIG: an older configuration led it to {}", run.service)),
+                misrouted
+                    .map(|run| format!("CONFIG: routed to {} by an outdated configuration", run.service)),
             );
         }
         violations
     }
 
+    /// Rules that one arrival at a server can break.
     fn check_arrival(&self, arrival: &Arrival) -> Option<String> {
         let services: &[&str] = match &arrival.path {
             p if p.starts_with(HOMED) => &["beta"],
@@ -203,18 +209,18 @@
         let fault = if let Some(fault) = arrival.fault {
             format!("UNASKED: {fault}")
         } else if arrival.ran && !services.contains(&arrival.service.as_str()) {
-            "ROUTE: another service ran it".into()
+            "ROUTE: run by a service that its route doesn't lead to".into()
         } else if arrival.ran && arrival.path.starts_with(HOMED) && region != HOME {
-            "HOME: it ran away from home".into()
+            "HOME: run outside its home regions".into()
         } else if !arrival.tenant.as_deref().is_some_and(|t| tenants.contains(&t)) {
-            "UNASKED: the tenant of nobody".into()
+            "UNASKED: no tenant or an unknown one".into()
         } else {
             return None;
         };
         Some(format!("{fault}: {id} at {server} {at:.3}"))
     }
 
-    /// EVAC: a request reaches an evacuated zone from an edge process in touch.
+    /// EVAC: no request reaches an evacuated zone from an undisturbed edge process.
     fn check_evacuation(&self, arrival: &Arrival) -> Option<String> {
         let evacuation_in_force = self.observations.evacuations.iter().find(|evacuation| {
             let in_force =
@@ -225,10 +231,15 @@
         let since = evacuation_in_force.acknowledged.unwrap_or(request.at);
         let undisturbed =
             self.edge_and_core_undisturbed(request.edge, since.max(request.at - EVACUATE), arrival.at);
-        undisturbed.then(|| format!("EVAC: {} reached {} at {:.3}", arrival.id, arrival.server, arrival.at))
+        undisturbed.then(|| {
+            format!(
+                "EVAC: {} reached {} in an evacuated zone at {:.3}",
+                arrival.id, arrival.server, arrival.at
+            )
+        })
     }
 
-    /// LOST: an edge process that nothing unplanned befell ends a connection without an answer.
+    /// LOST: an undisturbed edge process doesn't end a connection without an answer.
     fn check_lost(&self) -> Vec<String> {
         let broken = self.observations.requests.iter().filter(|s| s.ending == Ending::Broken);
         let excused =
@@ -240,7 +251,7 @@
         lost.into_iter().map(|s| format!("LOST: no answer: {}", self.describe(s))).collect()
     }
 
-    /// The window with the most runs of the limited tenant: its begin and their number.
+    /// The window with the most runs of the limited tenant: its start and their number.
     pub fn busiest_limited_window(&self) -> Option<(Seconds, usize)> {
         let of_tenant =
             self.observations.arrivals.iter().filter(|a| a.ran && a.tenant.as_deref() == Some(LIMITED.0));
@@ -249,7 +260,7 @@
         busiest_window(&times, QUOTA_WINDOW)
     }
 
-    /// QUOTA: runs of the limited tenant in any window.
+    /// QUOTA: the limited tenant's runs in any window stay within its quota.
     fn check_quota(&self) -> Option<String> {
         let limit = (RATE * QUOTA_WINDOW + BURST) * (1.0 + QUOTA_EXCESS) + QUOTA_SLACK;
         let (at, count) = self.busiest_limited_window()?;
@@ -257,7 +268,8 @@
             .then(|| format!("QUOTA: {count} runs in {QUOTA_WINDOW} s from {at:.1}, {limit:.0} allowed"))
     }
 
-    /// BUDGET: arrivals past the first of each request, of each service.
+    /// BUDGET: the retries at each service, counted as arrivals after the first of each request, stay within the
+    /// retry budget.
     fn check_budget(&self) -> Vec<String> {
         let mut retries: BTreeMap<&str, Vec<Seconds>> = BTreeMap::new();
         for arrivals in self.by_id.values() {
@@ -277,14 +289,14 @@
             let limit = RETRY_RATIO * requests(at) as f64 + RETRY_SLACK;
             if count as f64 > limit {
                 violations.push(format!(
-                    "BUDGET: {count} further arrivals at {service} from {at:.1}, {limit:.0} allowed"
+                    "BUDGET: {count} retries at {service} within {RETRY_WINDOW} s from {at:.1}, {limit:.0} allowed"
                 ));
             }
         }
         violations
     }
 
-    /// GONE: servers go on with repeatable requests whose clients have left an edge process in touch.
+    /// GONE: work on repeatable requests ends soon after their clients have left an undisturbed edge process.
     fn check_gone(&self) -> Option<String> {
         let abandoned =
             |s: &&SentRequest| s.ending == Ending::Left && s.repeatable && s.path.starts_with(READ);
@@ -307,15 +319,19 @@
             .count();
         if late > TOLERATED_REQUESTS {
             return Some(format!(
-                "GONE: {late} requests arrived over half a second after their clients had left"
+                "GONE: {late} requests arrived at a server over half a second after their clients had left"
             ));
         }
-        (continued > TOLERATED_REQUESTS && continued * 4 > long_runs.len().max(1))
-            .then(|| format!("GONE: servers go on with {continued} of {}", long_runs.len()))
+        (continued > TOLERATED_REQUESTS && continued * 4 > long_runs.len().max(1)).then(|| {
+            format!(
+                "GONE: servers continued {continued} of {} requests whose clients had left",
+                long_runs.len()
+            )
+        })
     }
 }
 
-/// The window with the most of these sorted times: its begin and their number.
+/// The window with the most of these sorted times: its start and their number.
 fn busiest_window(times: &[Seconds], window: Seconds) -> Option<(Seconds, usize)> {
     let count = |(i, from): (usize, &Seconds)| {
         let until = times.partition_point(|t| *t <= from + window);
--- a/soak/src/operation_checks.rs
+++ b/soak/src/operation_checks.rs
@@ -1,10 +1,10 @@
-//! The verdict on keyed operations: what servers ran against what clients were answered.
+//! Checks on keyed operations: compares the servers' runs with the answers that clients received.
 
 use crate::configuration::bounds::{CONTACT, KEY_WINDOW, SLACK};
 use crate::record::{Ending, Observations, OperationProbe, OperationRun, OperationTry, Seconds};
 use std::collections::{BTreeMap, HashMap};
 
-/// All runs and tries, by operation and by try.
+/// The runs and tries of keyed operations, indexed by operation and by try, and the checks on them.
 pub struct Operations<'a> {
     observations: &'a Observations,
     runs: BTreeMap<&'a str, Vec<&'a OperationRun>>,
@@ -16,13 +16,13 @@
     matches!(operation_try.ending, Ending::Answered { status: 200..300, .. })
 }
 
-/// Whether two successes are one run's answer.
+/// Whether two successes have the answer of the same run.
 fn same_answer(first: &OperationTry, second: &OperationTry) -> bool {
     first.stamp == second.stamp && first.body == second.body
 }
 
 impl<'a> Operations<'a> {
-    /// Indexes what was seen.
+    /// Indexes runs and tries.
     pub fn new(observations: &'a Observations) -> Operations<'a> {
         let mut runs: BTreeMap<&str, Vec<&OperationRun>> = BTreeMap::new();
         let mut tries: BTreeMap<&str, Vec<&OperationTry>> = BTreeMap::new();
@@ -45,7 +45,7 @@
         self.tries.get(operation).into_iter().flatten().filter(|operation_try| is_success(operation_try))
     }
 
-    /// All that is broken; none of it has a bound in time.
+    /// Violations of the promises without a bound in time.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = self.check_twice();
         violations.extend(self.check_successes_equal());
@@ -60,7 +60,7 @@
         violations
     }
 
-    /// TWICE: two runs of an operation, less than its key's window apart.
+    /// TWICE: an operation doesn't run again within its key's window.
     fn check_twice(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for (operation, runs) in &self.runs {
@@ -77,43 +77,49 @@
         violations
     }
 
-    /// MIXED: successes of one operation that differ.
+    /// MIXED: all successes of one operation have the same answer.
     fn check_successes_equal(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for operation in self.tries.keys() {
             let mut successes = self.successes(operation);
             let Some(first) = successes.next() else { continue };
             if successes.any(|later| !same_answer(first, later)) {
-                violations
-                    .push(format!("MIXED: repeats were answered differently: {}", self.describe(operation)));
+                violations.push(format!(
+                    "MIXED: successes of one operation have different answers: {}",
+                    self.describe(operation)
+                ));
             }
         }
         violations
     }
 
+    /// Rules that the answer to one try can break.
     fn check_try(&self, operation_try: &OperationTry) -> Option<String> {
         let Ending::Answered { status, fault } = &operation_try.ending else { return None };
         let ran = self.runs_of_attempt.contains_key(operation_try.attempt.as_str());
         match status {
             _ if fault.is_some() => Some(format!("MIXED: {}", fault.unwrap_or_default())),
             200..300 if !self.matches_a_run(operation_try) => {
-                Some("MIXED: a success of no run of its operation".into())
+                Some("MIXED: the answer of a success belongs to no run of its operation".into())
             }
             400 | 401 | 403 | 404 | 413 | 422 | 431 => {
-                Some(format!("DENIED: a proper keyed request was answered {status}"))
+                Some(format!("DENIED: an allowed keyed request was answered {status}"))
+            }
+            408 | 421 | 429 | 503 if ran => {
+                Some(format!("REFUSED: answered {status} as not executed, but a server ran it"))
             }
-            408 | 421 | 429 | 503 if ran => Some(format!("REFUSED: {status} for a try that ran")),
             _ => None,
         }
     }
 
+    /// Whether the answer has the stamp and body of a run of its operation.
     fn matches_a_run(&self, operation_try: &OperationTry) -> bool {
         let runs = self.runs(&operation_try.operation);
         runs.iter()
             .any(|run| Some(&run.stamp) == operation_try.stamp.as_ref() && run.body == operation_try.body)
     }
 
-    /// RECOVER: the last of a probe's operations is served, and answered alike when it is repeated.
+    /// RECOVER: the last of a probe's operations succeeds, and its repeat gets the same answer.
     fn check_probe(&self, probe: &OperationProbe) -> Option<String> {
         let last = probe.operations.last().map_or("", String::as_str);
         let mut successes = self.successes(last);
@@ -123,12 +129,13 @@
         };
         let edge = (!repeated).then_some(probe.edge)?;
         Some(format!(
-            "RECOVER: edge {edge} serves no operation that is repeated alike: {}",
+            "RECOVER: no operation succeeded at edge {edge} and got the same answer when repeated: {}",
             self.describe(last)
         ))
     }
 
-    /// LOST: tries whose connection ended without an answer, at edge processes that `calm` says nothing befell.
+    /// LOST: connections that ended without an answer, of the tries for which `undisturbed` reports that their edge
+    /// process had no trouble.
     pub fn check_lost(&self, undisturbed: impl Fn(&OperationTry) -> bool) -> Vec<String> {
         let broken = self
             .observations
@@ -150,8 +157,8 @@
         .collect()
     }
 
-    /// Repeats of operations that were answered well, with no trouble of any process since shortly before that: how
-    /// many were answered well too, and how many there were.
+    /// Counts answered repeats of operations that had succeeded before, where no process had a trouble from shortly
+    /// before that success until the repeat ended: how many succeeded too, and how many there were.
     pub fn undisturbed_repeats(&self) -> (usize, usize) {
         let (mut answered, mut all) = (0, 0);
         for (operation, tries) in &self.tries {
@@ -170,12 +177,13 @@
         (answered, all)
     }
 
+    /// Whether no process had a trouble, planned or not, in this span.
     fn undisturbed(&self, from: Seconds, until: Seconds) -> bool {
         let mut of_processes = self.observations.troubles.iter().filter(|trouble| trouble.process.is_some());
         !of_processes.any(|trouble| trouble.from <= until && trouble.until >= from)
     }
 
-    /// All operations with their tries and runs, a line each.
+    /// All operations with their tries and runs, one line each.
     pub fn describe_all(&self) -> String {
         self.tries.keys().map(|operation| self.describe(operation) + "\n").collect()
     }
@@ -194,7 +202,7 @@
         format!("{operation} tries {tries:?} runs {runs:?}")
     }
 
-    /// A line of figures: operations, tries, runs, and tries by ending.
+    /// A line of counts for the report: operations, runs, tries by ending, and undisturbed repeats.
     pub fn summary(&self) -> String {
         let mut endings: BTreeMap<String, usize> = BTreeMap::new();
         for operation_try in &self.observations.operation_tries {
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -1,4 +1,4 @@
-//! What clients, servers, the operator and the fault injector saw, on one clock.
+//! The observations of clients, servers, the operator and the fault injector, timed by one clock.
 
 use crate::admissions::Admitted;
 use std::sync::{Mutex, MutexGuard};
@@ -10,35 +10,40 @@
 /// How a request of a well-behaved client ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ending {
-    /// A whole answer with this status, and what is wrong with it.
+    /// A complete answer with this status, and what is wrong with it.
     Answered { status: u16, fault: Option<&'static str> },
     /// The whole request was sent, and the connection ended without an answer.
     Broken,
-    /// The whole request was sent, and nothing came for long after its deadline.
+    /// The whole request was sent, and no answer came until well after its deadline.
     Silent,
-    /// It could not be sent.
+    /// The request could not be sent.
     Unsent,
-    /// Its client left on purpose.
+    /// The client closed the connection on purpose before an answer.
     Left,
 }
 
-/// A request, as its client saw it.
+/// A request as its client observed it.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
+    /// The attempt id that the client sent.
     pub id: String,
     pub path: String,
+    /// Whether the route is idempotent.
     pub repeatable: bool,
+    /// The API key.
     pub key: String,
     /// Index of the edge process that took it.
     pub edge: usize,
     /// When its last byte was written.
     pub at: Seconds,
+    /// When it was answered, or ended without an answer.
     pub ended: Seconds,
+    /// When the deadline that the client sent expires.
     pub deadline: Seconds,
     pub ending: Ending,
 }
 
-/// A request that reached a server and was run or turned away there.
+/// A request that reached a server, which ran or rejected it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub id: String,
@@ -47,13 +52,15 @@
     pub server: String,
     pub service: String,
     pub zone: String,
+    /// When it arrived.
     pub at: Seconds,
-    /// Whether the server began to work on it.
+    /// Whether the server started to run it.
     pub ran: bool,
+    /// The tenant header that the edge process added.
     pub tenant: Option<String>,
-    /// Headers or a body that no client sent.
+    /// What in its headers or body differs from what a client sent.
     pub fault: Option<&'static str>,
-    /// When work on it ended, and whether it ended early because the connection was closed.
+    /// When work on it ended, and whether it stopped early because the connection was closed.
     pub worked_until: Seconds,
     pub stopped: bool,
 }
@@ -62,17 +69,17 @@
 #[derive(Clone, Debug)]
 pub struct OperationRun {
     pub operation: String,
-    /// The try that was sent to the server.
+    /// The attempt id of the try that reached the server.
     pub attempt: String,
     pub server: String,
     pub at: Seconds,
-    /// No other run has it.
+    /// Unique to this run.
     pub stamp: String,
-    /// Digest of the body of its answer.
+    /// Hash of the answer's body.
     pub body: u64,
 }
 
-/// One try of a keyed operation, as its client saw it.
+/// One try of a keyed operation as its client observed it.
 #[derive(Clone, Debug)]
 pub struct OperationTry {
     pub operation: String,
@@ -85,13 +92,15 @@
     pub ending: Ending,
     /// The server's stamp on the answer.
     pub stamp: Option<String>,
-    /// Digest of the answer's body.
+    /// Hash of the answer's body.
     pub body: u64,
 }
 
-/// Operations that were sent and repeated after all troubles, from one edge process to another.
+/// Operations that were sent through one edge process after all troubles; successful ones were repeated through
+/// another.
 #[derive(Clone, Debug)]
 pub struct OperationProbe {
+    /// Index of the edge process that got the first tries.
     pub edge: usize,
     pub operations: Vec<String>,
 }
@@ -100,14 +109,16 @@
 #[derive(Clone, Debug)]
 pub struct Version {
     pub number: u64,
+    /// The version that it is based on.
     pub base: u64,
     pub sent_at: Seconds,
+    /// When its acknowledgement was received.
     pub acknowledged: Option<Seconds>,
-    /// Refused by 412: it is not in force.
+    /// Refused with 412, so it never comes into force.
     pub refused: bool,
     /// The service that the moving route leads to.
     pub moving_to: &'static str,
-    /// The key of the tenant whose keys change.
+    /// The key of the rotating tenant.
     pub key: String,
     pub body: Vec<u8>,
 }
@@ -116,30 +127,31 @@
 #[derive(Clone, Debug)]
 pub struct Evacuation {
     pub zone: String,
+    /// When its acknowledgement was received.
     pub acknowledged: Option<Seconds>,
-    /// When taking it back was sent first.
+    /// When its revocation was first sent.
     pub revoked: Option<Seconds>,
 }
 
-/// A span in which something outside the promise's terms happened to a process or to the whole.
+/// A span in which the harness disturbed a process, or the system as a whole where no process is named.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     pub description: String,
     pub process: Option<Process>,
     pub from: Seconds,
     pub until: Seconds,
-    /// SIGTERM or SIGHUP: planned work, which excuses no broken request.
+    /// Planned work, begun with SIGTERM or SIGHUP; it excuses no broken request.
     pub planned: bool,
 }
 
-/// An own process.
+/// A process of the system under test, by its index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Process {
     Core(usize),
     Edge(usize),
 }
 
-/// See the module.
+/// All observations of a run.
 #[derive(Default)]
 pub struct Observations {
     pub requests: Vec<SentRequest>,
@@ -150,13 +162,13 @@
     pub versions: Vec<Version>,
     pub evacuations: Vec<Evacuation>,
     pub troubles: Vec<Trouble>,
-    /// What edge processes say of the requests that they sent.
+    /// Counts of admitted requests from the edge processes' metrics.
     pub admitted: Vec<Admitted>,
-    /// Broken promises that were seen as they happened.
+    /// Violations that were detected during the run.
     pub violations: Vec<String>,
 }
 
-/// What all parties of a run write to.
+/// The shared record to which all parts of the harness write.
 pub struct Record {
     began: Instant,
     observations: Mutex<Observations>,
@@ -169,23 +181,23 @@
 }
 
 impl Record {
-    /// Seconds since the start.
+    /// Seconds since the start of the run.
     pub fn now(&self) -> Seconds {
         self.began.elapsed().as_secs_f64()
     }
 
-    /// All that was seen so far.
+    /// Locks the observations made so far.
     pub fn observations(&self) -> MutexGuard<'_, Observations> {
         self.observations.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Notes a broken promise.
+    /// Records a violation with the current time.
     pub fn violation(&self, description: String) {
         let at = self.now();
         self.observations().violations.push(format!("{at:.3} {description}"));
     }
 
-    /// Notes a trouble that begins now; returns its index for [`Record::over`].
+    /// Records a trouble that begins now; returns its index for [`Record::end_trouble`].
     pub fn begin_trouble(&self, description: String, process: Option<Process>, planned: bool) -> usize {
         let from = self.now();
         let mut observations = self.observations();
@@ -193,13 +205,13 @@
         observations.troubles.len() - 1
     }
 
-    /// Whether anything unplanned befell a process since then.
+    /// Whether a process had an unplanned trouble at any time since `since`.
     pub fn had_unplanned_trouble(&self, process: Process, since: Seconds) -> bool {
         let is_unplanned = |t: &Trouble| t.process == Some(process) && !t.planned && t.until >= since;
         self.observations().troubles.iter().any(is_unplanned)
     }
 
-    /// A trouble has ended.
+    /// Records that a trouble ends now.
     pub fn end_trouble(&self, trouble: usize) {
         let now = self.now();
         self.observations().troubles[trouble].until = now;
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: founds the system, lets traffic, troubles and the operator go on at once, strikes a last time, and judges.
+//! One run: starts the system, runs traffic, troubles and the operator concurrently, injects a closing fault, and checks
+//! the observations.
 
 use crate::admissions::{self, Sampler};
 use crate::backend::Behaviour;
@@ -23,22 +24,23 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// The system is to be ready within this.
+/// Time within which the system has to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-/// Clients that keep to the protocol, unless told otherwise.
+/// Default number of clients that keep to the protocol.
 pub const DEFAULT_CLIENTS: u64 = 10;
-/// Clients of the keyed route.
+/// Default number of clients of the keyed route.
 const DEFAULT_KEYED_CLIENTS: u64 = 4;
 const MISBEHAVING_CLIENTS: u64 = 2;
-/// Of a hundred requests, how many servers do not answer well.
+/// Percentage of requests that servers don't answer properly.
 const FAULTY_PERCENT: u64 = 8;
-/// After the last fault traffic goes on for this long beyond the recovery.
+/// How long traffic continues after the recovery from the closing fault.
 const TRAFFIC_AFTER_RECOVERY: Duration = Duration::from_secs(3);
-/// Probes of the keyed route have at least so many seconds.
+/// Minimum time for the probes of the keyed route.
 const MIN_PROBE_SECONDS: f64 = 5.0;
-/// What has not come by then never does, however busy the machine is.
+/// Recovery timeout where bounds in time are not checked. A system that has not recovered by then never does, however
+/// busy the machine is.
 const UNTIMED_RECOVERY_TIMEOUT: f64 = 120.0;
-/// What a process may hold at the end of a run, when no client is there any more.
+/// Limits on a process at the end of a run, when all clients have disconnected.
 const MAX_RESIDENT_MB: u64 = 160;
 const MAX_DESCRIPTORS: usize = 400;
 
@@ -46,25 +48,25 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
-    /// Troubles go on for so long.
+    /// How long troubles are injected.
     pub trouble_duration: Duration,
     pub programs: Programs,
     pub size: ClusterSize,
-    /// Clients that keep to the protocol.
+    /// Number of clients that keep to the protocol.
     pub clients: u64,
-    /// Clients of the keyed route.
+    /// Number of clients of the keyed route.
     pub keyed: u64,
-    /// Of 20 requests, how many bear the limited tenant's key.
+    /// How many of 20 requests have the limited tenant's key.
     pub limited: u8,
     pub schedule: Schedule,
-    /// Which promises are judged.
+    /// Which promises are checked.
     pub scope: Scope,
-    /// For settings, disks and logs; removed where nothing was broken.
+    /// Folder for settings, disks and logs; the caller may remove it after a run without violations.
     pub folder: PathBuf,
 }
 
 impl Plan {
-    /// A run of the usual size and load, with troubles of all kinds.
+    /// A run of the default size and load, with troubles of all kinds.
     pub fn with_defaults(
         seed: u64,
         trouble_duration: Duration,
@@ -88,15 +90,15 @@
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Verdict {
     pub violations: Vec<String>,
-    /// A line of figures.
+    /// A line of counts for the report.
     pub summary: String,
 }
 
-/// Plays one run.
+/// Carries out one run.
 pub fn run(plan: &Plan) -> eyre::Result<Verdict> {
     let record = Arc::new(Record::default());
     let behaviour = Behaviour { seed: plan.seed, faulty_percent: FAULTY_PERCENT };
@@ -114,7 +116,7 @@
     });
     let mut rng = fastrand::Rng::with_seed(plan.seed);
     if !operator.change_configuration(&mut rng) {
-        bail!("the first configuration was not taken");
+        bail!("the first configuration was not acknowledged");
     }
     wait_until_ready(&cluster)?;
     let sampler = Sampler::start(&record, &cluster);
@@ -154,7 +156,7 @@
     injector.stop.store(true, Ordering::SeqCst);
     operator.stop.store(true, Ordering::SeqCst);
     if injector_thread.join().is_err() || operator_thread.join().is_err() {
-        bail!("the harness broke");
+        bail!("the fault injector or the operator panicked");
     }
     operator.change_configuration(&mut rng);
     sleep(Duration::from_millis(rng.u64(0..300)));
@@ -179,7 +181,8 @@
     Ok(conclude(&record, &cluster, plan.scope))
 }
 
-/// What befell whom when, and when configurations were acknowledged, for who looks into a broken run.
+/// Troubles, acknowledged configurations, runs of the limited tenant and admissions in order of time, for the analysis
+/// of a run with violations.
 fn timeline(record: &Record, size: ClusterSize) -> String {
     let observations = record.observations();
     let mut lines: Vec<(f64, String)> = Vec::new();
@@ -197,7 +200,7 @@
     lines.into_iter().map(|(at, description)| format!("{at:.3} {description}\n")).collect()
 }
 
-/// Runs of the limited tenant, by half a second and edge process.
+/// Counts the limited tenant's runs by half second and edge process.
 fn limited_runs(observations: &Observations, size: ClusterSize) -> Vec<(f64, String)> {
     let edges: HashMap<&str, usize> = observations.requests.iter().map(|s| (s.id.as_str(), s.edge)).collect();
     let mut runs: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
@@ -213,18 +216,20 @@
         .collect()
 }
 
+/// Waits until all edge processes report that they are ready.
 fn wait_until_ready(cluster: &Cluster) -> eyre::Result<()> {
     let began = Instant::now();
     while !(0..cluster.size().edges).all(|edge| cluster.ready(edge)) {
         if began.elapsed() > READY_TIMEOUT {
-            bail!("the system was not ready in time");
+            bail!("the edge processes were not ready within the start timeout");
         }
         sleep(Duration::from_millis(50));
     }
     Ok(())
 }
 
-/// RECOVER and LOST: traffic is served again in time, and what was acknowledged is still there.
+/// RECOVER and CONFIG: traffic is served again in time, and the configuration can be read and is no older
+/// than what was acknowledged.
 fn check_recovery(
     record: &Record,
     operator: &Operator,
@@ -234,7 +239,7 @@
 ) {
     let is_served = || {
         let (now, observations) = (record.now(), record.observations());
-        // what a quota or a key may refuse says nothing of service
+        // requests that a quota or an unknown key may refuse don't show whether the system serves
         let unlimited = |s: &&SentRequest| s.key != LIMITED.1 && s.key != UNKNOWN_KEY;
         let recent_requests = observations
             .requests
@@ -248,7 +253,7 @@
     };
     while !is_served() {
         if record.now() > closing_fault_ended + recovery_timeout {
-            record.violation(format!("RECOVER: not served {recovery_timeout} s after the closing fault at {closing_fault_ended:.1}"));
+            record.violation(format!("RECOVER: traffic not served within {recovery_timeout} s after the closing fault at {closing_fault_ended:.1}"));
             break;
         }
         sleep(Duration::from_millis(100));
@@ -258,7 +263,7 @@
     }
 }
 
-/// What the processes hold and say of themselves once no client is there.
+/// Checks the processes for leaks and unexpected exits once all clients have disconnected.
 fn check_final_state(record: &Record, cluster: &Cluster) {
     sleep(Duration::from_secs_f64(max_answer_wait() + 0.5));
     cluster.check_unexpected_exits();
@@ -267,14 +272,14 @@
             let unanswered = cluster.metric(process, "requests.unanswered");
             if unanswered != Some(0) {
                 record.violation(format!(
-                    "leak: {process:?} holds {unanswered:?} requests of clients that are gone"
+                    "leak: {process:?} holds {unanswered:?} unanswered requests though all clients have disconnected"
                 ));
             }
         }
         match cluster.resources(process) {
             Ok((resident, descriptors)) if resident > MAX_RESIDENT_MB || descriptors > MAX_DESCRIPTORS => {
                 record.violation(format!(
-                    "leak: {process:?} holds {resident} MB and {descriptors} descriptors"
+                    "leak: {process:?} has {resident} MB resident memory and {descriptors} open descriptors"
                 ));
             }
             Ok(_) => {}
@@ -283,7 +288,7 @@
     }
 }
 
-/// Lines of the programs' logs that tell of a fault of their own.
+/// Log lines in which the programs report a broken invariant, a panic or a failure.
 fn log_violations(cluster: &Cluster) -> Vec<String> {
     let mut found = Vec::new();
     for process in cluster.size().processes() {
@@ -296,6 +301,7 @@
     found
 }
 
+/// Runs all checks and sums up the run.
 fn conclude(record: &Record, cluster: &Cluster, scope: Scope) -> Verdict {
     let observations = record.observations();
     let evidence = Evidence::new(&observations);
