--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -1,4 +1,4 @@
-//! An emulated server: runs requests, and misbehaves by a function of the seed and the request's id.
+//! An emulated server: runs requests, and misbehaves as a function of the seed and the request's id.
 
 use crate::configuration::KEYED;
 use crate::record::{Arrival, Observations, OperationRun, Record, Seconds};
@@ -14,40 +14,40 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Names the operation that a keyed request is a try of.
+/// The header with the operation key of a keyed request.
 pub const OPERATION_KEY: &str = "lupinledge-operation-key";
 
-/// Requests at once; more are turned away.
+/// Maximum number of concurrent requests; more are rejected.
 const SLOTS: usize = 24;
-/// Work is done in such slices, and the connection looked at between them.
+/// Work is divided into slices of this length; between them the server checks whether the connection was closed.
 const WORK_SLICE: Duration = Duration::from_millis(10);
 
-/// One body of so many is long.
+/// One of this many bodies is long.
 const LONG_BODY_INTERVAL: usize = 25;
-/// Bytes of bodies at the most.
+/// Maximum sizes of bodies in bytes.
 const MAX_SHORT_BODY: usize = 4000;
 const MAX_LONG_BODY: usize = 900_000;
 
 /// What a server does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerAction {
-    /// Answers after so many milliseconds.
+    /// Answers after this many milliseconds.
     Answer(u64),
-    /// Runs it and resets the connection.
+    /// Runs the request and resets the connection.
     LoseAnswer,
-    /// Runs it and closes the connection.
+    /// Runs the request and closes the connection.
     Close,
-    /// Runs it and breaks off in the body of the answer.
+    /// Runs the request and closes the connection before the answer's body is complete.
     CutBody,
-    /// Runs it and answers nothing until its connection ends.
+    /// Runs the request and doesn't answer until the connection ends.
     Hang,
-    /// Runs it and answers with a failure of its own.
+    /// Runs the request and answers with status 500.
     AnswerFailure,
-    /// Says that it has not run it, and has not.
+    /// Answers that it has not run the request, which is true.
     Reject,
-    /// Answers, and sends one answer more that belongs to nobody.
+    /// Answers, and sends a second answer that belongs to no request.
     ExtraAnswer,
-    /// Answers before it has read the body.
+    /// Answers before it has read the request's body.
     AnswerEarly,
 }
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
     pub seed: u64,
-    /// Of a hundred requests, how many are not answered well.
+    /// Percentage of requests that are not answered properly.
     pub faulty_percent: u64,
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Behaviour {
-    /// What a server does with the request of this id.
+    /// What a server does with the request with this id.
     pub fn action_for(self, id: &str) -> ServerAction {
         let hash_value = hash((self.seed, id));
         if hash_value % 100 < self.faulty_percent {
@@ -87,12 +87,12 @@
     }
 }
 
-/// A digest of a body.
+/// Hash of a body.
 pub fn digest(body: &[u8]) -> u64 {
     hash(body)
 }
 
-/// The body that belongs to a request; now and then a long one.
+/// The body of the answer to a request; one in [`LONG_BODY_INTERVAL`] is long.
 pub fn body_for(id: &str) -> String {
     let hash_value = hash(id) as usize;
     let max_length =
@@ -100,7 +100,7 @@
     format!("{id} {}", "z".repeat(hash_value / LONG_BODY_INTERVAL % max_length))
 }
 
-/// The body that a client sends with a request; now and then a long one.
+/// The body that a client sends with a request; one in [`LONG_BODY_INTERVAL`] is long.
 pub fn request_body(id: &str) -> String {
     let hash_value = hash((id, 1)) as usize;
     let max_length =
@@ -108,7 +108,7 @@
     format!("{id} {}", "q".repeat(hash_value / LONG_BODY_INTERVAL % max_length))
 }
 
-/// One server.
+/// An emulated server as the platform sees it.
 pub struct Backend {
     pub id: String,
     pub service: &'static str,
@@ -118,7 +118,7 @@
     connections: Arc<Mutex<HashMap<u64, TcpStream>>>,
 }
 
-/// What a request is about: the operation of a keyed one, else the request's own id.
+/// What the request's path and body are made from: the operation key of a keyed request, else the attempt id.
 fn subject<'a>(message: &'a Message, id: &'a str) -> &'a str {
     message.header(OPERATION_KEY).unwrap_or(id)
 }
@@ -130,17 +130,18 @@
 }
 
 impl Reply {
-    /// The same for each run of a request without a key; it is told apart by its id.
+    /// The reply to a request without a key. It is the same for each run, as the id identifies the request.
     fn for_unkeyed(id: &str) -> Reply {
         Reply { stamp: "stamp".into(), body: body_for(id) }
     }
 
-    /// A keyed run's, which no other run has.
+    /// The reply of a keyed run, unique to that run.
     fn for_keyed_run(stamp: String) -> Reply {
         Reply { body: body_for(&stamp), stamp }
     }
 }
 
+/// State that the threads of a server share.
 struct ServerState {
     id: String,
     service: &'static str,
@@ -152,7 +153,7 @@
 }
 
 impl Backend {
-    /// Starts at a port of its own.
+    /// Starts a server on a free port.
     pub fn start(
         id: String,
         service: &'static str,
@@ -192,7 +193,7 @@
         Ok(Backend { id, service, zone, address, crashed, connections })
     }
 
-    /// Ends at once: nothing is listened to, and all connections are reset.
+    /// Ends at once: closes the listener and resets all connections.
     pub fn crash(&self) {
         self.crashed.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address);
@@ -208,7 +209,7 @@
     }
 }
 
-/// Whether the other side has closed a connection on which nothing more is due.
+/// Whether the peer has closed the connection; no more data is expected on it.
 fn peer_closed(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
     let peeked = stream.peek(&mut [0]);
@@ -244,7 +245,7 @@
         Ok(())
     }
 
-    /// A whole request, or only the head of one that is answered early.
+    /// Reads a whole request, or only the head if it is to be answered early.
     fn read(&self, reader: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
         let Some(mut message) = http::read_head(reader)? else { return Ok(None) };
         let id = message.header("lupinledge-attempt-id").unwrap_or_default();
@@ -254,25 +255,27 @@
         Ok(Some(message))
     }
 
-    /// What of a request no client sent.
+    /// How a request differs from what a client sent.
     fn request_fault(&self, message: &Message, id: &str) -> Option<&'static str> {
         let (path, body) = (message.start.split(' ').nth(1).unwrap_or_default(), message.text());
         let subject = subject(message, id);
         match message {
             _ if path.starts_with(KEYED) && message.header(OPERATION_KEY).is_none() => {
-                Some("no operation key")
+                Some("the operation key is missing")
             }
             m if m.header("authorization").is_some() => Some("a key was passed on"),
-            m if m.header("lupinledge-tenant").is_none() => Some("no tenant"),
-            _ if !path.ends_with(&format!("/{subject}")) => Some("another path"),
+            m if m.header("lupinledge-tenant").is_none() => Some("the tenant is missing"),
+            _ if !path.ends_with(&format!("/{subject}")) => Some("the path belongs to another request"),
             _ if self.behaviour.action_for(id) == ServerAction::AnswerEarly => None,
-            m if m.start.starts_with("POST ") && body != request_body(subject) => Some("another body"),
+            m if m.start.starts_with("POST ") && body != request_body(subject) => {
+                Some("the body belongs to another request")
+            }
             m if m.start.starts_with("GET ") && !body.is_empty() => Some("a body that was not sent"),
             _ => None,
         }
     }
 
-    /// Runs a request; whether the connection goes on.
+    /// Runs or rejects a request; returns whether the connection stays open.
     fn run_request(&self, message: &Message, stream: &mut TcpStream) -> io::Result<bool> {
         let id = message.header("lupinledge-attempt-id").unwrap_or("none").to_string();
         let path = message.start.split(' ').nth(1).unwrap_or_default().to_string();
@@ -331,7 +334,7 @@
         self.send_reply(action, &id, &reply, stream)
     }
 
-    /// Notes a run of a keyed operation; its answer is its own.
+    /// Records a run of a keyed operation, and returns its unique reply.
     fn record_operation_run(
         &self,
         observations: &mut Observations,
@@ -351,7 +354,7 @@
         reply
     }
 
-    /// Works for so long; whether it stopped because the connection was closed.
+    /// Works for `duration`; returns whether it stopped early because the connection was closed or the server crashed.
     fn work(&self, duration: Duration, connection: &TcpStream) -> bool {
         let began = Instant::now();
         while began.elapsed() < duration {
@@ -363,6 +366,7 @@
         false
     }
 
+    /// Answers as `action` requires; returns whether the connection stays open.
     fn send_reply(
         &self,
         action: ServerAction,
@@ -391,7 +395,7 @@
             }
             ServerAction::AnswerEarly => {
                 stream.write_all(ok_answer.as_bytes())?;
-                // the rest of the body may come until the other side has had the answer
+                // the rest of the body may arrive until the peer has received the answer
                 sleep(Duration::from_millis(300));
                 return Ok(false);
             }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: most keep to the protocol and note what they meet; some misbehave and are only there to be borne.
+//! Clients: most keep to the protocol and record how their requests end; some misbehave, and the system has to cope
+//! with them.
 
 use crate::backend::{body_for, request_body};
 use crate::cluster::Cluster;
@@ -13,29 +14,31 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// What clients say that they wait.
+/// The deadline that clients send with each request.
 pub const DEADLINE: Duration = Duration::from_millis(2000);
-/// Beyond its deadline a client waits so long for a final answer.
+/// How long beyond its deadline a client waits for a final answer.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(1500);
-/// An answer of the directory is kept for so long.
+/// How long a client uses an answer of the directory.
 const DIRECTORY_CACHE_TTL: Duration = Duration::from_secs(2);
 
-/// Keys are drawn from so many places; these at the end are those of nobody and of the rotating tenant.
+/// A client draws one of this many numbers to choose an API key. The last [`OTHER_KEY_DRAWS`] select the unknown key or
+/// that of the rotating tenant.
 const KEY_DRAWS: u8 = 20;
 const OTHER_KEY_DRAWS: u8 = 4;
-/// The limited tenant's places, unless told otherwise, and the most it may have.
+/// Default and maximum number of draws that select the limited tenant's key.
 pub const DEFAULT_LIMITED_DRAWS: u8 = 5;
 pub const MAX_LIMITED_DRAWS: u8 = 15;
 
-/// What all clients of a run share.
+/// State that all clients of a run share.
 pub struct ClientContext {
     pub record: Arc<Record>,
     pub cluster: Arc<Cluster>,
-    /// The key of the rotating tenant that was acknowledged last.
+    /// The rotating tenant's key in the configuration that was acknowledged last.
     pub rotating_key: Arc<std::sync::Mutex<String>>,
     pub stop: AtomicBool,
     pub seed: u64,
-    /// Of [`KEYS_IN_ALL`] requests, how many bear the limited tenant's key; unlimited ones make room for more.
+    /// How many of [`KEY_DRAWS`] requests have the limited tenant's key; the free tenant's requests become fewer by as
+    /// many.
     pub limited: u8,
 }
 
@@ -74,7 +77,7 @@
     }
 }
 
-/// Asks until the run stops.
+/// Sends requests until the run stops.
 pub fn run_well_behaved_client(context: Arc<ClientContext>, nth: u64) {
     let rng = fastrand::Rng::with_seed(context.seed << 16 | nth);
     let (fronts, resolved_at, connection) = (Vec::new(), None, None);
@@ -107,7 +110,7 @@
         Request { path: format!("{prefix}{id}"), id, repeatable, key }
     }
 
-    /// Learns from the directory where to go; what was known stays where nobody answers.
+    /// Gets the addresses of edge processes from the directory; the previous ones are kept if no core member answers.
     fn refresh_fronts(&mut self) {
         if self.resolved_at.is_some_and(|at| at.elapsed() < DIRECTORY_CACHE_TTL) {
             return;
@@ -127,8 +130,9 @@
         }
     }
 
+    /// The open connection, or a new one to a random edge process.
     fn take_connection(&mut self) -> Option<(SocketAddr, Client)> {
-        // an open connection is used until its process is gone, whatever the directory says meanwhile
+        // an open connection is used until its process closes it, also if the directory no longer lists the process
         if let Some(connection) = self.connection.take() {
             return Some(connection);
         }
@@ -136,7 +140,7 @@
         match Client::within(front, DEADLINE + DEADLINE_MARGIN) {
             Ok(client) => Some((front, client)),
             Err(_) => {
-                // it failed: another answer of the directory, and until then the other fronts
+                // asks the directory again, and uses only the other addresses until it answers
                 self.fronts.retain(|other| *other != front);
                 self.resolved_at = None;
                 None
@@ -144,6 +148,7 @@
         }
     }
 
+    /// Sends one request and records how it ended.
     fn send_next_request(&mut self) {
         self.refresh_fronts();
         let Some((front, mut connection)) = self.take_connection() else { return };
@@ -190,6 +195,7 @@
     }
 }
 
+/// The ending of a request by what was read from its connection.
 fn classify_answer(request: &Request, answer: std::io::Result<Option<Message>>) -> Ending {
     match answer {
         Ok(Some(answer)) => {
@@ -200,17 +206,19 @@
     }
 }
 
-/// What is wrong with an answer by itself.
+/// What is wrong with an answer, judged without other observations.
 fn answer_fault(id: &str, answer: &Message) -> Option<&'static str> {
     match answer.status() {
-        200..300 if answer.text() != body_for(id) => Some("a body of another request, or a part of one"),
-        200..300 if answer.header("lupinledge-server-stamp").is_none() => Some("no stamp"),
+        200..300 if answer.text() != body_for(id) => {
+            Some("the body belongs to another request or is incomplete")
+        }
+        200..300 if answer.header("lupinledge-server-stamp").is_none() => Some("no server stamp"),
         200..600 => None,
-        _ => Some("no answer in the protocol"),
+        _ => Some("the status is not one of the protocol"),
     }
 }
 
-/// The addresses that the directory names.
+/// The addresses that the directory returns.
 pub fn resolve(at: SocketAddr) -> Option<Vec<SocketAddr>> {
     let path = format!("/lupinledge/resolve?name={HOST}&region=north&zone=north-1");
     let mut client = Client::within(at, Duration::from_secs(1)).ok()?;
@@ -222,7 +230,8 @@
     (answer.status() == 200 && !fronts.is_empty()).then_some(fronts)
 }
 
-/// Does one bad thing after another until the run stops; nothing of it is judged but what it does to others.
+/// Misbehaves in random ways until the run stops. Its requests are not checked; only their effect on other clients
+/// shows in the checks.
 pub fn run_misbehaving_client(context: Arc<ClientContext>, nth: u64) {
     let mut rng = fastrand::Rng::with_seed(context.seed << 16 | 1 << 15 | nth);
     let mut held_open: Vec<TcpStream> = Vec::new();
@@ -236,31 +245,31 @@
     }
 }
 
-/// One misdeed; a connection that is kept open and silent after it.
+/// Misbehaves once; returns the connection if it is to be kept open without further traffic.
 fn misbehave(mut stream: TcpStream, rng: &mut fastrand::Rng) -> Option<TcpStream> {
     let head = format!("POST {PAY}x HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Token {}\r\n", FREE.1);
     let _ = stream.set_write_timeout(Some(Duration::from_secs(1)));
     match rng.u8(0..8) {
-        0 => {}                                                          // says nothing, and stays
-        1 => drop(stream.write_all(&head.as_bytes()[..head.len() / 2])), // never ends its head
+        0 => {} // sends nothing, and keeps the connection open
+        1 => drop(stream.write_all(&head.as_bytes()[..head.len() / 2])), // never completes the request's head
         2 => drop(stream.write_all(format!("{head}Content-Length: 50000\r\n\r\nonly a part").as_bytes())),
         3 => {
             let garbage: Vec<u8> = (0..400).map(|_| rng.u8(..)).collect();
             let _ = stream.write_all(&garbage);
         }
         4 => {
-            // another request hidden in a body
+            // request smuggling: another request hidden in a body
             let smuggled = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /read/hidden HTTP/1.1\r\n\r\n";
             let _ = stream.write_all((head + smuggled).as_bytes());
         }
         5 => {
-            // a large body that is refused, and an answer that is not read
+            // a large body that is refused, and the answer is not read
             let _ = stream.write_all(format!("{head}Content-Length: 9000000\r\n\r\n").as_bytes());
             let _ = stream.write_all(&vec![b'x'; 200_000]);
         }
         6 => {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-            return None; // reset at once
+            return None; // resets the connection at once
         }
         _ => {
             let _ = stream.write_all(
@@ -274,7 +283,7 @@
     Some(stream)
 }
 
-/// How long an honest client may take from its last byte until it gives up.
+/// How long a well-behaved client waits for an answer after it has sent its last byte, in seconds.
 pub fn max_answer_wait() -> Seconds {
     (DEADLINE + DEADLINE_MARGIN).as_secs_f64()
 }
--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configurations that the operator of a soak run sends, and the figures of the promises.
+//! The configurations that the operator of a soak run sends, and the bounds that the promises refer to.
 
 use serde_json::{json, Value};
 
@@ -9,16 +9,18 @@
 /// The host of all routes.
 pub const HOST: &str = "soak.example";
 
-/// Path prefixes of the routes.
+/// Path prefix of an idempotent route.
 pub const READ: &str = "/read/";
+/// Path prefix of a route whose requests must not run twice.
 pub const PAY: &str = "/pay/";
+/// Path prefix of a route that only the regions of [`HOME`] may serve.
 pub const HOMED: &str = "/homed/";
 /// The route whose requests run once per operation key.
 pub const KEYED: &str = "/keyed/";
 /// The route that leads to another service with each configuration.
 pub const MOVING: &str = "/moving/";
 
-/// The regions that may serve [`HOMED`].
+/// The region that may serve [`HOMED`].
 pub const HOME: &str = "north";
 /// A tenant without a limit, and its key.
 pub const FREE: (&str, &str) = ("free", "key-of-free");
@@ -26,35 +28,50 @@
 pub const LIMITED: (&str, &str) = ("limited", "key-of-limited");
 /// The tenant whose key changes with each configuration.
 pub const ROTATING: &str = "rotating";
-/// A key that no configuration holds.
+/// A key that no configuration contains.
 pub const UNKNOWN_KEY: &str = "key-of-nobody";
-/// Servers that one try may be sent to.
+/// The maximum number of servers that one request is sent to.
 pub const MAX_ATTEMPTS: usize = 2;
 
-/// The figures of the promises, in seconds where they are times.
+/// The bounds of the promises; times are in seconds.
 pub mod bounds {
+    /// How long a machine runs undisturbed before it counts as connected.
     pub const CONTACT: f64 = 3.0;
+    /// How long after its acknowledgement a configuration has to be in force.
     pub const CONFIG_APPLY: f64 = 2.5;
+    /// How long after its acknowledgement an evacuation has to be in force.
     pub const EVACUATE: f64 = 5.0;
+    /// Time that a process has to exit after SIGTERM.
     pub const GRACE: f64 = 4.0;
+    /// Time allowed for a request that was read but not yet forwarded.
     pub const SLACK: f64 = 0.2;
+    /// How long until an order has to be acknowledged.
     pub const ACK: f64 = 8.0;
+    /// How long after the last fault until traffic has to be served again.
     pub const RECOVER: f64 = 15.0;
+    /// How long a machine that has returned still counts as lost.
     pub const CATCH_UP: f64 = 4.0;
+    /// Window of the quota.
     pub const QUOTA_WINDOW: f64 = 5.0;
+    /// Share by which a tenant may exceed its quota.
     pub const QUOTA_EXCESS: f64 = 0.1;
+    /// Number of requests by which a tenant may exceed its quota in addition.
     pub const QUOTA_SLACK: f64 = 20.0;
+    /// Retries allowed per request, for each service.
     pub const RETRY_RATIO: f64 = 0.2;
+    /// Window of the retry budget.
     pub const RETRY_WINDOW: f64 = 10.0;
+    /// Retries allowed in addition, in each window.
     pub const RETRY_SLACK: f64 = 58.0;
-    /// Longer than a run of the soak: no key is free again within one.
+    /// Time for which an operation key is executed only once. Longer than a run, so that no key expires within one.
     pub const KEY_WINDOW: f64 = 900.0;
-    /// Of the limited tenant.
+    /// Requests per second of the limited tenant.
     pub const RATE: f64 = 20.0;
+    /// Burst of the limited tenant.
     pub const BURST: f64 = 10.0;
 }
 
-/// The bounds as the settings files tell them.
+/// The bounds in the form of the settings files.
 pub fn settings_bounds() -> Value {
     use bounds::*;
     json!({
@@ -71,12 +88,12 @@
     SERVICES[(version % 2) as usize]
 }
 
-/// The key of the rotating tenant; `mark` tells two configurations of one number apart.
+/// The key of the rotating tenant; `mark` distinguishes two configurations with the same number.
 pub fn rotating_key(version: u64, mark: u64) -> String {
     format!("key-{version}-{mark}")
 }
 
-/// A configuration on top of another; different marks make different texts.
+/// A configuration based on version `base`; different marks make different texts.
 pub fn configuration(version: u64, base: u64, mark: u64) -> Value {
     let rule = |prefix: &str, kind: &str, service: &str, homes: &[&str]| {
         json!({"name": prefix.trim_matches('/'), "route_kind": kind, "target_s": 0.8, "priority": 0, "public": false,
--- a/soak/src/keyed_client.rs
+++ b/soak/src/keyed_client.rs
@@ -1,5 +1,5 @@
-//! Clients of the keyed route: they try operations again after failures, after good answers and twice at once, mostly
-//! through other edge processes.
+//! Clients of the keyed route: they repeat operations after failures, after successes and concurrently, mostly through
+//! other edge processes.
 
 use crate::backend::{body_for, digest, request_body, Behaviour, ServerAction};
 use crate::client::{ClientContext, DEADLINE, DEADLINE_MARGIN};
@@ -13,24 +13,24 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// An operation without a success is given up after so many tries.
+/// Tries after which an operation without a success is given up.
 const MAX_TRIES: u32 = 6;
-/// Operations that one client means to repeat later.
+/// How many operations one client may have scheduled for a later repeat.
 const MAX_PENDING_REPEATS: usize = 64;
-/// Of those, so many are repeated at the end of a run.
+/// How many of the scheduled operations are repeated at the end of a run.
 const MAX_REPEATS_AT_END: usize = 8;
-/// Seconds until an operation is repeated later.
+/// Seconds until the later repeat of an operation.
 const REPEAT_DELAY_S: std::ops::Range<f64> = 1.0..12.0;
-/// Milliseconds until a failed try is followed by the next.
+/// Milliseconds between a failed try and the next.
 const RETRY_DELAY_MS: std::ops::Range<u64> = 0..400;
 /// Milliseconds between operations.
 const OPERATION_PAUSE_MS: std::ops::Range<u64> = 5..60;
-/// Milliseconds after which an impatient client leaves.
+/// Milliseconds after which a client abandons a try.
 const ABANDON_AFTER_MS: std::ops::Range<u64> = 1..60;
-/// Between two tries of a probe.
+/// Pause between two tries of a probe.
 const PROBE_PAUSE: Duration = Duration::from_millis(100);
 
-/// A keyed operation, which is its key and body, and how often it was tried.
+/// A keyed operation and how often it was tried. Its name is its operation key and determines its body.
 #[derive(Clone, Debug)]
 struct Operation {
     name: String,
@@ -43,7 +43,7 @@
         Operation { name, tenant_key, tries: 0 }
     }
 
-    /// The id of its next try.
+    /// Counts one more try and returns its attempt id.
     fn next_attempt(&mut self) -> String {
         self.tries += 1;
         format!("{}.{}", self.name, self.tries)
@@ -61,14 +61,14 @@
     }
 }
 
-/// Where one try is sent, and whether its client waits for the answer.
+/// Where one try is sent, and whether the client abandons it instead of waiting for the answer.
 #[derive(Clone, Copy)]
 struct Delivery {
     edge: usize,
     abandon_after: Option<Duration>,
 }
 
-/// Sends one try; whether it was a success. One that could not be sent is not recorded.
+/// Sends one try; returns whether it succeeded. A try whose connection could not be opened is not recorded.
 fn send_attempt(
     record: &Record,
     cluster: &Cluster,
@@ -105,6 +105,7 @@
     success
 }
 
+/// The ending of a try by what was read from its connection.
 fn classify_answer(attempt: &str, answer: std::io::Result<Option<Message>>) -> (Ending, Option<Message>) {
     match answer {
         Ok(Some(answer)) => {
@@ -116,17 +117,19 @@
     }
 }
 
-/// What is wrong with an answer by itself.
+/// What is wrong with an answer, judged without other observations.
 fn answer_fault(attempt: &str, answer: &Message) -> Option<&'static str> {
     let stamp = answer.header("lupinledge-server-stamp");
     match answer.status() {
-        200..300 if stamp.is_none() => Some("no stamp"),
+        200..300 if stamp.is_none() => Some("no server stamp"),
         200..300 if stamp.is_some_and(|stamp| answer.text() != body_for(stamp)) => {
-            Some("a body that doesn't belong to its stamp")
+            Some("the body doesn't belong to the stamp")
+        }
+        200..300 if answer.header("lupinledge-attempt-id") != Some(attempt) => {
+            Some("the attempt id of another try")
         }
-        200..300 if answer.header("lupinledge-attempt-id") != Some(attempt) => Some("another try's id"),
         200..600 => None,
-        _ => Some("no answer in the protocol"),
+        _ => Some("the status is not one of the protocol"),
     }
 }
 
@@ -136,7 +139,7 @@
     nth: u64,
     rng: fastrand::Rng,
     operations_created: u64,
-    /// Operations that are to be repeated, and when.
+    /// Operations that are to be repeated, with the time of the repeat.
     pending_repeats: Vec<(Instant, Operation)>,
 }
 
@@ -157,6 +160,7 @@
 }
 
 impl KeyedClient {
+    /// Repeats an operation that is due, else sends a new one.
     fn send_next_operation(&mut self) {
         let now = Instant::now();
         if let Some(due) = self.pending_repeats.iter().position(|(at, _)| *at <= now) {
@@ -180,7 +184,7 @@
         self.rng.usize(0..self.context.cluster.size().edges)
     }
 
-    /// Mostly not the one before.
+    /// An edge process for the next try, mostly another one than before.
     fn next_edge(&mut self, before: usize) -> usize {
         let edges = self.context.cluster.size().edges;
         match self.rng.u8(0..5) {
@@ -189,6 +193,7 @@
         }
     }
 
+    /// Sends one try, which the client may abandon; returns whether it succeeded.
     fn send(&mut self, operation: &mut Operation, edge: usize) -> bool {
         let abandons = self.rng.u8(0..25) == 0;
         let delay = Duration::from_millis(self.rng.u64(ABANDON_AFTER_MS));
@@ -197,7 +202,7 @@
         send_attempt(&self.context.record, &self.context.cluster, operation, attempt_id, delivery)
     }
 
-    /// Tries until a success or the last try, and may repeat what succeeded.
+    /// Tries until a success or the last try, and may repeat the operation after a success.
     fn send_until_success(&mut self, mut operation: Operation) {
         let mut edge = self.any_edge();
         let last = operation.tries + MAX_TRIES;
@@ -215,7 +220,7 @@
         self.repeat_later(operation);
     }
 
-    /// Sends one operation through two edge processes at the same moment.
+    /// Sends one operation through two edge processes, mostly different ones, at the same time.
     fn send_twice_at_once(&mut self, mut operation: Operation) {
         let first = self.any_edge();
         let second = self.next_edge(first);
@@ -231,7 +236,7 @@
         self.send_until_success(operation);
     }
 
-    /// A share of all operations is repeated seconds later.
+    /// Schedules a repeat seconds later for a third of all operations.
     fn repeat_later(&mut self, operation: Operation) {
         if self.rng.u8(0..3) > 0 || self.pending_repeats.len() >= MAX_PENDING_REPEATS {
             return;
@@ -241,7 +246,8 @@
     }
 }
 
-/// After all troubles: has each edge process serve a fresh operation, and another one repeat it, until `until`.
+/// After all troubles: sends a new operation through each edge process and repeats it through another one, until that
+/// works or `until` has passed.
 pub fn probe_edges(record: &Record, cluster: &Cluster, behaviour: Behaviour, until: Seconds) {
     std::thread::scope(|scope| {
         for edge in 0..cluster.size().edges {
@@ -265,7 +271,7 @@
     record.observations().operation_probes.push(OperationProbe { edge, operations });
 }
 
-/// An operation whose first try each server answers well.
+/// An operation whose first try each server answers properly.
 fn new_probe_operation(behaviour: Behaviour, edge: usize, nth: usize) -> Operation {
     let names = (0..).map(|suffix| format!("{}-probe{edge}-{nth}-{suffix}", behaviour.seed));
     let succeeds_first =
@@ -274,7 +280,7 @@
     Operation::new(name, FREE.1)
 }
 
-/// Tries once, and again until a success or `until`.
+/// Tries at least once, and again until a success or `until`.
 fn send_until(
     record: &Record,
     cluster: &Cluster,
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! A soak test of the whole system: real processes on loopback, emulated servers, platform, clients and operator
-//! around them, random faults that overlap in time, and a verdict on the system's promises by what was seen outside.
+//! A soak test of the whole system: real processes on loopback with emulated servers, platform, clients and operator,
+//! random faults that overlap in time, and checks of the system's promises by what is observed from outside.
 //!
-//! A run is a function of its seed as far as the schedule of faults, requests and server behaviour goes; the
-//! interleaving of processes is the machine's. `docs/soak.md` tells how to use it.
+//! The seed of a run determines the schedule of faults, the requests and the behaviour of servers; the interleaving of
+//! processes is left to the machine. `docs/soak.md` describes how to use it.
 
 pub mod admissions;
 pub mod backend;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The soak test from the command line: many seeds, some at a time, and what was broken.
+//! Command line of the soak test: runs many seeds, several at a time, and prints the violations.
 
 use eyre::{eyre, WrapErr};
 use lupinledge_soak::checks::Scope;
@@ -13,20 +13,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-const HELP: &str = "lupinledge-soak: the real programs on loopback under random faults, and a verdict
+const HELP: &str = "lupinledge-soak: runs the real programs on loopback under random faults and checks the system's promises
 
     lupinledge-soak --programs DIR [--from SEED] [--seeds N] [--seconds S] [--clients N] [--keyed N] [--jobs N]
                   [--edges N] [--cores N] [--limited N] [--troubles KIND,KIND...] [--pause MS..MS]
                   [--keep DIR] [--keep-all]
 
 --programs: the folder of lupinledge-hive and lupinledge-forager, built with the feature `cuts`
---from: the first seed (1); --seeds: how many (1); --seconds: how long troubles go on in each run (20)
---clients: those that keep to the protocol, some twelve requests a second each (10)
+--from: the first seed (1); --seeds: number of seeds (1); --seconds: how long troubles are injected in each run (20)
+--clients: clients that keep to the protocol, about twelve requests a second each (10)
 --keyed: clients of the keyed route (4)
---edges, --cores: processes of each kind (3 and 3); --limited: of 20 requests, those of the tenant with a quota (5)
---troubles: kinds of trouble (all); --pause: milliseconds from one to the next within a spell (150..1100)
---jobs: runs at a time (1); --keep: the folder for settings, disks and logs (a temporary one). What a run without a
-violation left is removed, unless --keep-all is given.
+--edges, --cores: processes of each kind (3 and 3); --limited: how many of 20 requests belong to the
+tenant with a quota (5)
+--troubles: kinds of trouble (all); --pause: milliseconds between troubles within a spell (150..1100)
+--jobs: concurrent runs (1); --keep: the folder for settings, disks and logs (a temporary one). The files of a run
+without a violation are removed, unless --keep-all is given.
 ";
 
 fn main() -> ExitCode {
@@ -40,20 +41,20 @@
     }
 }
 
-/// Kinds of trouble, with commas between them.
+/// Parses kinds of trouble that are separated by commas.
 fn parse_kinds(text: &str) -> eyre::Result<Vec<Kind>> {
     text.split(',').map(Kind::from_str).collect()
 }
 
-/// A span of milliseconds, `from..to`.
+/// Parses a range of milliseconds, `from..to`.
 fn parse_pause(text: &str) -> eyre::Result<Range<u64>> {
-    let (from, to) = text.split_once("..").ok_or_else(|| eyre!("{text}: not FROM..TO"))?;
+    let (from, to) = text.split_once("..").ok_or_else(|| eyre!("{text}: expected FROM..TO"))?;
     let (from, to): (u64, u64) = (from.parse()?, to.parse()?);
-    eyre::ensure!(from < to, "{text}: nothing lies between");
+    eyre::ensure!(from < to, "{text}: the range is empty");
     Ok(from..to)
 }
 
-/// Plays all seeds; returns how many runs broke a promise.
+/// Runs all seeds; returns the number of runs with a violation.
 fn run_seeds(mut args: pico_args::Arguments) -> eyre::Result<u64> {
     if args.contains(["-h", "--help"]) {
         print!("{HELP}");
@@ -73,7 +74,7 @@
     defaults.clients = args.opt_value_from_str("--clients")?.unwrap_or(defaults.clients);
     defaults.keyed = args.opt_value_from_str("--keyed")?.unwrap_or(defaults.keyed);
     defaults.limited = args.opt_value_from_str("--limited")?.unwrap_or(defaults.limited);
-    eyre::ensure!(defaults.limited <= MAX_LIMITED_DRAWS, "--limited: {MAX_LIMITED_DRAWS} at most");
+    eyre::ensure!(defaults.limited <= MAX_LIMITED_DRAWS, "--limited: at most {MAX_LIMITED_DRAWS}");
     defaults.size.edges = args.opt_value_from_str("--edges")?.unwrap_or(defaults.size.edges);
     defaults.size.cores = args.opt_value_from_str("--cores")?.unwrap_or(defaults.size.cores);
     defaults.size.check()?;
@@ -87,7 +88,7 @@
     let keep_all = args.contains("--keep-all");
     let folder_root: Option<PathBuf> = args.opt_value_from_str("--keep")?;
     let unknown_arguments = args.finish();
-    eyre::ensure!(unknown_arguments.is_empty(), "{unknown_arguments:?}: not understood; see --help");
+    eyre::ensure!(unknown_arguments.is_empty(), "unknown arguments {unknown_arguments:?}; see --help");
     let default_name = format!("lupinledge-soak-{}", std::process::id());
     let folder_root = folder_root.unwrap_or_else(|| std::env::temp_dir().join(default_name));
     let (next, failed_runs) = (AtomicU64::new(from), AtomicU64::new(0));
@@ -111,7 +112,7 @@
     };
     std::thread::scope(|scope| {
         let workers: Vec<_> = (0..jobs.max(1)).map(|_| scope.spawn(worker)).collect();
-        workers.into_iter().try_for_each(|w| w.join().map_err(|_| eyre!("a run broke"))?)
+        workers.into_iter().try_for_each(|w| w.join().map_err(|_| eyre!("a run panicked"))?)
     })?;
     let failed_runs = failed_runs.into_inner();
     println!("runs={seeds} broken={failed_runs}");
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator: changes the configuration, reads it back, evacuates zones, and sends again what got no clear answer.
+//! The operator: changes the configuration, reads it back, evacuates zones, and repeats calls without a definitive
+//! answer.
 
 use crate::cluster::Cluster;
 use crate::configuration::{bounds, configuration, moving_to, rotating_key, ZONES};
@@ -11,36 +12,38 @@
 use std::time::{Duration, Instant};
 
 const CONFIG: &str = "/lupinledge/config";
-/// A machine that says nothing for so long is left.
+/// How long the operator waits for a machine's answer before it calls another one.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A call without a clear answer is sent again for so long at most.
+/// How long a call without a definitive answer is repeated.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// See the module.
+/// The emulated operator.
 pub struct Operator {
     pub record: Arc<Record>,
     pub cluster: Arc<Cluster>,
+    /// The rotating tenant's key in the configuration that was acknowledged last.
     pub rotating_key: Arc<Mutex<String>>,
     pub stop: AtomicBool,
     pub seed: u64,
 }
 
-/// A call's clear answer.
+/// An answer that settles a call, so that it needn't be repeated.
 #[derive(Debug)]
 pub struct DefinitiveAnswer {
     pub status: u16,
     pub body: Vec<u8>,
-    /// When the try that got it was sent.
+    /// When the try that got this answer was sent.
     pub request_sent_at: Seconds,
 }
 
+/// The number of the version in a configuration's text.
 fn version_of(body: &[u8]) -> Option<u64> {
     let config: serde_json::Value = serde_json::from_slice(body).ok()?;
     config["version"].as_str()?.strip_prefix('r')?.parse().ok()
 }
 
 impl Operator {
-    /// One try at one machine, redirections followed twice; none: no clear answer.
+    /// Calls one machine and follows up to two redirections; `None` without a definitive answer.
     fn call_at(&self, first: usize, method: &str, path: &str, body: &[u8]) -> Option<DefinitiveAnswer> {
         let mut at = self.cluster.control_address(first);
         let request_sent_at = self.record.now();
@@ -58,7 +61,7 @@
         None
     }
 
-    /// Tries all machines in turn until one gives a clear answer, or the run stops.
+    /// Calls random machines until one gives a definitive answer or [`CALL_TIMEOUT`] has passed.
     fn call(
         &self,
         rng: &mut fastrand::Rng,
@@ -70,7 +73,7 @@
         while began.elapsed() < CALL_TIMEOUT {
             let first = rng.usize(0..self.cluster.size().cores);
             if rng.u8(0..8) == 0 {
-                // its answer is lost: the same is sent again
+                // simulates a lost answer: drops it and sends the same call again
                 drop(self.call_at(first, method, path, body));
             } else if let Some(response) = self.call_at(first, method, path, body) {
                 return Some(response);
@@ -81,7 +84,7 @@
         None
     }
 
-    /// Acts until the run stops.
+    /// Makes random calls until the run stops.
     pub fn run(&self) {
         let mut rng = fastrand::Rng::with_seed(self.seed ^ 0x0b5e);
         while !self.stop.load(Ordering::SeqCst) {
@@ -98,13 +101,14 @@
         }
     }
 
-    /// The newest version that was acknowledged.
+    /// The number of the newest version that was acknowledged, or 0.
     fn newest_acknowledged(&self) -> u64 {
         let observations = self.record.observations();
         let acknowledged = observations.versions.iter().filter(|version| version.acknowledged.is_some());
         acknowledged.map(|version| version.number).max().unwrap_or(0)
     }
 
+    /// Records a version as sent now; returns its index and its text.
     fn record_version(&self, number: u64, base: u64, mark: u64) -> (usize, Vec<u8>) {
         let body = configuration(number, base, mark).to_string().into_bytes();
         let sent_at = self.record.now();
@@ -122,11 +126,11 @@
         (observations.versions.len() - 1, body)
     }
 
-    /// Takes note of a clear answer to a configuration.
-    fn record_response(&self, index: usize, response: &DefinitiveAnswer) {
+    /// Records a definitive answer to a configuration.
+    fn record_response(&self, version_index: usize, response: &DefinitiveAnswer) {
         let now = self.record.now();
         let mut observations = self.record.observations();
-        let version = &mut observations.versions[index];
+        let version = &mut observations.versions[version_index];
         match response.status {
             200 => {
                 version.acknowledged = Some(now);
@@ -144,7 +148,7 @@
         }
     }
 
-    /// One change on top of the newest; whether it was acknowledged.
+    /// Sends one change based on the newest version; returns whether it was acknowledged.
     pub fn change_configuration(&self, rng: &mut fastrand::Rng) -> bool {
         let base = self.newest_acknowledged();
         let (version, body) = self.record_version(base + 1 + rng.u64(0..3), base, rng.u64(..1 << 20));
@@ -152,12 +156,12 @@
         self.record_response(version, &response);
         let is_settled = |version: &Version| version.acknowledged.is_some() || version.refused;
         if response.status == 412 && self.record.observations().versions.iter().all(is_settled) {
-            self.record.violation(format!("CONFIG: the only change on top of r{base} was refused as stale"));
+            self.record.violation(format!("CONFIG: the only change based on r{base} was refused as stale"));
         }
         response.status == 200
     }
 
-    /// Two changes on top of the same version at once: one of them wins.
+    /// Sends two changes based on the same version concurrently; exactly one may be acknowledged.
     fn send_conflicting_changes(&self, rng: &mut fastrand::Rng) {
         let base = self.newest_acknowledged();
         let number = base + 1 + rng.u64(0..3);
@@ -175,12 +179,11 @@
         }
         let statuses = answers.map(|a| a.map_or(0, |response| response.status));
         if statuses == [200, 200] || statuses == [412, 412] {
-            self.record
-                .violation(format!("CONFIG: two changes on top of r{base} were answered {statuses:?}"));
+            self.record.violation(format!("CONFIG: two changes based on r{base} were answered {statuses:?}"));
         }
     }
 
-    /// The newest configuration once more, with no change since: it is acknowledged again.
+    /// Sends the newest configuration again without a change in between; it has to be acknowledged again.
     fn resend_newest(&self, rng: &mut fastrand::Rng) {
         let newest = self.newest_acknowledged();
         let body = {
@@ -194,12 +197,14 @@
         };
         let Some(response) = body.and_then(|body| self.call(rng, "PUT", CONFIG, &body)) else { return };
         if response.status != 200 {
-            self.record
-                .violation(format!("CONFIG: r{newest}, taken before, was answered {}", response.status));
+            self.record.violation(format!(
+                "CONFIG: r{newest}, acknowledged before, was answered {}",
+                response.status
+            ));
         }
     }
 
-    /// A configuration that may not be taken.
+    /// Sends an invalid configuration, which has to be refused.
     fn send_invalid(&self, rng: &mut fastrand::Rng) {
         let base = self.newest_acknowledged();
         let mut config = configuration(base + 1, base, 0);
@@ -215,7 +220,7 @@
         }
     }
 
-    /// Reads the configuration: never older than what was acknowledged before, and as it was sent.
+    /// Reads the configuration, which has to be as it was sent and no older than the newest one acknowledged before.
     pub fn read_configuration(&self, rng: &mut fastrand::Rng) -> Option<u64> {
         let response = self.call(rng, "GET", CONFIG, b"")?;
         let (now, mut observations) = (self.record.now(), self.record.observations());
@@ -228,7 +233,7 @@
         let has_number = |version: &&Version| Some(version.number) == read_number;
         let fault = match (read_number, newest) {
             (None, Some(newest)) => {
-                Some(format!("r{newest} is acknowledged, a read was answered {}", response.status))
+                Some(format!("a read was answered {} though r{newest} is acknowledged", response.status))
             }
             (Some(read_number), Some(newest)) if read_number < newest => {
                 Some(format!("r{read_number} was read after r{newest} was acknowledged"))
@@ -240,11 +245,11 @@
                     .filter(has_number)
                     .any(|version| version.body == response.body && !version.refused) =>
             {
-                Some(format!("r{read_number} was read, not as it was sent, or refused before"))
+                Some(format!("the text read for r{read_number} was never sent, or was refused"))
             }
             _ => None,
         };
-        // one without a clear answer is in force, as is seen now
+        // the configuration read is in force, so it counts as acknowledged even if its call got no definitive answer
         let unsettled = observations
             .versions
             .iter_mut()
@@ -255,7 +260,7 @@
         read_number
     }
 
-    /// Has a zone emptied and takes that back.
+    /// Evacuates a zone and revokes that after a while.
     fn evacuate(&self, rng: &mut fastrand::Rng) {
         let zone = ZONES[rng.usize(0..ZONES.len())].0.to_string();
         let path = format!("/lupinledge/evacuation/{zone}");
@@ -280,7 +285,7 @@
     }
 }
 
-/// One call; none where no whole answer comes.
+/// Makes one call; `None` without a complete answer.
 fn call_once(at: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<Message> {
     let mut client = Client::within(at, ANSWER_TIMEOUT).ok()?;
     let length = body.len();
--- a/soak/src/platform.rs
+++ b/soak/src/platform.rs
@@ -1,4 +1,4 @@
-//! The emulated platform: the list of servers, and the servers that stand in it.
+//! The emulated platform: the list of servers, and the servers that it contains.
 
 use crate::backend::{Backend, Behaviour};
 use crate::configuration::{SERVICES, ZONES};
@@ -13,26 +13,27 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Servers of each service in each zone.
+/// Number of servers of each service in each zone.
 const SERVERS_PER_ZONE: usize = 2;
 
+/// A server in the list.
 struct Entry {
     server: Backend,
     draining: bool,
 }
 
-/// See the module.
+/// The emulated platform with its servers.
 pub struct Platform {
     record: Arc<Record>,
     behaviour: Behaviour,
     entries: Mutex<Vec<Entry>>,
     next_id: AtomicU64,
-    /// While set, calls are not answered.
+    /// While set, requests for the list are not answered.
     pub silent: AtomicBool,
 }
 
 impl Platform {
-    /// Starts all servers and the list; returns where the list is.
+    /// Starts all servers and the HTTP server for the list; returns the address of the list.
     pub fn start(record: Arc<Record>, behaviour: Behaviour) -> std::io::Result<(Arc<Platform>, SocketAddr)> {
         let entries = Mutex::default();
         let (next_id, silent) = (AtomicU64::new(0), AtomicBool::new(false));
@@ -59,7 +60,7 @@
         self.entries.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A server crashes, stays in the list for a moment, and another one comes.
+    /// Crashes a server; it stays in the list for a moment before another one replaces it.
     pub fn crash(&self, nth: usize) {
         let Some((id, service, zone)) = self.ready_server(nth) else { return };
         self.lock().iter().filter(|e| e.server.id == id).for_each(|e| e.server.crash());
@@ -68,7 +69,7 @@
         let _ = self.add(service, zone);
     }
 
-    /// A server is replaced: the new one first, then the old one drains and ends.
+    /// Replaces a server: starts the new one first, then lets the old one drain and end.
     pub fn replace(&self, nth: usize) {
         let Some((id, service, zone)) = self.ready_server(nth) else { return };
         let _ = self.add(service, zone);
@@ -79,12 +80,13 @@
         self.lock().retain(|e| e.server.id != id);
     }
 
-    /// All open connections of a server are reset.
+    /// Resets all open connections of a server.
     pub fn reset_connections(&self, nth: usize) {
         let Some((id, ..)) = self.ready_server(nth) else { return };
         self.lock().iter().filter(|e| e.server.id == id).for_each(|e| e.server.reset_connections());
     }
 
+    /// Id, service and zone of a server that isn't draining; `nth` is taken modulo their number.
     fn ready_server(&self, nth: usize) -> Option<(String, &'static str, &'static str)> {
         let entries = self.lock();
         let ready: Vec<_> = entries.iter().filter(|e| !e.draining).collect();
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -246,10 +246,10 @@
             .iter()
             .filter(unlimited)
             .filter(|s| s.at > closing_fault_ended && s.at > now - 2.0);
-        let (served, sent) = recent_requests.fold((0, 0), |(served, sent), s| {
-            (served + usize::from(matches!(s.ending, Ending::Answered { status: 200, .. })), sent + 1)
+        let (served, total) = recent_requests.fold((0, 0), |(served, total), s| {
+            (served + usize::from(matches!(s.ending, Ending::Answered { status: 200, .. })), total + 1)
         });
-        sent > 10 && served * 5 > sent * 2
+        total > 10 && served * 5 > total * 2
     };
     while !is_served() {
         if record.now() > closing_fault_ended + recovery_timeout {
