--- a/soak/src/cluster.rs
+++ b/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The own processes of a run: each at a loopback address of its own, with settings, disk and log in one folder.
+//! The processes under test: each has its own loopback address; settings, disks and logs are in one folder.
 
 use crate::configuration::{settings_bounds, ZONES};
 use crate::record::{Process, Record};
@@ -19,8 +19,9 @@
 /// How many processes of each kind a run has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClusterSize {
-    /// Members of the core.
+    /// Number of core members.
     pub cores: usize,
+    /// Number of edge processes.
     pub edges: usize,
 }
 
@@ -31,22 +32,22 @@
 }
 
 impl ClusterSize {
-    /// All processes of a run, members of the core first.
+    /// All processes of a run, core members first.
     pub fn processes(self) -> impl Iterator<Item = Process> {
         self.core().chain((0..self.edges).map(Process::Edge))
     }
 
-    /// The members of the core.
+    /// The core members.
     pub fn core(self) -> impl Iterator<Item = Process> {
         (0..self.cores).map(Process::Core)
     }
 
-    /// Members of the core whose disks may be lost at once.
+    /// How many core members may lose their disks at once.
     pub fn max_lost_disks(self) -> usize {
         (self.cores - 1) / 2
     }
 
-    /// Whether there are addresses for all processes, and a core that can lose a member.
+    /// Checks that there are addresses for all processes, and that the core can lose a member.
     pub fn check(self) -> eyre::Result<()> {
         eyre::ensure!((3..=9).contains(&self.cores), "--cores: {} is not within 3 to 9", self.cores);
         let max_edges = usize::from(FIRST_SUCCESSOR_OCTET) - 1 - self.cores;
@@ -59,15 +60,16 @@
     }
 }
 
-/// The last part of the addresses of machines that come later.
+/// The last octet of the first address for machines that replace core members.
 const FIRST_SUCCESSOR_OCTET: u8 = 200;
-/// The file with the ids of all processes started.
+/// The file with the process ids of all processes started.
 const STARTED_FILE: &str = "started";
 
-/// A process that was asked to end has so long before it is killed; beyond the grace it breaks a promise.
+/// How long a process may take to exit after SIGTERM before it is killed. It breaks a promise already when it takes
+/// longer than the grace.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The programs.
+/// Paths of the programs under test.
 #[derive(Clone, Debug)]
 pub struct Programs {
     pub core: PathBuf,
@@ -75,13 +77,13 @@
 }
 
 impl Programs {
-    /// Those in a folder.
+    /// The programs in a folder.
     pub fn within(folder: &Path) -> Programs {
         Programs { core: folder.join("lupinledge-hive"), edge: folder.join("lupinledge-forager") }
     }
 }
 
-/// A signal that the fault injector sends.
+/// A signal that can be sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     Kill,
@@ -103,15 +105,16 @@
     }
 }
 
+/// A process with its address.
 struct Node {
     process: Process,
     ip: Ipv4Addr,
     child: Option<Child>,
-    /// Its end is expected: it was killed or asked to end.
+    /// Whether its exit is expected, as it was killed or asked to terminate.
     exit_expected: bool,
 }
 
-/// See the module.
+/// The processes under test and the files of a run.
 pub struct Cluster {
     record: Arc<Record>,
     programs: Programs,
@@ -120,13 +123,13 @@
     size: ClusterSize,
     ports: Ports,
     nodes: Vec<Mutex<Node>>,
-    /// Ends the processes should this one be killed.
+    /// Kills the processes if this process is killed.
     watchdog: Child,
-    /// How many successors of members of the core there were.
+    /// How many successors of core members have been started.
     successors: AtomicU8,
 }
 
-/// A machine that is to take the place of a member of the core.
+/// A machine that is to replace a core member.
 pub struct Successor {
     core: usize,
     ip: Ipv4Addr,
@@ -134,6 +137,7 @@
 }
 
 #[derive(Clone, Copy)]
+/// The ports of all processes; they differ only in their addresses.
 struct Ports {
     peers: u16,
     control: u16,
@@ -141,7 +145,7 @@
     ready: u16,
 }
 
-/// Addresses that no other run of this machine has.
+/// The second and third octet of loopback addresses, meant to differ from those of other runs on this machine.
 fn unique_network() -> [u8; 2] {
     static NEXT_NETWORK: AtomicU32 = AtomicU32::new(0);
     let nth = NEXT_NETWORK.fetch_add(1, Ordering::SeqCst);
@@ -149,7 +153,7 @@
     [64 + (id >> 8) as u8 % 128, id as u8]
 }
 
-/// A process that waits for the end of this one and then ends those whose ids stand in the folder.
+/// Starts a shell that waits for the end of this process and then kills the processes listed in [`STARTED_FILE`].
 fn spawn_watchdog(folder: &Path) -> eyre::Result<Child> {
     let started = folder.join(STARTED_FILE);
     File::create(&started)?;
@@ -157,9 +161,10 @@
     let mut command = Command::new("sh");
     command.args(["-c", script, "sh", &std::process::id().to_string()]).arg(started);
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
-    command.spawn().wrap_err("a shell")
+    command.spawn().wrap_err("the watchdog's shell could not be started")
 }
 
+/// Finds ports that are free at all addresses, for TCP and UDP.
 fn free_ports(ips: &[Ipv4Addr]) -> eyre::Result<Ports> {
     let mut free = Vec::new();
     for _ in 0..200 {
@@ -173,11 +178,11 @@
             return Ok(Ports { peers, control, front, ready });
         }
     }
-    bail!("no ports are free")
+    bail!("no four ports are free at all addresses")
 }
 
 impl Cluster {
-    /// A folder and addresses; no process runs yet.
+    /// Creates the folder and chooses addresses; starts no process yet.
     pub fn new(
         record: Arc<Record>,
         programs: Programs,
@@ -185,7 +190,7 @@
         platform: SocketAddr,
         size: ClusterSize,
     ) -> eyre::Result<Arc<Cluster>> {
-        // what an earlier run of the same seed left is no state of this one
+        // removes the files of an earlier run with the same seed
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).wrap_err_with(|| folder.display().to_string())?;
         let [second, third] = unique_network();
@@ -221,7 +226,7 @@
         )
     }
 
-    /// How many processes there are.
+    /// The number of processes of each kind.
     pub fn size(&self) -> ClusterSize {
         self.size
     }
@@ -231,12 +236,12 @@
         self.node(process).ip
     }
 
-    /// Where the operator and clients that ask where to go call a member of the core.
+    /// The address at which a core member serves the operator and the clients' lookups in the directory.
     pub fn control_address(&self, core: usize) -> SocketAddr {
         (self.ip(Process::Core(core)), self.ports.control).into()
     }
 
-    /// Where clients call an edge process.
+    /// The address at which an edge process serves clients.
     pub fn front_address(&self, edge: usize) -> SocketAddr {
         (self.ip(Process::Edge(edge)), self.ports.front).into()
     }
@@ -253,12 +258,12 @@
         }
     }
 
-    /// What a process wrote, over all its lives.
+    /// The log of a process, across all its restarts.
     pub fn log_path(&self, process: Process) -> PathBuf {
         self.folder.join(format!("{}.log", Self::node_name(process)))
     }
 
-    /// The disk of the machine at an address.
+    /// The folder that serves as disk of the machine at an address.
     fn data_path(&self, ip: Ipv4Addr) -> PathBuf {
         self.folder.join(format!("{ip}.data"))
     }
@@ -267,16 +272,17 @@
         self.folder.join(format!("{ip}.json"))
     }
 
-    /// The file that tells the programs which of them are cut off from each other.
+    /// The file with the pairs of addresses that the programs treat as cut off from each other.
     pub fn cuts_path(&self) -> PathBuf {
         self.folder.join("cuts")
     }
 
-    /// Where the members of the core are called, as the operator's list has them now.
+    /// The control addresses of the current core members.
     fn seeds(&self) -> Vec<SocketAddr> {
         (0..self.size.cores).map(|core| self.control_address(core)).collect()
     }
 
+    /// The settings of the process at an address.
     fn settings(&self, process: Process, ip: Ipv4Addr, seeds: &[SocketAddr], bootstrap: bool) -> Value {
         let place = match process {
             Process::Core(i) | Process::Edge(i) => ZONES[i % ZONES.len()],
@@ -302,7 +308,7 @@
         settings
     }
 
-    /// Writes the settings file anew, whole or cut short.
+    /// Replaces the settings file, with the complete text or one that is cut short.
     pub fn write_settings(&self, process: Process, whole: bool) -> eyre::Result<()> {
         let (ip, seeds) = (self.ip(process), self.seeds());
         let text = self.settings(process, ip, &seeds, false).to_string();
@@ -313,7 +319,7 @@
         Ok(())
     }
 
-    /// Starts a process that does not run.
+    /// Starts a process that is not running.
     pub fn start(&self, process: Process, bootstrap: bool) -> eyre::Result<()> {
         let ip = self.ip(process);
         let child = self.spawn(process, ip, bootstrap)?;
@@ -322,6 +328,7 @@
         Ok(())
     }
 
+    /// Writes the settings and starts a program with them.
     fn spawn(&self, process: Process, ip: Ipv4Addr, bootstrap: bool) -> eyre::Result<Child> {
         let path = self.settings_path(ip);
         let seeds = self.seeds();
@@ -343,8 +350,8 @@
         Ok(child)
     }
 
-    /// Starts an empty machine at a new address in the place of a member of the core, which goes on until
-    /// [`Cluster::take_place`]; where it is.
+    /// Starts an empty machine at a new address that is to replace a core member. The old process keeps its place until
+    /// [`Cluster::promote_successor`].
     pub fn start_successor(&self, core: usize) -> eyre::Result<Successor> {
         let [a, b, c, _] = self.ip(Process::Core(core)).octets();
         let ip =
@@ -353,19 +360,19 @@
         Ok(Successor { core, ip, child })
     }
 
-    /// Whether a successor counts in the core.
+    /// Whether a successor reports that it is a core member.
     pub fn is_core_member(&self, successor: &Successor) -> bool {
         let metrics = self.metrics_at((successor.ip, self.ports.control).into());
         metrics.is_some_and(|metrics| metrics.get("core.member") == Some(&1))
     }
 
-    /// From here on the successor is that member of the core; the one before has ended.
+    /// Makes the successor the core member's process; the old one must have ended.
     pub fn promote_successor(&self, successor: Successor) {
         let mut node = self.node(Process::Core(successor.core));
         (node.ip, node.child, node.exit_expected) = (successor.ip, Some(successor.child), false);
     }
 
-    /// Sends a signal to a process that runs.
+    /// Sends a signal to a process if it is running.
     pub fn signal(&self, process: Process, signal: Signal) {
         let mut node = self.node(process);
         node.exit_expected |= matches!(signal, Signal::Kill | Signal::Terminate);
@@ -373,7 +380,7 @@
         let _ = Command::new("kill").args(["-s", signal.name(), &child.id().to_string()]).status();
     }
 
-    /// Kills a process; ends when it is gone.
+    /// Kills a process and waits for its end.
     pub fn kill(&self, process: Process) {
         let mut node = self.node(process);
         node.exit_expected = true;
@@ -382,11 +389,12 @@
         }
     }
 
-    /// Asks a process to end, and waits for it; after how long it did, and by itself in order.
+    /// Sends SIGTERM and waits for the exit; returns how long it took and whether the process exited with success by
+    /// itself.
     pub fn terminate(&self, process: Process) -> Option<(Duration, bool)> {
         self.signal(process, Signal::Terminate);
         let began = Instant::now();
-        // its child stays in its place: one that is frozen meanwhile is to be thawed
+        // the child stays in the node, so that a trouble that has frozen it meanwhile can let it continue
         while began.elapsed() < TERMINATION_TIMEOUT {
             let mut node = self.node(process);
             if let Ok(Some(status)) = node.child.as_mut()?.try_wait() {
@@ -400,12 +408,12 @@
         Some((began.elapsed(), false))
     }
 
-    /// Removes what a process that does not run had on its disk.
+    /// Removes the disk of a process that is not running.
     pub fn remove_data(&self, process: Process) -> eyre::Result<()> {
         fs::remove_dir_all(self.data_path(self.ip(process))).wrap_err("wipe")
     }
 
-    /// Notes each process that ended without having been told to.
+    /// Records a violation for each process that exited unexpectedly.
     pub fn check_unexpected_exits(&self) {
         for node in &self.nodes {
             let mut node = lock(node);
@@ -420,18 +428,18 @@
         }
     }
 
-    /// One call without a body at one of a process's own addresses.
+    /// Sends a GET request to an address of a process.
     fn get(&self, at: SocketAddr, path: &str) -> Option<Message> {
         let mut client = Client::within(at, Duration::from_millis(800)).ok()?;
         client.ask(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes()).ok()?
     }
 
-    /// A figure that a process tells of itself.
+    /// One metric of a process.
     pub fn metric(&self, process: Process, name: &str) -> Option<u64> {
         self.metrics(process)?.get(name).copied()
     }
 
-    /// All figures that a process tells of itself.
+    /// All metrics of a process.
     pub fn metrics(&self, process: Process) -> Option<BTreeMap<String, u64>> {
         let ip = self.ip(process);
         let port = match process {
@@ -450,13 +458,13 @@
         Some(text.lines().filter_map(parse_metric).collect())
     }
 
-    /// Whether an edge process says that it is ready.
+    /// Whether an edge process reports that it is ready.
     pub fn ready(&self, edge: usize) -> bool {
         let at = (self.ip(Process::Edge(edge)), self.ports.ready).into();
         self.get(at, "/lupinledge/readiness").is_some_and(|answer| answer.status() == 200)
     }
 
-    /// Has the programs take these pairs of processes for cut off from each other, and no others.
+    /// Makes the programs treat exactly these pairs of processes as cut off from each other.
     pub fn write_cuts(&self, pairs: &[(Process, Process)]) -> eyre::Result<()> {
         let line = |(a, b): &(Process, Process)| format!("{} {}\n", self.ip(*a), self.ip(*b));
         let new_path = self.cuts_path().with_extension("new");
@@ -465,9 +473,14 @@
         Ok(())
     }
 
-    /// Resident memory in megabytes and open descriptors of a process that runs.
+    /// Resident memory in megabytes and number of open descriptors of a running process.
     pub fn resources(&self, process: Process) -> eyre::Result<(u64, usize)> {
-        let id = self.node(process).child.as_ref().map(Child::id).ok_or_else(|| eyre!("it does not run"))?;
+        let id = self
+            .node(process)
+            .child
+            .as_ref()
+            .map(Child::id)
+            .ok_or_else(|| eyre!("the process is not running"))?;
         let status = fs::read_to_string(format!("/proc/{id}/status"))?;
         let resident =
             status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.trim().split(' ').next()?.parse().ok());
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! The fault injector: troubles of all kinds at random, several at a time, with calm spells between.
+//! The fault injector: injects random troubles of all kinds, several at a time, with calm periods in between.
 
 use crate::checks::Scope;
 use crate::cluster::{Cluster, ClusterSize, Signal};
@@ -12,48 +12,72 @@
 use std::thread::{sleep, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Troubles follow each other within a spell after so many milliseconds, unless told otherwise.
+/// Default pause in milliseconds between the troubles of a spell.
 pub const DEFAULT_PAUSE_MS: Range<u64> = 150..1100;
-/// Spells of trouble and of calm, in seconds.
+/// Length of the periods with and without troubles, in seconds.
 const SPELL_S: Range<u64> = 4..9;
 const CALM_S: Range<u64> = 4..8;
 
-/// A successor is waited for so long before the one that it follows is told to end.
+/// How long a successor may take to become a core member before its predecessor is terminated anyway.
 const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Restarts in series follow each other after so many milliseconds.
+/// Pause in milliseconds between restarts in series.
 const SERIES_PAUSE_MS: Range<u64> = 50..1_000;
 
 /// A kind of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
+    /// Kills an edge process and starts it again.
     KillEdge,
+    /// Kills up to half of the edge processes at once and starts them again.
     KillEdges,
+    /// Terminates up to a third of the edge processes one after the other, each with a restart.
     RestartEdges,
+    /// Reloads the settings of several edge processes in quick succession.
     ReloadEdges,
+    /// Stops an edge process with SIGSTOP for a while.
     FreezeEdge,
+    /// Terminates an edge process and starts it again.
     RestartEdge,
+    /// Reloads the settings of an edge process, which may be cut short.
     ReloadEdge,
+    /// Reloads the settings of a core member, which may be cut short.
     ReloadCore,
+    /// Kills a core member and starts it again.
     KillCore,
+    /// Kills all core members at once and starts them again.
     KillCores,
+    /// Kills all processes at once and starts them again.
     KillAll,
+    /// Stops a core member with SIGSTOP for a while.
     FreezeCore,
+    /// Terminates a core member and starts it again.
     RestartCore,
+    /// Kills core members at once and removes their disks.
     WipeCore,
+    /// Replaces a core member as planned by an empty machine at another address.
     ReplaceCore,
+    /// Kills a core member for good, then replaces it by an empty machine at another address.
     LoseCore,
+    /// Stops any process with SIGSTOP, also while another trouble affects it.
     FreezeAny,
+    /// Cuts an edge process off from the core.
     CutEdge,
+    /// Cuts a core member off from the other core members.
     CutCore,
+    /// Cuts a core member off from all other processes.
     CutServices,
+    /// Crashes a server, which is replaced.
     CrashServer,
+    /// Replaces a server as planned.
     ReplaceServer,
+    /// Resets all connections of a server.
     ResetServer,
+    /// Lets the platform leave requests for the list of servers unanswered for a while.
     SilencePlatform,
 }
 
-/// All kinds.
+/// All kinds of trouble.
 pub const KINDS: [Kind; 24] = [
     Kind::KillEdge,
     Kind::KillEdges,
@@ -84,19 +108,20 @@
 impl FromStr for Kind {
     type Err = eyre::Report;
 
-    /// A kind by its name, without regard to case and hyphens.
+    /// Parses the name of a kind; case and hyphens are ignored.
     fn from_str(name: &str) -> eyre::Result<Kind> {
         let normalize = |text: &str| text.replace('-', "").to_lowercase();
         let found = KINDS.into_iter().find(|kind| normalize(&format!("{kind:?}")) == normalize(name));
-        found.ok_or_else(|| eyre::eyre!("no kind of trouble: {name}; there are {KINDS:?}"))
+        found.ok_or_else(|| eyre::eyre!("unknown kind of trouble {name:?}; expected one of {KINDS:?}"))
     }
 }
 
-/// What troubles a run has, and how close together.
+/// Which troubles a run has, and the pauses between them.
 #[derive(Clone, Debug)]
 pub struct Schedule {
+    /// The kinds to choose from; a kind listed twice is chosen twice as often.
     pub kinds: Vec<Kind>,
-    /// Milliseconds from one trouble of a spell to the next.
+    /// Pause in milliseconds between the troubles of a spell.
     pub pause: Range<u64>,
 }
 
@@ -106,7 +131,7 @@
     }
 }
 
-/// See the module.
+/// Injects troubles into the cluster and the platform.
 pub struct Injector {
     pub record: Arc<Record>,
     pub cluster: Arc<Cluster>,
@@ -114,14 +139,16 @@
     pub stop: AtomicBool,
     pub seed: u64,
     schedule: Schedule,
-    /// Whether a bound in time is judged.
+    /// Whether bounds in time are checked.
     check_times: bool,
-    /// One trouble at a time starts, stops or freezes a process: none of these makes sense on another's remains.
+    /// Processes that a trouble has claimed. Only one trouble at a time starts, stops or freezes a process, as these don't
+    /// make sense on a process that another trouble has already stopped.
     busy: Mutex<Vec<Process>>,
+    /// Pairs of processes that are cut off from each other.
     cuts: Mutex<Vec<(Process, Process)>>,
 }
 
-/// Marks a process as in another trouble's hands until dropped.
+/// Marks a process as claimed by a trouble until it is dropped.
 struct Claim<'a>(&'a Injector, Process);
 
 impl Drop for Claim<'_> {
@@ -130,7 +157,7 @@
     }
 }
 
-/// Edge processes by lot, from one to so many.
+/// Random edge processes, from one to `max_count` of them.
 fn random_edges(edges: usize, max_count: usize, rng: &mut fastrand::Rng) -> Vec<Process> {
     let mut all: Vec<Process> = (0..edges).map(Process::Edge).collect();
     rng.shuffle(&mut all);
@@ -138,7 +165,7 @@
     all
 }
 
-/// Members of the core by lot, no more than may lose their disks at once.
+/// Random core members, at most as many as may lose their disks at once.
 fn random_cores(size: ClusterSize, rng: &mut fastrand::Rng) -> Vec<Process> {
     let mut all: Vec<Process> = size.core().collect();
     rng.shuffle(&mut all);
@@ -147,7 +174,7 @@
 }
 
 impl Injector {
-    /// With no trouble yet.
+    /// An injector without any active trouble.
     pub fn new(
         record: Arc<Record>,
         cluster: Arc<Cluster>,
@@ -170,6 +197,7 @@
         })
     }
 
+    /// Claims a process unless another trouble has claimed it.
     fn claim(&self, process: Process) -> Option<Claim<'_>> {
         let mut busy = self.busy.lock().unwrap_or_else(|p| p.into_inner());
         if busy.contains(&process) {
@@ -179,7 +207,7 @@
         Some(Claim(self, process))
     }
 
-    /// Makes trouble until the run stops; ends when all of it is over.
+    /// Injects troubles until the run stops; returns when all of them have ended.
     pub fn run(self: &Arc<Injector>) {
         let mut rng = fastrand::Rng::with_seed(self.seed ^ 0xfa17);
         let mut running: Vec<JoinHandle<()>> = Vec::new();
@@ -202,10 +230,12 @@
         }
     }
 
+    /// Records a trouble of a process that begins now; returns its index.
     fn begin_trouble(&self, description: &str, process: Process, planned: bool) -> usize {
         self.record.begin_trouble(format!("{description} {process:?}"), Some(process), planned)
     }
 
+    /// Injects one trouble and returns when it has ended.
     fn inject(&self, kind: Kind, rng: &mut fastrand::Rng) {
         let size = self.cluster.size();
         let edge = Process::Edge(rng.usize(0..size.edges));
@@ -252,7 +282,7 @@
         }
     }
 
-    /// Kills all of these that no other trouble has, at once, and starts them again.
+    /// Kills those of these processes that no other trouble has claimed, all at once, and starts them again.
     fn kill(&self, processes: &[Process], downtime: Duration, description: &str) {
         let claims: Vec<Claim> = processes.iter().filter_map(|p| self.claim(*p)).collect();
         let trouble_indices: Vec<usize> =
@@ -270,6 +300,7 @@
         }
     }
 
+    /// Freezes a process unless another trouble has claimed it.
     fn freeze(&self, process: Process, duration: Duration) {
         let Some(_claim) = self.claim(process) else { return };
         let trouble_index = self.begin_trouble("freeze", process, false);
@@ -279,7 +310,7 @@
         self.record.end_trouble(trouble_index);
     }
 
-    /// Freezes a process that other troubles may have in hand: one that starts, or that was asked to end.
+    /// Freezes a process even if another trouble has claimed it, for instance while it starts or terminates.
     fn freeze_unclaimed(&self, process: Process, duration: Duration) {
         let trouble_index = self.begin_trouble("freeze", process, false);
         self.cluster.signal(process, Signal::Stop);
@@ -288,6 +319,7 @@
         self.record.end_trouble(trouble_index);
     }
 
+    /// Terminates a process, checks that it exits in time with success, and starts it again.
     fn restart(&self, process: Process, downtime: Duration) {
         let Some(_claim) = self.claim(process) else { return };
         let trouble_index = self.begin_trouble("terminate", process, true);
@@ -298,11 +330,11 @@
             let elapsed = elapsed.as_secs_f64();
             if !exited_cleanly || self.check_times && elapsed > bounds::GRACE {
                 self.record.violation(format!(
-                    "LOST: {process:?} took {elapsed:.1} s to end, in order: {exited_cleanly}"
+                    "LOST: {process:?} took {elapsed:.1} s to exit after SIGTERM, successful exit: {exited_cleanly}"
                 ));
             }
         }
-        // from here on it is away, which is more than planned work on what it had
+        // the process is down from here on, and new requests fail: unlike the shutdown, this is not planned work
         self.record.end_trouble(trouble_index);
         let away_index = self.begin_trouble("away", process, false);
         sleep(downtime);
@@ -310,7 +342,7 @@
         self.record.end_trouble(away_index);
     }
 
-    /// Tells these to end one after the other, each a while after the one before and while that may still be at it.
+    /// Restarts these processes one after the other; the next begins after a pause, even if the one before still runs.
     fn restart_in_series(&self, processes: &[Process], rng: &mut fastrand::Rng) {
         std::thread::scope(|scope| {
             for process in processes {
@@ -321,7 +353,7 @@
         });
     }
 
-    /// Has these read their settings anew, one right after the other; some find half a file.
+    /// Makes these processes reload their settings in quick succession; some find a file that is cut short.
     fn reload_in_series(&self, processes: &[Process], rng: &mut fastrand::Rng) {
         std::thread::scope(|scope| {
             for process in processes {
@@ -332,6 +364,7 @@
         });
     }
 
+    /// Makes a process reload its settings from a file that may be cut short, then writes the complete file.
     fn reload(&self, process: Process, complete: bool) {
         let Some(_claim) = self.claim(process) else { return };
         let trouble_index =
@@ -346,8 +379,8 @@
         self.record.end_trouble(trouble_index);
     }
 
-    /// The whole core, if all of it is sound, in no other trouble's hands, and was so for the time that one that was
-    /// away or is new has to catch up: no more disks are to be lost at once than may be.
+    /// Claims the whole core if all members are healthy, unclaimed, and were undisturbed for the time in which a member
+    /// that has returned or is new catches up. This keeps the number of disks lost at once within the permitted one.
     fn claim_healthy_core(&self) -> Option<Vec<Claim<'_>>> {
         let cores = self.cluster.size().cores;
         let claims: Vec<Claim> = self.cluster.size().core().filter_map(|p| self.claim(p)).collect();
@@ -363,8 +396,8 @@
         (claims.len() == cores && claims.iter().all(is_healthy)).then_some(claims)
     }
 
-    /// A member of the core is replaced by an empty machine at another address: as planned, the new one first and the
-    /// old one told to end, or lost for good before.
+    /// Replaces a core member by an empty machine at another address. As planned, the new one starts first and the old
+    /// one is terminated then; otherwise the old one is killed first.
     fn replace(&self, core: usize, planned: bool, downtime: Duration) {
         let Some(claims) = self.claim_healthy_core() else { return };
         let process = Process::Core(core);
@@ -380,12 +413,12 @@
             Err(e) => return self.record.violation(format!("harness: successor: {e:#}")),
         };
         if planned {
-            // as a platform would: the old one is told to end a while after the new one was started
+            // like a platform, terminates the old one a while after it has started the new one
             let began = Instant::now();
             while !self.cluster.is_core_member(&successor) && began.elapsed() < SUCCESSOR_TIMEOUT {
                 sleep(Duration::from_millis(50));
             }
-            // whatever else befalls it, it is gone after this
+            // the old process is gone after this even if another trouble affects it, so the result doesn't matter
             let _ = self.cluster.terminate(process);
         }
         self.cluster.promote_successor(successor);
@@ -393,7 +426,7 @@
         drop(claims);
     }
 
-    /// Members of the core lose their disks at once.
+    /// Kills core members at once, removes their disks and starts them again.
     fn wipe(&self, cores: &[Process], downtime: Duration) {
         let Some(claims) = self.claim_healthy_core() else { return };
         let trouble_indices: Vec<usize> =
@@ -401,7 +434,7 @@
         cores.iter().for_each(|core| self.cluster.signal(*core, Signal::Kill));
         cores.iter().for_each(|core| self.cluster.kill(*core));
         self.remove_disks(cores);
-        // the others may be in other troubles from here on, but keep their disks
+        // other troubles may affect the other members from here on, but their disks are kept
         let claims: Vec<Claim> = claims.into_iter().filter(|c| cores.contains(&c.1)).collect();
         sleep(downtime);
         cores.iter().for_each(|core| self.start(*core));
@@ -417,7 +450,7 @@
         }
     }
 
-    /// Cuts a process off from these others for a while.
+    /// Cuts a process off from these other processes for a while.
     fn cut_off(&self, process: Process, others: Vec<Process>, duration: Duration) {
         let pairs: Vec<(Process, Process)> =
             others.into_iter().filter(|o| *o != process).map(|o| (process, o)).collect();
@@ -447,7 +480,7 @@
         }
     }
 
-    /// What strikes at the end: processes of the core, or all, are killed at once, and disks may be lost with it.
+    /// The last fault of a run: kills all core members, or all processes, at once, and may remove disks of the core.
     pub fn inject_closing_fault(&self, rng: &mut fastrand::Rng) {
         let all = rng.bool();
         let victims: Vec<Process> = match all {
@@ -455,7 +488,7 @@
             false => self.cluster.size().core().collect(),
         };
         let wiped = rng.bool().then(|| random_cores(self.cluster.size(), rng));
-        // disks may be lost only where those before were made up for
+        // more disks may be removed only when the core has recovered from earlier losses
         let wiped = wiped.filter(|_| self.claim_healthy_core().is_some()).unwrap_or_default();
         let trouble_indices: Vec<usize> =
             victims.iter().map(|v| self.begin_trouble("closing fault", *v, false)).collect();
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each check finds what it is there for, and finds nothing in a run in which nothing was broken.
+//! Each check reports violations of its rule, and reports nothing for a run without violations.
 
 use lupinledge_soak::checks::{Evidence, Scope};
 use lupinledge_soak::configuration::bounds::KEY_WINDOW;
@@ -16,7 +16,7 @@
     Ending::Answered { status, fault: None }
 }
 
-/// A request long after the start of the run.
+/// A request that is sent at `at`.
 fn sent(prefix: &str, at: f64, ending: Ending) -> SentRequest {
     let id = format!("id-{at}");
     let (path, repeatable) = (format!("{prefix}{id}"), prefix == READ || prefix == MOVING);
@@ -24,7 +24,7 @@
     SentRequest { id, path, repeatable, key, edge: 0, at, ended, deadline, ending }
 }
 
-/// Its run at a server.
+/// The run of a request at a server.
 fn arrival_of(sent: &SentRequest, server: &str) -> Arrival {
     let service = if sent.path.starts_with(HOMED) { "beta" } else { "alpha" };
     Arrival {
@@ -55,7 +55,7 @@
     }
 }
 
-/// A run with one good request of each kind, under one configuration.
+/// A run with one successful request of each kind, under one configuration.
 fn run_without_violations() -> Observations {
     let mut observations = Observations { versions: vec![version(2, 1.0)], ..Observations::default() };
     for (prefix, at) in [(READ, 20.0), (PAY, 21.0), (HOMED, 22.0), (MOVING, 23.0)] {
@@ -63,7 +63,7 @@
         observations.arrivals.push(arrival_of(&sent, "i-1"));
         observations.requests.push(sent);
     }
-    // the first runs, the second is its repeat through another edge process, the third was never served
+    // the first try runs, the second repeats it, and the third is for an operation that is never served
     add_operation_try(&mut observations, "served", 24.0, answered(200));
     observations.operation_runs.push(operation_run("served", 24.0));
     add_operation_try(&mut observations, "served", 25.0, answered(200));
@@ -78,7 +78,7 @@
     format!("{operation}.{at}")
 }
 
-/// One more try of an operation; a success has the stamp and body of the run at 24.0.
+/// Adds a try of an operation; a success has the stamp and body of the run at 24.0.
 fn add_operation_try(observations: &mut Observations, operation: &str, at: f64, ending: Ending) {
     let success = matches!(ending, Ending::Answered { status: 200..300, .. });
     observations.operation_tries.push(OperationTry {
@@ -93,7 +93,7 @@
     });
 }
 
-/// The run of the try that was sent at that time.
+/// The run of the try that was sent at `at`.
 fn operation_run(operation: &str, at: f64) -> OperationRun {
     OperationRun {
         operation: operation.into(),
@@ -109,7 +109,7 @@
     Evidence::new(observations).violations(Scope::All)
 }
 
-/// One more request, with its runs.
+/// Adds a request with its runs.
 fn add_request(observations: &mut Observations, sent: SentRequest, servers: &[&str]) {
     observations.arrivals.extend(servers.iter().map(|server| arrival_of(&sent, server)));
     observations.requests.push(sent);
@@ -127,16 +127,16 @@
 type Change = fn(&mut Observations);
 
 #[test_case("TWICE", |o| add_request(o, sent(PAY, 30.0, answered(200)), &["i-1", "i-2"]); "ran twice")]
-#[test_case("REFUSED", |o| add_request(o, sent(PAY, 30.0, answered(503)), &["i-1"]); "refused and ran")]
-#[test_case("MIXED", |o| add_request(o, sent(READ, 30.0, answered(200)), &[]); "a success of nobody")]
+#[test_case("REFUSED", |o| add_request(o, sent(PAY, 30.0, answered(503)), &["i-1"]); "refused but run")]
+#[test_case("MIXED", |o| add_request(o, sent(READ, 30.0, answered(200)), &[]); "a success without a run")]
 #[test_case("MIXED", |o| add_request(o, sent(READ, 30.0, Ending::Answered { status: 200, fault: Some("body") }), &["i-1"]); "a wrong body")]
-#[test_case("DENIED", |o| add_request(o, sent(READ, 30.0, answered(404)), &[]); "a proper one denied")]
+#[test_case("DENIED", |o| add_request(o, sent(READ, 30.0, answered(404)), &[]); "an allowed request denied")]
 #[test_case("BUDGET", |o| add_request(o, sent(READ, 30.0, answered(200)), &["i-1", "i-2", "i-3"]); "too many servers")]
 #[test_case("CONFIG", |o| add_request(o, sent(READ, 30.0, Ending::Silent), &[]); "no answer")]
-#[test_case("LOST", |o| add_request(o, sent(PAY, 30.0, Ending::Broken), &["i-1"]); "broken")]
+#[test_case("LOST", |o| add_request(o, sent(PAY, 30.0, Ending::Broken), &["i-1"]); "connection broken")]
 #[test_case("ROUTE", |o| add_request(o, SentRequest { key: UNKNOWN_KEY.into(), ..sent(READ, 30.0, answered(200)) }, &["i-1"]); "an unknown key")]
 #[test_case("ROUTE", |o| o.arrivals[0].service = "beta".into(); "another service")]
-#[test_case("HOME", |o| o.arrivals[2].zone = "south-1".into(); "away from home")]
+#[test_case("HOME", |o| o.arrivals[2].zone = "south-1".into(); "outside the home regions")]
 #[test_case("UNASKED", |o| o.arrivals[0].fault = Some("a key was passed on"); "a key passed on")]
 #[test_case("UNASKED", |o| o.arrivals[0].tenant = Some("other".into()); "an unknown tenant")]
 #[test_case("CONFIG", |o| o.versions.push(version(3, 10.0)); "an older route")]
@@ -152,33 +152,33 @@
 }; "over the quota")]
 #[test_case("BUDGET", |o| for nth in 0..200 {
     add_request(o, sent(READ, 30.0 + f64::from(nth) / 100.0, answered(200)), &["i-1", "i-2"]);
-}; "over the budget of further tries")]
+}; "over the retry budget")]
 #[test_case("GONE", |o| for nth in 0..8 {
     let left = sent(READ, 30.0 + f64::from(nth), Ending::Left);
     o.arrivals.push(Arrival { worked_until: left.ended + 2.0, ..arrival_of(&left, "i-1") });
     o.requests.push(left);
-}; "work for nobody")]
+}; "work for a client that has left")]
 #[test_case("TWICE", |o| o.operation_runs.push(operation_run("served", 25.0)); "a key ran twice")]
 #[test_case("TWICE", |o| o.operation_runs.extend([26.0, 26.0 + KEY_WINDOW - 1.0].map(|at| operation_run("other", at))); "a key ran twice within its window")]
 #[test_case("MIXED", |o| o.operation_runs[0].stamp = "another".into(); "stamps of no run")]
 #[test_case("MIXED", |o| o.operation_runs[0].body = 7; "bodies of no run")]
-#[test_case("MIXED", |o| o.operation_runs[0].operation = "other".into(); "another key's run")]
+#[test_case("MIXED", |o| o.operation_runs[0].operation = "other".into(); "the run of another key")]
 #[test_case("MIXED", |o| add_operation_try(o, "other", 27.0, Ending::Answered { status: 200, fault: Some("body") }); "a keyed answer with a fault")]
-#[test_case("DENIED", |o| add_operation_try(o, "served", 27.0, answered(422)); "a proper repeat was taken for another request")]
-#[test_case("DENIED", |o| add_operation_try(o, "other", 27.0, answered(400)); "a proper key denied")]
+#[test_case("DENIED", |o| add_operation_try(o, "served", 27.0, answered(422)); "an allowed repeat refused as a different request")]
+#[test_case("DENIED", |o| add_operation_try(o, "other", 27.0, answered(400)); "an allowed key denied")]
 #[test_case("REFUSED", |o| {
     add_operation_try(o, "other", 27.0, answered(503));
     o.operation_runs.push(operation_run("other", 27.0));
-}; "a key refused and ran")]
+}; "a key refused but run")]
 #[test_case("REFUSED", |o| {
     add_operation_try(o, "other", 27.0, answered(429));
     o.operation_runs.push(operation_run("other", 27.0));
-}; "a key over quota and ran")]
-#[test_case("LOST", |o| add_operation_try(o, "other", 27.0, Ending::Broken); "a keyed one broken")]
-#[test_case("RECOVER", |o| o.operation_probes[0].operations.truncate(1); "no fresh key served")]
-#[test_case("RECOVER", |o| o.operation_probes[0].operations.clear(); "no fresh key tried")]
+}; "a key over quota but run")]
+#[test_case("LOST", |o| add_operation_try(o, "other", 27.0, Ending::Broken); "connection of a keyed request broken")]
+#[test_case("RECOVER", |o| o.operation_probes[0].operations.truncate(1); "no new key served")]
+#[test_case("RECOVER", |o| o.operation_probes[0].operations.clear(); "no new key tried")]
 #[test_case("RECOVER", |o| o.operation_tries[1].ending = answered(502); "a repeat not answered")]
-#[test_case("noted", |o| o.violations.push("noted".into()); "seen as it happened")]
+#[test_case("noted", |o| o.violations.push("noted".into()); "recorded during the run")]
 fn only_the_broken_rule_is_reported(rule: &str, change: Change) {
     let mut observations = run_without_violations();
     change(&mut observations);
@@ -189,7 +189,7 @@
     );
 }
 
-/// Successes that are each a run's own, but not alike; both faults are told.
+/// Two successes with the answers of different runs break two rules, and both are reported.
 #[test]
 fn repeats_that_are_answered_differently() {
     let mut observations = run_without_violations();
@@ -202,7 +202,7 @@
     assert!(violations.len() == 2 && count_of("MIXED") == 1 && count_of("TWICE") == 1, "{violations:?}");
 }
 
-/// Repeats count as calm unless a trouble of a process came between.
+/// A repeat isn't counted if a process had a trouble between the first success and the repeat.
 #[test]
 fn repeats_during_troubles_are_not_counted() {
     let mut observations = run_without_violations();
@@ -212,7 +212,7 @@
     assert_eq!(Operations::new(&observations).undisturbed_repeats(), (1, 1));
 }
 
-/// A run after the key's window is a new operation's; a refusal and a repeat elsewhere are no fault.
+/// After the key's window an operation may run again; refusals and failures of repeats are not violations.
 #[test]
 fn permitted_outcomes_of_keyed_requests() {
     let mut observations = run_without_violations();
@@ -224,7 +224,7 @@
     assert_eq!(violations(&observations), Vec::<String>::new());
 }
 
-/// Promises with a bound in time are for edge processes in touch; planned work excuses no broken request.
+/// Promises with a bound in time hold only for undisturbed edge processes; planned work excuses no broken request.
 #[test]
 fn troubles_that_excuse_violations() {
     let broken = || {
@@ -234,19 +234,23 @@
     };
     let mut observations = broken();
     observations.troubles.push(trouble(Process::Edge(0), 29.0, 29.5, false));
-    assert_eq!(violations(&observations), Vec::<String>::new(), "it was killed shortly before");
+    assert_eq!(violations(&observations), Vec::<String>::new(), "the edge process was killed shortly before");
     let mut observations = broken();
     observations
         .troubles
         .extend([trouble(Process::Edge(1), 29.0, 29.5, false), trouble(Process::Edge(0), 29.0, 31.0, true)]);
-    assert_eq!(violations(&observations).len(), 1, "another one was, and it was told to end");
+    assert_eq!(
+        violations(&observations).len(),
+        1,
+        "another edge process was killed, and this one was asked to terminate"
+    );
     let mut observations = run_without_violations();
     observations.versions.push(version(3, 10.0));
     observations.troubles.push(trouble(Process::Core(1), 19.0, 19.5, false));
-    assert_eq!(violations(&observations), Vec::<String>::new(), "the core was not settled");
+    assert_eq!(violations(&observations), Vec::<String>::new(), "a core member was disturbed");
 }
 
-/// What has a bound in time is left out of the verdict where the machine's load may decide it.
+/// Checks with a bound in time are omitted where the machine's load may decide their result.
 #[test]
 fn the_untimed_scope_omits_timed_checks() {
     let mut observations = run_without_violations();
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,5 +1,6 @@
-//! The short form of the soak test: the workspace's programs as the tests build them, some seconds of overlapping
-//! troubles a seed, and the promises that have no bound in time. `docs/soak.md` tells of the long form.
+//! The short form of the soak test: runs the workspace's programs as the tests build them with some seconds of
+//! overlapping troubles for each seed, and checks the promises without a bound in time. `docs/soak.md` describes the
+//! long form.
 
 use lupinledge_soak::checks::Scope;
 use lupinledge_soak::cluster::{ClusterSize, Programs};
@@ -9,10 +10,10 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// The folder into which the workspace's programs are built, two above that of this test's own program.
+/// The workspace's programs, in the folder two levels above this test's own program.
 fn programs() -> Programs {
     let test_program = std::env::current_exe().expect("this program");
-    let folder: PathBuf = test_program.ancestors().nth(2).expect("its folder").into();
+    let folder: PathBuf = test_program.ancestors().nth(2).expect("the folder of the programs").into();
     let programs = Programs::within(&folder);
     for program in [&programs.core, &programs.edge] {
         assert!(program.exists(), "{}: not built; `cargo test --workspace` builds it", program.display());
@@ -20,14 +21,14 @@
     programs
 }
 
-/// Plays a run and asks for no broken promise.
+/// Carries out a run and asserts that it has no violations.
 fn assert_no_violations(plan: &Plan) {
-    let verdict = run(plan).expect("a run");
+    let verdict = run(plan).expect("the run completes");
     assert!(verdict.violations.is_empty(), "{}\n{:#?}", verdict.summary, verdict.violations);
-    std::fs::remove_dir_all(&plan.folder).expect("its folder goes");
+    std::fs::remove_dir_all(&plan.folder).expect("the folder can be removed");
 }
 
-/// A run of some seconds; its folder is its own.
+/// A run of some seconds with a folder of its own.
 fn short_plan(seed: u64, name: &str) -> Plan {
     let folder = std::env::temp_dir().join(format!("lupinledge-soak-{}-{name}-{seed}", std::process::id()));
     Plan::with_defaults(seed, Duration::from_secs(8), programs(), Scope::Untimed, folder)
@@ -40,7 +41,7 @@
     assert_no_violations(&short_plan(seed, "usual"));
 }
 
-/// Many edge processes that are killed, restarted and reloaded in series, and members of the core with them.
+/// Many edge processes that are killed, restarted and reloaded in series, together with core members.
 #[test]
 fn promises_are_kept_during_series_of_edge_restarts() {
     use Kind::{KillCores, KillEdges, ReloadEdges, RestartCore, RestartEdges};
