--- a/soak/src/cluster.rs
+++ b/soak/src/cluster.rs
@@ -309,10 +309,10 @@
     }
 
     /// Replaces the settings file, with the complete text or one that is cut short.
-    pub fn write_settings(&self, process: Process, whole: bool) -> eyre::Result<()> {
+    pub fn write_settings(&self, process: Process, complete: bool) -> eyre::Result<()> {
         let (ip, seeds) = (self.ip(process), self.seeds());
         let text = self.settings(process, ip, &seeds, false).to_string();
-        let text = if whole { &text[..] } else { &text[..text.len() / 2] };
+        let text = if complete { &text[..] } else { &text[..text.len() / 2] };
         let (path, new_path) = (self.settings_path(ip), self.settings_path(ip).with_extension("new"));
         fs::write(&new_path, text)?;
         fs::rename(new_path, path)?;
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -32,7 +32,7 @@
     pub repeatable: bool,
     /// The API key.
     pub key: String,
-    /// Index of the edge process that took it.
+    /// Index of the edge process that accepted it.
     pub edge: usize,
     /// When its last byte was written.
     pub at: Seconds,
@@ -84,7 +84,7 @@
 pub struct OperationTry {
     pub operation: String,
     pub attempt: String,
-    /// Index of the edge process that took it.
+    /// Index of the edge process that accepted it.
     pub edge: usize,
     /// When its last byte was written.
     pub at: Seconds,
