--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -92,7 +92,7 @@
     hash(body)
 }
 
-/// The body of the answer to a request; one in [`LONG_BODY_INTERVAL`] is long.
+/// The body of the answer to a request; one in `LONG_BODY_INTERVAL` is long.
 pub fn body_for(id: &str) -> String {
     let hash_value = hash(id) as usize;
     let max_length =
@@ -100,7 +100,7 @@
     format!("{id} {}", "z".repeat(hash_value / LONG_BODY_INTERVAL % max_length))
 }
 
-/// The body that a client sends with a request; one in [`LONG_BODY_INTERVAL`] is long.
+/// The body that a client sends with a request; one in `LONG_BODY_INTERVAL` is long.
 pub fn request_body(id: &str) -> String {
     let hash_value = hash((id, 1)) as usize;
     let max_length =
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -161,9 +161,9 @@
     /// Whether every configuration that may be in force allows the request: its key is in all of them, unlike the
     /// rotating keys.
     fn is_always_allowed(&self, request: &SentRequest) -> bool {
-        let first =
+        let first_acknowledged =
             self.observations.versions.iter().filter_map(|v| v.acknowledged).fold(f64::INFINITY, f64::min);
-        (request.key == FREE.1 || request.key == LIMITED.1) && first < request.at
+        (request.key == FREE.1 || request.key == LIMITED.1) && first_acknowledged < request.at
     }
 
     /// The versions that an undisturbed edge process may apply to a request of this span.
@@ -227,7 +227,7 @@
                 evacuation.acknowledged.is_some_and(|at| at + EVACUATE + HARNESS_DELAY < arrival.at);
             evacuation.zone == arrival.zone && in_force && evacuation.revoked.is_none_or(|at| arrival.at < at)
         })?;
-        let request = self.observations.requests.iter().find(|s| s.id == arrival.id)?;
+        let request = self.observations.requests.iter().find(|request| request.id == arrival.id)?;
         let since = evacuation_in_force.acknowledged.unwrap_or(request.at);
         let undisturbed =
             self.edge_and_core_undisturbed(request.edge, since.max(request.at - EVACUATE), arrival.at);
@@ -241,14 +241,18 @@
 
     /// LOST: an undisturbed edge process doesn't end a connection without an answer.
     fn check_lost(&self) -> Vec<String> {
-        let broken = self.observations.requests.iter().filter(|s| s.ending == Ending::Broken);
-        let excused =
-            |s: &&SentRequest| !self.edge_undisturbed(s.edge, s.at - CONTACT, s.ended + HARNESS_DELAY);
+        let broken = self.observations.requests.iter().filter(|request| request.ending == Ending::Broken);
+        let excused = |request: &&SentRequest| {
+            !self.edge_undisturbed(request.edge, request.at - CONTACT, request.ended + HARNESS_DELAY)
+        };
         let lost: Vec<&SentRequest> = broken
-            .filter(|s| !excused(s))
-            .filter(|s| self.by_id.contains_key(s.id.as_str()) || s.ended - s.at > SLACK + HARNESS_DELAY)
+            .filter(|request| !excused(request))
+            .filter(|request| {
+                self.by_id.contains_key(request.id.as_str())
+                    || request.ended - request.at > SLACK + HARNESS_DELAY
+            })
             .collect();
-        lost.into_iter().map(|s| format!("LOST: no answer: {}", self.describe(s))).collect()
+        lost.into_iter().map(|request| format!("LOST: no answer: {}", self.describe(request))).collect()
     }
 
     /// The window with the most runs of the limited tenant: its start and their number.
@@ -278,8 +282,9 @@
             arrivals.iter().skip(1).for_each(|a| retries.entry(a.service.as_str()).or_default().push(a.at));
         }
         let requests = |from: Seconds| {
-            let request_times = self.observations.requests.iter().map(|s| s.at);
-            let times = request_times.chain(self.observations.operation_tries.iter().map(|s| s.at));
+            let request_times = self.observations.requests.iter().map(|request| request.at);
+            let times =
+                request_times.chain(self.observations.operation_tries.iter().map(|attempt| attempt.at));
             times.filter(|at| *at >= from - RETRY_WINDOW && *at < from + RETRY_WINDOW).count() / 2
         };
         let mut violations = Vec::new();
@@ -298,23 +303,32 @@
 
     /// GONE: work on repeatable requests ends soon after their clients have left an undisturbed edge process.
     fn check_gone(&self) -> Option<String> {
-        let abandoned =
-            |s: &&SentRequest| s.ending == Ending::Left && s.repeatable && s.path.starts_with(READ);
-        let undisturbed = |s: &&SentRequest| self.edge_undisturbed(s.edge, s.at, s.ended + 1.0);
+        let abandoned = |request: &&SentRequest| {
+            request.ending == Ending::Left && request.repeatable && request.path.starts_with(READ)
+        };
+        let undisturbed =
+            |request: &&SentRequest| self.edge_undisturbed(request.edge, request.at, request.ended + 1.0);
         let abandoned: Vec<&SentRequest> =
             self.observations.requests.iter().filter(abandoned).filter(undisturbed).collect();
-        let late = |s: &&SentRequest| {
-            self.by_id.get(s.id.as_str()).into_iter().flatten().any(|a| a.at > s.ended + 0.5 + HARNESS_DELAY)
+        let late = |request: &&SentRequest| {
+            self.by_id
+                .get(request.id.as_str())
+                .into_iter()
+                .flatten()
+                .any(|a| a.at > request.ended + 0.5 + HARNESS_DELAY)
         };
         let late = abandoned.iter().copied().filter(late).count();
         let long_runs: Vec<&Arrival> = abandoned
             .iter()
-            .flat_map(|s| self.runs(&s.id).filter(|a| a.worked_until > s.ended + 0.5).copied())
+            .flat_map(|request| {
+                self.runs(&request.id).filter(|a| a.worked_until > request.ended + 0.5).copied()
+            })
             .collect();
         let continued = abandoned
             .iter()
-            .filter(|s| {
-                self.runs(&s.id).any(|a| !a.stopped && a.worked_until > s.ended + 0.5 + HARNESS_DELAY)
+            .filter(|request| {
+                self.runs(&request.id)
+                    .any(|a| !a.stopped && a.worked_until > request.ended + 0.5 + HARNESS_DELAY)
             })
             .count();
         if late > TOLERATED_REQUESTS {
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -35,9 +35,10 @@
     pub cluster: Arc<Cluster>,
     /// The rotating tenant's key in the configuration that was acknowledged last.
     pub rotating_key: Arc<std::sync::Mutex<String>>,
+    /// Set to stop all clients.
     pub stop: AtomicBool,
     pub seed: u64,
-    /// How many of [`KEY_DRAWS`] requests have the limited tenant's key; the free tenant's requests become fewer by as
+    /// How many of `KEY_DRAWS` requests have the limited tenant's key; the free tenant's requests become fewer by as
     /// many.
     pub limited: u8,
 }
@@ -53,7 +54,7 @@
     connection: Option<(SocketAddr, Client)>,
 }
 
-/// One request before it is sent.
+/// A request that has not been sent yet.
 struct Request {
     id: String,
     path: String,
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -136,6 +136,7 @@
     pub record: Arc<Record>,
     pub cluster: Arc<Cluster>,
     pub platform: Arc<Platform>,
+    /// Set to stop the injection of further troubles.
     pub stop: AtomicBool,
     pub seed: u64,
     schedule: Schedule,
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -91,10 +91,10 @@
     eyre::ensure!(unknown_arguments.is_empty(), "unknown arguments {unknown_arguments:?}; see --help");
     let default_name = format!("lupinledge-soak-{}", std::process::id());
     let folder_root = folder_root.unwrap_or_else(|| std::env::temp_dir().join(default_name));
-    let (next, failed_runs) = (AtomicU64::new(from), AtomicU64::new(0));
+    let (next_seed, failed_runs) = (AtomicU64::new(from), AtomicU64::new(0));
     let worker = || -> eyre::Result<()> {
         loop {
-            let seed = next.fetch_add(1, Ordering::SeqCst);
+            let seed = next_seed.fetch_add(1, Ordering::SeqCst);
             if seed >= from + seeds {
                 return Ok(());
             }
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -23,6 +23,7 @@
     pub cluster: Arc<Cluster>,
     /// The rotating tenant's key in the configuration that was acknowledged last.
     pub rotating_key: Arc<Mutex<String>>,
+    /// Set to stop the operator.
     pub stop: AtomicBool,
     pub seed: u64,
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -202,7 +202,8 @@
 
 /// Counts the limited tenant's runs by half second and edge process.
 fn limited_runs(observations: &Observations, size: ClusterSize) -> Vec<(f64, String)> {
-    let edges: HashMap<&str, usize> = observations.requests.iter().map(|s| (s.id.as_str(), s.edge)).collect();
+    let edges: HashMap<&str, usize> =
+        observations.requests.iter().map(|request| (request.id.as_str(), request.edge)).collect();
     let mut runs: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
     let limited_arrivals =
         observations.arrivals.iter().filter(|a| a.ran && a.tenant.as_deref() == Some(LIMITED.0));
@@ -240,14 +241,14 @@
     let is_served = || {
         let (now, observations) = (record.now(), record.observations());
         // requests that a quota or an unknown key may refuse don't show whether the system serves
-        let unlimited = |s: &&SentRequest| s.key != LIMITED.1 && s.key != UNKNOWN_KEY;
+        let unlimited = |request: &&SentRequest| request.key != LIMITED.1 && request.key != UNKNOWN_KEY;
         let recent_requests = observations
             .requests
             .iter()
             .filter(unlimited)
-            .filter(|s| s.at > closing_fault_ended && s.at > now - 2.0);
-        let (served, total) = recent_requests.fold((0, 0), |(served, total), s| {
-            (served + usize::from(matches!(s.ending, Ending::Answered { status: 200, .. })), total + 1)
+            .filter(|request| request.at > closing_fault_ended && request.at > now - 2.0);
+        let (served, total) = recent_requests.fold((0, 0), |(served, total), request| {
+            (served + usize::from(matches!(request.ending, Ending::Answered { status: 200, .. })), total + 1)
         });
         total > 10 && served * 5 > total * 2
     };
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -126,59 +126,59 @@
 
 type Change = fn(&mut Observations);
 
-#[test_case("TWICE", |o| add_request(o, sent(PAY, 30.0, answered(200)), &["i-1", "i-2"]); "ran twice")]
-#[test_case("REFUSED", |o| add_request(o, sent(PAY, 30.0, answered(503)), &["i-1"]); "refused but run")]
-#[test_case("MIXED", |o| add_request(o, sent(READ, 30.0, answered(200)), &[]); "a success without a run")]
-#[test_case("MIXED", |o| add_request(o, sent(READ, 30.0, Ending::Answered { status: 200, fault: Some("body") }), &["i-1"]); "a wrong body")]
-#[test_case("DENIED", |o| add_request(o, sent(READ, 30.0, answered(404)), &[]); "an allowed request denied")]
-#[test_case("BUDGET", |o| add_request(o, sent(READ, 30.0, answered(200)), &["i-1", "i-2", "i-3"]); "too many servers")]
-#[test_case("CONFIG", |o| add_request(o, sent(READ, 30.0, Ending::Silent), &[]); "no answer")]
-#[test_case("LOST", |o| add_request(o, sent(PAY, 30.0, Ending::Broken), &["i-1"]); "connection broken")]
-#[test_case("ROUTE", |o| add_request(o, SentRequest { key: UNKNOWN_KEY.into(), ..sent(READ, 30.0, answered(200)) }, &["i-1"]); "an unknown key")]
-#[test_case("ROUTE", |o| o.arrivals[0].service = "beta".into(); "another service")]
-#[test_case("HOME", |o| o.arrivals[2].zone = "south-1".into(); "outside the home regions")]
-#[test_case("UNASKED", |o| o.arrivals[0].fault = Some("a key was passed on"); "a key passed on")]
-#[test_case("UNASKED", |o| o.arrivals[0].tenant = Some("other".into()); "an unknown tenant")]
-#[test_case("CONFIG", |o| o.versions.push(version(3, 10.0)); "an older route")]
-#[test_case("CONFIG", |o| {
-    o.versions.extend([version(3, 10.0), version(4, 11.0)]);
+#[test_case("TWICE", |observations| add_request(observations, sent(PAY, 30.0, answered(200)), &["i-1", "i-2"]); "ran twice")]
+#[test_case("REFUSED", |observations| add_request(observations, sent(PAY, 30.0, answered(503)), &["i-1"]); "refused but run")]
+#[test_case("MIXED", |observations| add_request(observations, sent(READ, 30.0, answered(200)), &[]); "a success without a run")]
+#[test_case("MIXED", |observations| add_request(observations, sent(READ, 30.0, Ending::Answered { status: 200, fault: Some("body") }), &["i-1"]); "a wrong body")]
+#[test_case("DENIED", |observations| add_request(observations, sent(READ, 30.0, answered(404)), &[]); "an allowed request denied")]
+#[test_case("BUDGET", |observations| add_request(observations, sent(READ, 30.0, answered(200)), &["i-1", "i-2", "i-3"]); "too many servers")]
+#[test_case("CONFIG", |observations| add_request(observations, sent(READ, 30.0, Ending::Silent), &[]); "no answer")]
+#[test_case("LOST", |observations| add_request(observations, sent(PAY, 30.0, Ending::Broken), &["i-1"]); "connection broken")]
+#[test_case("ROUTE", |observations| add_request(observations, SentRequest { key: UNKNOWN_KEY.into(), ..sent(READ, 30.0, answered(200)) }, &["i-1"]); "an unknown key")]
+#[test_case("ROUTE", |observations| observations.arrivals[0].service = "beta".into(); "another service")]
+#[test_case("HOME", |observations| observations.arrivals[2].zone = "south-1".into(); "outside the home regions")]
+#[test_case("UNASKED", |observations| observations.arrivals[0].fault = Some("a key was passed on"); "a key passed on")]
+#[test_case("UNASKED", |observations| observations.arrivals[0].tenant = Some("other".into()); "an unknown tenant")]
+#[test_case("CONFIG", |observations| observations.versions.push(version(3, 10.0)); "an older route")]
+#[test_case("CONFIG", |observations| {
+    observations.versions.extend([version(3, 10.0), version(4, 11.0)]);
     let old = rotating_key(2, 0);
-    add_request(o, SentRequest { key: old, ..sent(READ, 30.0, answered(200)) }, &["i-1"]);
+    add_request(observations, SentRequest { key: old, ..sent(READ, 30.0, answered(200)) }, &["i-1"]);
 }; "an older key")]
-#[test_case("EVAC", |o| o.evacuations.push(Evacuation { zone: "north-1".into(), acknowledged: Some(5.0), revoked: None }); "an evacuated zone")]
-#[test_case("QUOTA", |o| for nth in 0..200 {
+#[test_case("EVAC", |observations| observations.evacuations.push(Evacuation { zone: "north-1".into(), acknowledged: Some(5.0), revoked: None }); "an evacuated zone")]
+#[test_case("QUOTA", |observations| for nth in 0..200 {
     let sent = sent(READ, 30.0 + f64::from(nth) / 100.0, answered(200));
-    o.arrivals.push(Arrival { tenant: Some(LIMITED.0.into()), ..arrival_of(&sent, "i-1") });
+    observations.arrivals.push(Arrival { tenant: Some(LIMITED.0.into()), ..arrival_of(&sent, "i-1") });
 }; "over the quota")]
-#[test_case("BUDGET", |o| for nth in 0..200 {
-    add_request(o, sent(READ, 30.0 + f64::from(nth) / 100.0, answered(200)), &["i-1", "i-2"]);
+#[test_case("BUDGET", |observations| for nth in 0..200 {
+    add_request(observations, sent(READ, 30.0 + f64::from(nth) / 100.0, answered(200)), &["i-1", "i-2"]);
 }; "over the retry budget")]
-#[test_case("GONE", |o| for nth in 0..8 {
+#[test_case("GONE", |observations| for nth in 0..8 {
     let left = sent(READ, 30.0 + f64::from(nth), Ending::Left);
-    o.arrivals.push(Arrival { worked_until: left.ended + 2.0, ..arrival_of(&left, "i-1") });
-    o.requests.push(left);
+    observations.arrivals.push(Arrival { worked_until: left.ended + 2.0, ..arrival_of(&left, "i-1") });
+    observations.requests.push(left);
 }; "work for a client that has left")]
-#[test_case("TWICE", |o| o.operation_runs.push(operation_run("served", 25.0)); "a key ran twice")]
-#[test_case("TWICE", |o| o.operation_runs.extend([26.0, 26.0 + KEY_WINDOW - 1.0].map(|at| operation_run("other", at))); "a key ran twice within its window")]
-#[test_case("MIXED", |o| o.operation_runs[0].stamp = "another".into(); "stamps of no run")]
-#[test_case("MIXED", |o| o.operation_runs[0].body = 7; "bodies of no run")]
-#[test_case("MIXED", |o| o.operation_runs[0].operation = "other".into(); "the run of another key")]
-#[test_case("MIXED", |o| add_operation_try(o, "other", 27.0, Ending::Answered { status: 200, fault: Some("body") }); "a keyed answer with a fault")]
-#[test_case("DENIED", |o| add_operation_try(o, "served", 27.0, answered(422)); "an allowed repeat refused as a different request")]
-#[test_case("DENIED", |o| add_operation_try(o, "other", 27.0, answered(400)); "an allowed key denied")]
-#[test_case("REFUSED", |o| {
-    add_operation_try(o, "other", 27.0, answered(503));
-    o.operation_runs.push(operation_run("other", 27.0));
+#[test_case("TWICE", |observations| observations.operation_runs.push(operation_run("served", 25.0)); "a key ran twice")]
+#[test_case("TWICE", |observations| observations.operation_runs.extend([26.0, 26.0 + KEY_WINDOW - 1.0].map(|at| operation_run("other", at))); "a key ran twice within its window")]
+#[test_case("MIXED", |observations| observations.operation_runs[0].stamp = "another".into(); "stamps of no run")]
+#[test_case("MIXED", |observations| observations.operation_runs[0].body = 7; "bodies of no run")]
+#[test_case("MIXED", |observations| observations.operation_runs[0].operation = "other".into(); "the run of another key")]
+#[test_case("MIXED", |observations| add_operation_try(observations, "other", 27.0, Ending::Answered { status: 200, fault: Some("body") }); "a keyed answer with a fault")]
+#[test_case("DENIED", |observations| add_operation_try(observations, "served", 27.0, answered(422)); "an allowed repeat refused as a different request")]
+#[test_case("DENIED", |observations| add_operation_try(observations, "other", 27.0, answered(400)); "an allowed key denied")]
+#[test_case("REFUSED", |observations| {
+    add_operation_try(observations, "other", 27.0, answered(503));
+    observations.operation_runs.push(operation_run("other", 27.0));
 }; "a key refused but run")]
-#[test_case("REFUSED", |o| {
-    add_operation_try(o, "other", 27.0, answered(429));
-    o.operation_runs.push(operation_run("other", 27.0));
+#[test_case("REFUSED", |observations| {
+    add_operation_try(observations, "other", 27.0, answered(429));
+    observations.operation_runs.push(operation_run("other", 27.0));
 }; "a key over quota but run")]
-#[test_case("LOST", |o| add_operation_try(o, "other", 27.0, Ending::Broken); "connection of a keyed request broken")]
-#[test_case("RECOVER", |o| o.operation_probes[0].operations.truncate(1); "no new key served")]
-#[test_case("RECOVER", |o| o.operation_probes[0].operations.clear(); "no new key tried")]
-#[test_case("RECOVER", |o| o.operation_tries[1].ending = answered(502); "a repeat not answered")]
-#[test_case("noted", |o| o.violations.push("noted".into()); "recorded during the run")]
+#[test_case("LOST", |observations| add_operation_try(observations, "other", 27.0, Ending::Broken); "connection of a keyed request broken")]
+#[test_case("RECOVER", |observations| observations.operation_probes[0].operations.truncate(1); "no new key served")]
+#[test_case("RECOVER", |observations| observations.operation_probes[0].operations.clear(); "no new key tried")]
+#[test_case("RECOVER", |observations| observations.operation_tries[1].ending = answered(502); "a repeat not answered")]
+#[test_case("noted", |observations| observations.violations.push("noted".into()); "recorded during the run")]
 fn only_the_broken_rule_is_reported(rule: &str, change: Change) {
     let mut observations = run_without_violations();
     change(&mut observations);
