--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,9 +1,10 @@
-//! Clients: most keep to the protocol and note what they meet; some misbehave and are only there to be borne.
+//! Clients: most keep to the protocol and record how their requests end; some misbehave, and the system has to cope
+//! with them.
 
 use crate::backend::{body_for, request_body};
 use crate::cluster::Cluster;
 use crate::configuration::{FREE, HOMED, HOST, LIMITED, MOVING, PAY, READ, UNKNOWN_KEY};
-use crate::record::{Ending, Record, Seconds, Sent};
+use crate::record::{Ending, Record, Seconds, SentRequest};
 use lupinledge_example::http::{Client, Message};
 use socket2::SockRef;
 use std::io::{ErrorKind, Read, Write};
@@ -13,44 +14,47 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// What clients say that they wait.
+/// The deadline that clients send with each request.
 pub const DEADLINE: Duration = Duration::from_millis(2000);
-/// Beyond its deadline a client waits so long for a final answer.
-pub const PATIENCE: Duration = Duration::from_millis(1500);
-/// An answer of the directory is kept for so long.
-const KEEP: Duration = Duration::from_secs(2);
+/// How long beyond its deadline a client waits for a final answer.
+pub const DEADLINE_MARGIN: Duration = Duration::from_millis(1500);
+/// How long a client uses an answer of the directory.
+const DIRECTORY_CACHE_TTL: Duration = Duration::from_secs(2);
 
-/// Keys are drawn from so many places; these at the end are those of nobody and of the rotating tenant.
-const KEYS_IN_ALL: u8 = 20;
-const OTHER_KEYS: u8 = 4;
-/// The limited tenant's places, unless told otherwise, and the most it may have.
-pub const LIMITED_PLACES: u8 = 5;
-pub const LIMITED_PLACES_MOST: u8 = 15;
+/// A client draws one of this many numbers to choose an API key. The last [`OTHER_KEY_DRAWS`] select the unknown key or
+/// that of the rotating tenant.
+const KEY_DRAWS: u8 = 20;
+const OTHER_KEY_DRAWS: u8 = 4;
+/// Default and maximum number of draws that select the limited tenant's key.
+pub const DEFAULT_LIMITED_DRAWS: u8 = 5;
+pub const MAX_LIMITED_DRAWS: u8 = 15;
 
-/// What all clients of a run share.
-pub struct Crowd {
+/// State that all clients of a run share.
+pub struct ClientContext {
     pub record: Arc<Record>,
     pub cluster: Arc<Cluster>,
-    /// The key of the rotating tenant that was acknowledged last.
+    /// The rotating tenant's key in the configuration that was acknowledged last.
     pub rotating_key: Arc<std::sync::Mutex<String>>,
+    /// Set to stop all clients.
     pub stop: AtomicBool,
     pub seed: u64,
-    /// Of [`KEYS_IN_ALL`] requests, how many bear the limited tenant's key; unlimited ones make room for more.
+    /// How many of `KEY_DRAWS` requests have the limited tenant's key; the free tenant's requests become fewer by as
+    /// many.
     pub limited: u8,
 }
 
 /// One client that keeps to the protocol.
-struct Honest {
-    crowd: Arc<Crowd>,
+struct WellBehavedClient {
+    context: Arc<ClientContext>,
     nth: u64,
     rng: fastrand::Rng,
-    asked: u64,
+    requests_created: u64,
     fronts: Vec<SocketAddr>,
-    learnt: Option<Instant>,
-    link: Option<(SocketAddr, Client)>,
+    resolved_at: Option<Instant>,
+    connection: Option<(SocketAddr, Client)>,
 }
 
-/// One request before it is sent.
+/// A request that has not been sent yet.
 struct Request {
     id: String,
     path: String,
@@ -74,112 +78,126 @@
     }
 }
 
-/// Asks until the run stops.
-pub fn honest(crowd: Arc<Crowd>, nth: u64) {
-    let rng = fastrand::Rng::with_seed(crowd.seed << 16 | nth);
-    let (fronts, learnt, link) = (Vec::new(), None, None);
-    let mut client = Honest { crowd, nth, rng, asked: 0, fronts, learnt, link };
-    while !client.crowd.stop.load(Ordering::SeqCst) {
-        client.turn();
+/// Sends requests until the run stops.
+pub fn run_well_behaved_client(context: Arc<ClientContext>, nth: u64) {
+    let rng = fastrand::Rng::with_seed(context.seed << 16 | nth);
+    let (fronts, resolved_at, connection) = (Vec::new(), None, None);
+    let mut client =
+        WellBehavedClient { context, nth, rng, requests_created: 0, fronts, resolved_at, connection };
+    while !client.context.stop.load(Ordering::SeqCst) {
+        client.send_next_request();
         let pause = client.rng.u64(5..40);
         sleep(Duration::from_millis(pause));
     }
 }
 
-impl Honest {
-    fn request(&mut self) -> Request {
-        self.asked += 1;
-        let id = format!("{}-{}-{}", self.crowd.seed, self.nth, self.asked);
+impl WellBehavedClient {
+    fn next_request(&mut self) -> Request {
+        self.requests_created += 1;
+        let id = format!("{}-{}-{}", self.context.seed, self.nth, self.requests_created);
         let (prefix, repeatable) = match self.rng.u8(0..10) {
             0..=2 => (READ, true),
             3..=6 => (PAY, false),
             7 => (HOMED, false),
             _ => (MOVING, true),
         };
-        let limited_from = KEYS_IN_ALL - OTHER_KEYS - self.crowd.limited;
-        let key = match self.rng.u8(0..KEYS_IN_ALL) {
+        let limited_from = KEY_DRAWS - OTHER_KEY_DRAWS - self.context.limited;
+        let key = match self.rng.u8(0..KEY_DRAWS) {
             nth if nth < limited_from => FREE.1.to_string(),
-            nth if nth < KEYS_IN_ALL - OTHER_KEYS => LIMITED.1.to_string(),
+            nth if nth < KEY_DRAWS - OTHER_KEY_DRAWS => LIMITED.1.to_string(),
             16 => UNKNOWN_KEY.to_string(),
-            _ => self.crowd.rotating_key.lock().map(|key| key.clone()).unwrap_or_default(),
+            _ => self.context.rotating_key.lock().map(|key| key.clone()).unwrap_or_default(),
         };
         Request { path: format!("{prefix}{id}"), id, repeatable, key }
     }
 
-    /// Learns from the directory where to go; what was known stays where nobody answers.
-    fn learn(&mut self) {
-        if self.learnt.is_some_and(|at| at.elapsed() < KEEP) {
+    /// Gets the addresses of edge processes from the directory; the previous ones are kept if no core member answers.
+    fn refresh_fronts(&mut self) {
+        if self.resolved_at.is_some_and(|at| at.elapsed() < DIRECTORY_CACHE_TTL) {
             return;
         }
-        let cores = self.crowd.cluster.size().cores;
+        let cores = self.context.cluster.size().cores;
         let first = self.rng.usize(0..cores);
         for core in (0..cores).map(|i| (first + i) % cores) {
-            let at = self.crowd.cluster.control(core);
+            let at = self.context.cluster.control_address(core);
             if let Some(fronts) = resolve(at) {
-                (self.fronts, self.learnt) = (fronts, Some(Instant::now()));
+                (self.fronts, self.resolved_at) = (fronts, Some(Instant::now()));
                 return;
             }
         }
         if self.fronts.is_empty() {
-            let cluster = &self.crowd.cluster;
-            self.fronts = (0..cluster.size().edges).map(|edge| cluster.front(edge)).collect();
+            let cluster = &self.context.cluster;
+            self.fronts = (0..cluster.size().edges).map(|edge| cluster.front_address(edge)).collect();
         }
     }
 
-    fn connection(&mut self) -> Option<(SocketAddr, Client)> {
-        // an open connection is used until its process is gone, whatever the directory says meanwhile
-        if let Some(link) = self.link.take() {
-            return Some(link);
+    /// The open connection, or a new one to a random edge process.
+    fn take_connection(&mut self) -> Option<(SocketAddr, Client)> {
+        // an open connection is used until its process closes it, also if the directory no longer lists the process
+        if let Some(connection) = self.connection.take() {
+            return Some(connection);
         }
         let front = self.fronts[self.rng.usize(0..self.fronts.len())];
-        match Client::within(front, DEADLINE + PATIENCE) {
+        match Client::within(front, DEADLINE + DEADLINE_MARGIN) {
             Ok(client) => Some((front, client)),
             Err(_) => {
-                // it failed: another answer of the directory, and until then the other fronts
+                // asks the directory again, and uses only the other addresses until it answers
                 self.fronts.retain(|other| *other != front);
-                self.learnt = None;
+                self.resolved_at = None;
                 None
             }
         }
     }
 
-    fn turn(&mut self) {
-        self.learn();
-        let Some((front, mut link)) = self.connection() else { return };
-        let Some(edge) = self.crowd.cluster.edge_at(front) else { return };
-        let request = self.request();
-        let record = self.crowd.record.clone();
-        let (leaves, mut goes_on) = (self.rng.u8(0..25) == 0, false);
-        let written = link.write(&request.bytes());
+    /// Sends one request and records how it ended.
+    fn send_next_request(&mut self) {
+        self.refresh_fronts();
+        let Some((front, mut connection)) = self.take_connection() else { return };
+        let Some(edge) = self.context.cluster.edge_at(front) else { return };
+        let request = self.next_request();
+        let record = self.context.record.clone();
+        let (abandons, mut keep_alive) = (self.rng.u8(0..25) == 0, false);
+        let written = connection.write(&request.bytes());
         let at = record.now();
         let ending = match written {
             Err(_) => Ending::Unsent,
-            Ok(()) if leaves => {
+            Ok(()) if abandons => {
                 sleep(Duration::from_millis(self.rng.u64(1..60)));
                 Ending::Left
             }
             Ok(()) => {
-                let answer = link.answer();
-                let closes =
+                let answer = connection.answer();
+                let closes_connection =
                     |a: &Message| a.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
-                goes_on = matches!(&answer, Ok(Some(a)) if !closes(a));
-                ending(&request, answer)
+                keep_alive = matches!(&answer, Ok(Some(a)) if !closes_connection(a));
+                classify_answer(&request, answer)
             }
         };
         let ended = record.now();
-        let answered = goes_on && matches!(ending, Ending::Answered { fault: None, .. });
+        let answered = keep_alive && matches!(ending, Ending::Answered { fault: None, .. });
         if answered && self.rng.u8(0..12) > 0 {
-            self.link = Some((front, link));
+            self.connection = Some((front, connection));
         } else if !answered {
-            self.learnt = None;
+            self.resolved_at = None;
         }
         let Request { id, path, repeatable, key } = request;
         let deadline = at + DEADLINE.as_secs_f64();
-        record.seen().sent.push(Sent { id, path, repeatable, key, edge, at, ended, deadline, ending });
+        record.observations().requests.push(SentRequest {
+            id,
+            path,
+            repeatable,
+            key,
+            edge,
+            at,
+            ended,
+            deadline,
+            ending,
+        });
     }
 }
 
-fn ending(request: &Request, answer: std::io::Result<Option<Message>>) -> Ending {
+/// The ending of a request by what was read from its connection.
+fn classify_answer(request: &Request, answer: std::io::Result<Option<Message>>) -> Ending {
     match answer {
         Ok(Some(answer)) => {
             Ending::Answered { status: answer.status(), fault: answer_fault(&request.id, &answer) }
@@ -189,67 +207,70 @@
     }
 }
 
-/// What is wrong with an answer by itself.
+/// What is wrong with an answer, judged without other observations.
 fn answer_fault(id: &str, answer: &Message) -> Option<&'static str> {
     match answer.status() {
-        200..300 if answer.text() != body_for(id) => Some("a body of another request, or a part of one"),
-        200..300 if answer.header("lupinledge-server-stamp").is_none() => Some("no stamp"),
+        200..300 if answer.text() != body_for(id) => {
+            Some("the body belongs to another request or is incomplete")
+        }
+        200..300 if answer.header("lupinledge-server-stamp").is_none() => Some("no server stamp"),
         200..600 => None,
-        _ => Some("no answer in the protocol"),
+        _ => Some("the status is not one of the protocol"),
     }
 }
 
-/// The addresses that the directory names.
+/// The addresses that the directory returns.
 pub fn resolve(at: SocketAddr) -> Option<Vec<SocketAddr>> {
     let path = format!("/lupinledge/resolve?name={HOST}&region=north&zone=north-1");
     let mut client = Client::within(at, Duration::from_secs(1)).ok()?;
     let call = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
     let answer = client.ask(call.as_bytes()).ok()??;
-    let told: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
-    let addresses = told["addresses"].as_array()?.iter();
+    let directory_answer: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
+    let addresses = directory_answer["addresses"].as_array()?.iter();
     let fronts: Vec<SocketAddr> = addresses.filter_map(|a| a.as_str()?.parse().ok()).collect();
     (answer.status() == 200 && !fronts.is_empty()).then_some(fronts)
 }
 
-/// Does one bad thing after another until the run stops; nothing of it is judged but what it does to others.
-pub fn misbehaving(crowd: Arc<Crowd>, nth: u64) {
-    let mut rng = fastrand::Rng::with_seed(crowd.seed << 16 | 1 << 15 | nth);
-    let mut held: Vec<TcpStream> = Vec::new();
-    while !crowd.stop.load(Ordering::SeqCst) {
-        let front = crowd.cluster.front(rng.usize(0..crowd.cluster.size().edges));
+/// Misbehaves in random ways until the run stops. Its requests are not checked; only their effect on other clients
+/// shows in the checks.
+pub fn run_misbehaving_client(context: Arc<ClientContext>, nth: u64) {
+    let mut rng = fastrand::Rng::with_seed(context.seed << 16 | 1 << 15 | nth);
+    let mut held_open: Vec<TcpStream> = Vec::new();
+    while !context.stop.load(Ordering::SeqCst) {
+        let front = context.cluster.front_address(rng.usize(0..context.cluster.size().edges));
         if let Ok(stream) = TcpStream::connect_timeout(&front, Duration::from_secs(1)) {
-            held.extend(misdeed(stream, &mut rng));
+            held_open.extend(misbehave(stream, &mut rng));
         }
-        held.truncate(20);
+        held_open.truncate(20);
         sleep(Duration::from_millis(rng.u64(20..200)));
     }
 }
 
-/// One misdeed; a connection that is kept open and silent after it.
-fn misdeed(mut stream: TcpStream, rng: &mut fastrand::Rng) -> Option<TcpStream> {
+/// Misbehaves once; returns the connection if it is to be kept open without further traffic.
+fn misbehave(mut stream: TcpStream, rng: &mut fastrand::Rng) -> Option<TcpStream> {
     let head = format!("POST {PAY}x HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Token {}\r\n", FREE.1);
     let _ = stream.set_write_timeout(Some(Duration::from_secs(1)));
     match rng.u8(0..8) {
-        0 => {}                                                          // says nothing, and stays
-        1 => drop(stream.write_all(&head.as_bytes()[..head.len() / 2])), // never ends its head
+        0 => {} // sends nothing, and keeps the connection open
+        1 => drop(stream.write_all(&head.as_bytes()[..head.len() / 2])), // never completes the request's head
         2 => drop(stream.write_all(format!("{head}Content-Length: 50000\r\n\r\nonly a part").as_bytes())),
         3 => {
             let garbage: Vec<u8> = (0..400).map(|_| rng.u8(..)).collect();
             let _ = stream.write_all(&garbage);
         }
         4 => {
-            // another request hidden in a body
+            // request smuggling: another request hidden in a body
             let smuggled = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /read/hidden HTTP/1.1\r\n\r\n";
             let _ = stream.write_all((head + smuggled).as_bytes());
         }
         5 => {
-            // a large body that is refused, and an answer that is not read
+            // a large body that is refused, and the answer is not read
             let _ = stream.write_all(format!("{head}Content-Length: 9000000\r\n\r\n").as_bytes());
             let _ = stream.write_all(&vec![b'x'; 200_000]);
         }
         6 => {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-            return None; // reset at once
+            return None; // resets the connection at once
         }
         _ => {
             let _ = stream.write_all(
@@ -263,7 +284,7 @@
     Some(stream)
 }
 
-/// How long an honest client may take from its last byte until it gives up.
-pub fn longest_wait() -> Seconds {
-    (DEADLINE + PATIENCE).as_secs_f64()
+/// How long a well-behaved client waits for an answer after it has sent its last byte, in seconds.
+pub fn max_answer_wait() -> Seconds {
+    (DEADLINE + DEADLINE_MARGIN).as_secs_f64()
 }
