--- a/control-plane/tests/common/mod.rs
+++ b/control-plane/tests/common/mod.rs
@@ -158,7 +158,7 @@
     fn listens(&mut self, i: usize) -> bool {
         let at = self.at(i);
         until("it listens or ended", || {
-            let up = Client::to(at).is_ok();
+            let up = Client::connect(at).is_ok();
             (up || !self.runs(i)).then_some(up)
         })
     }
@@ -172,8 +172,8 @@
         span: Duration,
     ) -> Option<Message> {
         let head = format!("{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n", body.len());
-        let mut client = Client::within(at, span).ok()?;
-        client.ask(&[head.as_bytes(), body].concat()).ok()?
+        let mut client = Client::connect_with_timeout(at, span).ok()?;
+        client.send_request(&[head.as_bytes(), body].concat()).ok()?
     }
 
     /// A call that is followed twice to where one is sent to: what somebody says for the whole, and who that was.
--- a/control-plane/tests/core.rs
+++ b/control-plane/tests/core.rs
@@ -26,7 +26,7 @@
             let count = count.clone();
             spawn(move || {
                 let mut from = BufReader::new(stream);
-                while let Ok(Some(_)) = http::read(&mut from) {
+                while let Ok(Some(_)) = http::read_message(&mut from) {
                     count.fetch_add(1, Ordering::Relaxed);
                     let row = json!({"id": "i-1", "service": "huvo11a", "address": "127.0.0.1:9", "slots": 3,
                                      "zone": "harju-kadaka", "state": "ready"});
@@ -128,11 +128,11 @@
     let odd: [&[u8]; 5] =
         [b"\0\x01\xff\r\n\r\n", b"GET\r\n\r\n", b"GET / HTTP/9\r\nx\r\n\r\n", &long, huge.as_bytes()];
     for (i, bytes) in (0..3).flat_map(|i| odd.map(|o| (i, o))) {
-        let mut client = Client::within(core.at(i), LONG).unwrap();
+        let mut client = Client::connect_with_timeout(core.at(i), LONG).unwrap();
         // the answer may come before all is written
         let _ = client.write(bytes);
-        let answer = client.answer().unwrap().expect("an answer");
-        assert!((400..500).contains(&answer.status()), "{}", answer.start);
+        let answer = client.read_response().unwrap().expect("an answer");
+        assert!((400..500).contains(&answer.status()), "{}", answer.start_line);
     }
     let stranger = Ipv4Addr::from(u32::from(core.ips[2]) + 1);
     let udp = UdpSocket::bind((stranger, core.peers)).unwrap();
@@ -140,7 +140,7 @@
         let at = (core.ips[i], core.peers);
         for bytes in odd {
             let _ = udp.send_to(bytes, at);
-            let _ = Client::to(at.into()).and_then(|mut c| c.write(bytes));
+            let _ = Client::connect(at.into()).and_then(|mut c| c.write(bytes));
         }
     }
     assert_eq!(core.settled(0, "GET", CONFIG, b"").1, eight);
@@ -229,7 +229,7 @@
         assert_eq!(core.put((holder + 1) % 3, &newest), 200);
         // these wait in its sockets, and are the first that it sees
         let early = |method: &str, body: &[u8]| {
-            let mut client = Client::within(core.at(holder), LONG).unwrap();
+            let mut client = Client::connect_with_timeout(core.at(holder), LONG).unwrap();
             let head =
                 format!("{method} {CONFIG} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n", body.len());
             client.write(&[head.as_bytes(), body].concat()).unwrap();
@@ -238,10 +238,10 @@
         let rival = config::numbered(base + 2, base);
         let calls = [early("GET", b""), early("PUT", &rival), early("PUT", &newest)];
         core.signal(holder, "-CONT");
-        let [read, put, again] = calls.map(|mut c| c.answer().unwrap().expect("an answer"));
+        let [read, put, again] = calls.map(|mut c| c.read_response().unwrap().expect("an answer"));
         assert!(read.status() != 200 || read.body == newest, "{}", read.text());
-        assert!([307, 412, 503].contains(&put.status()), "{}", put.start);
-        assert!([200, 307, 503].contains(&again.status()), "{}", again.start);
+        assert!([307, 412, 503].contains(&put.status()), "{}", put.start_line);
+        assert!([200, 307, 503].contains(&again.status()), "{}", again.start_line);
         assert_eq!(core.settled(holder, "GET", CONFIG, b"").1, newest);
     }
     assert_eq!(core.settled(0, "GET", CONFIG, b"").1, newest);
--- a/control-plane/tests/cut.rs
+++ b/control-plane/tests/cut.rs
@@ -91,7 +91,7 @@
                 assert!(to.iter().any(|to| answer.header("location") == Some(to)));
                 true
             }
-            _ => panic!("{method} {path}: {}", answer.start),
+            _ => panic!("{method} {path}: {}", answer.start_line),
         }
     };
     let round = || {
--- a/control-plane/tests/operations.rs
+++ b/control-plane/tests/operations.rs
@@ -223,7 +223,7 @@
     fs::create_dir_all(&unreadable).unwrap();
     core.start(newcomer, false);
     core.logged(newcomer, "event=journal_unread");
-    until("it listens", || Client::to(core.at(newcomer)).ok());
+    until("it listens", || Client::connect(core.at(newcomer)).ok());
     assert!(!core.data(newcomer).join("snapshot").exists());
     assert!(!log(&core, newcomer).contains("event=started"));
     fs::remove_dir(&unreadable).unwrap();
--- a/control-plane/tests/pages.rs
+++ b/control-plane/tests/pages.rs
@@ -37,8 +37,8 @@
             let count = asked.clone();
             spawn(move || {
                 let mut from = BufReader::new(stream);
-                while let Ok(Some(asked)) = http::read(&mut from) {
-                    let second = asked.start.contains("page_token");
+                while let Ok(Some(asked)) = http::read_message(&mut from) {
+                    let second = asked.start_line.contains("page_token");
                     // the first page comes once more ahead of the second one, late on its way
                     let doubled = second && count.fetch_add(1, Ordering::Relaxed) < DOUBLED;
                     let pages: &[u8] = if doubled { &[1, 2] } else { &[1 + u8::from(second)] };
--- a/data-plane/tests/rules/answer_integrity.rs
+++ b/data-plane/tests/rules/answer_integrity.rs
@@ -7,8 +7,8 @@
 use crate::test_core::Answers;
 use crate::test_server::{Behavior, TestServer, FULL, WELL_BEHAVED};
 use crate::{ms, near_server};
-use lupinledge_example::door::Door;
 use lupinledge_example::http::{Client, Message};
+use lupinledge_example::listener::Listener;
 use lupinledge_messaging::list::ListedServer;
 use socket2::SockRef;
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut observed, mut link) = (Vec::<ObservedRequest>::new(), None);
     while observed.len() < REQUESTS_PER_CLIENT {
-        let mut connection = link.take().unwrap_or_else(|| Client::to(front).expect("a connection"));
+        let mut connection = link.take().unwrap_or_else(|| Client::connect(front).expect("a connection"));
         let (pipelined, leaves) = next_step(&mut rng);
         let (mut requests, from) = (String::new(), observed.len());
         for _ in 0..pipelined {
@@ -78,7 +78,7 @@
         }
         let mut open = true;
         for request in &mut observed[from..] {
-            let Ok(Some(answer)) = connection.answer() else {
+            let Ok(Some(answer)) = connection.read_response() else {
                 open = false;
                 break;
             };
@@ -149,9 +149,10 @@
     let server = near_server("i-1", WELL_BEHAVED);
     let cluster = Cluster::start(vec![server_row(&server, "a")]);
     let (_, text) = new_request("POST /pay/x", "key", "", "sum");
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::connect(cluster.front).unwrap();
     client.write((text.clone() + &text).as_bytes()).unwrap();
-    let mut status = || client.answer().unwrap().map(|a| (a.status(), a.header("connection").is_some()));
+    let mut status =
+        || client.read_response().unwrap().map(|a| (a.status(), a.header("connection").is_some()));
     assert_eq!((status(), status()), (Some((200, false)), Some((409, true))), "pipelined");
     assert_eq!((cluster.ask(&text).status(), server.received().len()), (409, 1));
     assert_eq!(
@@ -226,7 +227,7 @@
     let (cut, tried, received_whole): (Arc<AtomicUsize>, Arc<AtomicBool>, Arc<AtomicBool>) =
         Default::default();
     let (byte_limit, has_tried, had_whole) = (cut.clone(), tried.clone(), received_whole.clone());
-    let resetting_server = Door::open("127.0.0.1:0", move |mut stream| {
+    let resetting_server = Listener::start("127.0.0.1:0", move |mut stream| {
         has_tried.store(true, Ordering::SeqCst);
         let received_whole = read_some(&mut stream, byte_limit.load(Ordering::SeqCst));
         had_whole.fetch_or(received_whole, Ordering::SeqCst);
@@ -260,12 +261,12 @@
         assert!(
             matches!((answer.status(), received_by_second), (200, 1) | (502, 0)),
             "{}, {received_by_second} of {size}",
-            answer.start
+            answer.start_line
         );
         assert!(
             !never_whole || received_by_second == 1,
             "{}: the server can't have received the last byte",
-            answer.start
+            answer.start_line
         );
         assert!(received_by_second == 0 || answer.text() == format!("i-2 for {id}"));
         assert!(received_by_second == 0 || !received_whole, "{size}: both received it completely");
--- a/data-plane/tests/rules/cluster.rs
+++ b/data-plane/tests/rules/cluster.rs
@@ -150,13 +150,13 @@
 
 /// Sends one request on a new connection; `None` if no complete answer came.
 fn try_ask(at: SocketAddr, bytes: &str) -> Option<Message> {
-    Client::to(at).ok()?.ask(bytes.as_bytes()).ok()?
+    Client::connect(at).ok()?.send_request(bytes.as_bytes()).ok()?
 }
 
 /// Reads a metric of a program.
 fn metric(at: SocketAddr, name: &str) -> Option<u64> {
-    let mut client = Client::to(at).ok()?;
-    let answer = client.ask(b"GET /lupinledge/metrics HTTP/1.1\r\nHost: a\r\n\r\n").ok()??;
+    let mut client = Client::connect(at).ok()?;
+    let answer = client.send_request(b"GET /lupinledge/metrics HTTP/1.1\r\nHost: a\r\n\r\n").ok()??;
     answer.text().lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok())
 }
 
@@ -168,8 +168,8 @@
 
 /// The status of a readiness check, if it is answered.
 fn readiness(at: SocketAddr) -> Option<u16> {
-    let mut c = Client::to(at).ok()?;
-    let answer = c.ask(b"GET /lupinledge/readiness HTTP/1.1\r\nHost: a\r\n\r\n").ok()??;
+    let mut c = Client::connect(at).ok()?;
+    let answer = c.send_request(b"GET /lupinledge/readiness HTTP/1.1\r\nHost: a\r\n\r\n").ok()??;
     Some(answer.status())
 }
 
--- a/data-plane/tests/rules/faulty_servers.rs
+++ b/data-plane/tests/rules/faulty_servers.rs
@@ -184,7 +184,7 @@
     stream.set_nodelay(true)?;
     let mut from = BufReader::new(stream);
     let mut stale_answer = String::new();
-    while let Some(request) = lupinledge_example::http::read(&mut from)? {
+    while let Some(request) = lupinledge_example::http::read_message(&mut from)? {
         let id = request.header("lupinledge-attempt-id").unwrap_or("none").to_string();
         let behavior = behavior_of(seed, &id);
         *run_log.behaviors.lock().unwrap().entry(behavior).or_default() += 1;
--- a/data-plane/tests/rules/log.rs
+++ b/data-plane/tests/rules/log.rs
@@ -10,7 +10,7 @@
 /// Sends one request on a new connection; `None` if no complete answer came.
 fn status(node: &ExtraGateway, line: &str, key: &str) -> Option<u16> {
     let text = new_request(line, key, "", "").1;
-    Some(Client::to(node.front).ok()?.ask(text.as_bytes()).ok()??.status())
+    Some(Client::connect(node.front).ok()?.send_request(text.as_bytes()).ok()??.status())
 }
 
 /// Makes a node write to its log by refused requests and a change of the configuration. Each request must get
--- a/data-plane/tests/rules/main.rs
+++ b/data-plane/tests/rules/main.rs
@@ -12,8 +12,8 @@
 mod test_server;
 
 use cluster::{config, document, new_request, server_row, wait_until, Cluster};
-use lupinledge_example::door::Door;
 use lupinledge_example::http::Client;
+use lupinledge_example::listener::Listener;
 use lupinledge_messaging::list::ListedServer;
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
@@ -46,7 +46,7 @@
     assert_eq!(answer.header("x-app"), Some("kept"));
     let received_requests = server.received();
     assert_eq!(
-        (received_requests.len(), received_requests[0].start.as_str()),
+        (received_requests.len(), received_requests[0].start_line.as_str()),
         (1, "POST /pay/x%20y?q=1 HTTP/1.1")
     );
     let all = |name: &str| {
@@ -89,10 +89,10 @@
     let cluster = Cluster::start(vec![server_row(&server, "a")]);
     // an unread body is not parsed as a request
     let inner = new_request("GET /read/inner", "key", "", "").1;
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::connect(cluster.front).unwrap();
     client.write(new_request("POST /none/x", "key", "", &inner).1.as_bytes()).unwrap();
-    assert_eq!(client.answer().unwrap().expect("an answer").status(), 404);
-    assert!(!matches!(client.answer(), Ok(Some(_))), "the connection is closed");
+    assert_eq!(client.read_response().unwrap().expect("an answer").status(), 404);
+    assert!(!matches!(client.read_response(), Ok(Some(_))), "the connection is closed");
     assert_eq!(cluster.statuses(1, line, key), [status]);
     assert_eq!(
         cluster.ask(&new_request(line, key, "", "").1.replace("a.example", "b.example")).status(),
@@ -125,10 +125,10 @@
     let server = near_server("i-1", WELL_BEHAVED);
     let cluster = Cluster::start(vec![server_row(&server, "a")]);
     let text = new_request("POST /pay/x", "key", "", "").1.replace("Content-Length: 0", lengths);
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::connect(cluster.front).unwrap();
     client.write((text + body + &new_request("GET /read/inner", "key", "", "").1).as_bytes()).unwrap();
-    assert_eq!(client.answer().unwrap().expect("an answer").status(), 400);
-    assert!(!matches!(client.answer(), Ok(Some(_))), "the connection is closed");
+    assert_eq!(client.read_response().unwrap().expect("an answer").status(), 400);
+    assert!(!matches!(client.read_response(), Ok(Some(_))), "the connection is closed");
     assert_eq!(cluster.statuses(1, "GET /read/after", "key"), [200]);
     assert_eq!(server.received().len(), 1, "only the request after it");
 }
@@ -177,8 +177,8 @@
 
 /// A server that answers once it has read a head and leaves the body unread. It uses the given attempt id
 /// instead of the request's, if any.
-fn answers_early(id: Option<&'static str>) -> Door {
-    let early = Door::open("127.0.0.1:0", move |stream| {
+fn answers_early(id: Option<&'static str>) -> Listener {
+    let early = Listener::start("127.0.0.1:0", move |stream| {
         let mut head = String::new();
         let mut from = BufReader::new(stream);
         while !head.ends_with("\r\n\r\n") && from.read_line(&mut head).is_ok_and(|n| n > 0) {}
@@ -339,10 +339,10 @@
 fn older_configurations_are_ignored() {
     let (one, two) = (near_server("i-1", WELL_BEHAVED), near_server("i-2", WELL_BEHAVED));
     let cluster = Cluster::start(vec![server_row(&one, "a"), server_row(&two, "b")]);
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::connect(cluster.front).unwrap();
     let mut ask = |key: &str| {
         let text = new_request("GET /read/x", key, "", "").1;
-        client.ask(text.as_bytes()).unwrap().expect("an answer").status()
+        client.send_request(text.as_bytes()).unwrap().expect("an answer").status()
     };
     assert_eq!((ask("key"), one.received().len(), two.received().len()), (200, 1, 0));
     let mut new = config();
@@ -403,7 +403,7 @@
     let mut cluster =
         Cluster::with_config(vec![server_row(&server, "a")], &config(), json!({"grace_s": 3.0}));
     let (id, text) = new_request("POST /pay/x", "key", "", "");
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::connect(cluster.front).unwrap();
     client.write(text.as_bytes()).unwrap();
     wait_until("the server has the request", || server.received().len() == 1);
     let began = Instant::now();
@@ -415,17 +415,17 @@
         assert_eq!((late.status(), late.header("connection")), (200, Some("close")));
         std::thread::sleep(ms(50));
     }
-    let answer = client.answer().unwrap().expect("an answer");
+    let answer = client.read_response().unwrap().expect("an answer");
     assert_eq!((answer.status(), answer.text()), (200, format!("i-1 for {id}")));
     assert!(cluster.wait_for_exit().success() && began.elapsed() < ms(3000), "{:?}", began.elapsed());
 }
 
 /// Sends a request and only then reads; returns the status of the answer, or 0 if there is none.
 fn whole_then_status(cluster: &Cluster, text: &str) -> u16 {
-    let mut client = Client::to(cluster.front).expect("a connection");
+    let mut client = Client::connect(cluster.front).expect("a connection");
     // the body of a refused request is not read to its end, so writing may fail
     let _ = client.write(text.as_bytes());
-    client.answer().ok().flatten().map_or(0, |answer| answer.status())
+    client.read_response().ok().flatten().map_or(0, |answer| answer.status())
 }
 
 /// The memory for bodies is bounded, also for chunked bodies without a length. A request whose body finds no
@@ -460,10 +460,10 @@
     action["split"] = json!([{"service": "a", "weight": 70}, {"service": "b", "weight": 30}]);
     action.as_object_mut().expect("an action").remove("service");
     let cluster = Cluster::with_config(vec![server_row(&a, "a"), server_row(&b, "b")], &split, json!({}));
-    let mut client = Client::to(cluster.front).expect("a connection");
+    let mut client = Client::connect(cluster.front).expect("a connection");
     let went_to_a: Vec<bool> = (0..900)
         .map(|_| {
-            let answer = client.ask(new_request("GET /read/x", "key", "", "").1.as_bytes());
+            let answer = client.send_request(new_request("GET /read/x", "key", "", "").1.as_bytes());
             answer.expect("no break").expect("an answer").text().starts_with("i-a")
         })
         .collect();
@@ -495,13 +495,13 @@
 #[test]
 fn memory_for_answers_is_bounded() {
     const LONG: &str = "long";
-    let long = Door::open("127.0.0.1:0", |stream| {
+    let long = Listener::start("127.0.0.1:0", |stream| {
         let mut from = BufReader::new(stream);
-        while let Ok(Some(message)) = lupinledge_example::http::read(&mut from) {
+        while let Ok(Some(message)) = lupinledge_example::http::read_message(&mut from) {
             let id = message.header("lupinledge-attempt-id").unwrap_or_default();
             let head =
                 format!("HTTP/1.1 200 OK\r\nLupinledge-Attempt-Id: {id}\r\nLupinledge-Server-Stamp: s\r\n");
-            let body = if message.start.contains(LONG) { "z".repeat(4 << 20) } else { "short".into() };
+            let body = if message.start_line.contains(LONG) { "z".repeat(4 << 20) } else { "short".into() };
             let text = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
             if from.get_mut().write_all(text.as_bytes()).is_err() {
                 return;
@@ -516,7 +516,7 @@
     let before = cluster.peak_kb();
     let held: Vec<Client> = (0..40)
         .map(|_| {
-            let mut client = Client::to(cluster.front).expect("a connection");
+            let mut client = Client::connect(cluster.front).expect("a connection");
             client
                 .write(new_request(&format!("GET /read/{LONG}"), "key", "", "").1.as_bytes())
                 .expect("written");
--- a/data-plane/tests/rules/operation_keys.rs
+++ b/data-plane/tests/rules/operation_keys.rs
@@ -40,7 +40,7 @@
 
 /// Sends a request from a thread of its own.
 fn send_in_thread(front: SocketAddr, text: String) -> JoinHandle<Message> {
-    spawn(move || Client::to(front).unwrap().ask(text.as_bytes()).unwrap().expect("an answer"))
+    spawn(move || Client::connect(front).unwrap().send_request(text.as_bytes()).unwrap().expect("an answer"))
 }
 
 /// Asserts that the answer is the first request's, under the repeat's own attempt id.
@@ -189,7 +189,7 @@
     let other_gateway = cluster.start_gateway();
     let first = spawn({
         let (front, text) = (other_gateway.front, request("k-1").1);
-        move || Client::to(front).unwrap().ask(text.as_bytes()).ok().flatten()
+        move || Client::connect(front).unwrap().send_request(text.as_bytes()).ok().flatten()
     });
     wait_until("the request runs", || server.received().len() == 1);
     drop(other_gateway);
@@ -241,7 +241,7 @@
     let server = near_server("i-1", Behavior::Answer(ms(400)));
     let cluster = start(&server);
     let (first, text) = request("k-1");
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::connect(cluster.front).unwrap();
     client.write(text.as_bytes()).unwrap();
     wait_until("the request runs", || server.received().len() == 1);
     drop(client);
@@ -260,7 +260,7 @@
         Cluster::with_config(vec![server_row(&server, "a")], &keyed_config(), json!({"grace_s": 4}));
     let other_gateway = cluster.start_gateway();
     let (first, text) = request("k-1");
-    let mut client = Client::to(cluster.front).unwrap();
+    let mut client = Client::connect(cluster.front).unwrap();
     client.write(text.as_bytes()).unwrap();
     wait_until("the request runs", || server.received().len() == 1);
     drop(client);
--- a/data-plane/tests/rules/table_drift.rs
+++ b/data-plane/tests/rules/table_drift.rs
@@ -26,8 +26,9 @@
         let (id, text) = new_request("POST /pay/x", "key", "", "sum");
         let (began, mut moved) = (Instant::now(), 0);
         loop {
-            let mut connection = link.take().unwrap_or_else(|| Client::to(fronts[at]).expect("a connection"));
-            let answer = connection.ask(text.as_bytes()).expect("no break").expect("an answer");
+            let mut connection =
+                link.take().unwrap_or_else(|| Client::connect(fronts[at]).expect("a connection"));
+            let answer = connection.send_request(text.as_bytes()).expect("no break").expect("an answer");
             if answer.header("connection") != Some("close") {
                 link = Some(connection);
             }
--- a/data-plane/tests/rules/test_server.rs
+++ b/data-plane/tests/rules/test_server.rs
@@ -1,7 +1,7 @@
 //! A test server that speaks the gateways' protocol.
 
-use lupinledge_example::door::Door;
-use lupinledge_example::http::{read, Message};
+use lupinledge_example::http::{read_message, Message};
+use lupinledge_example::listener::Listener;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -44,8 +44,9 @@
         let received: Arc<Mutex<Vec<(Instant, Message)>>> = Arc::default();
         let behavior = Arc::new(Mutex::new(behavior));
         let (received_sink, current_behavior) = (received.clone(), behavior.clone());
-        let listener =
-            Door::open("127.0.0.1:0", move |stream| drop(serve(stream, &received_sink, &current_behavior)));
+        let listener = Listener::start("127.0.0.1:0", move |stream| {
+            drop(serve(stream, &received_sink, &current_behavior))
+        });
         TestServer { id: id.to_string(), zone, addr: listener.expect("a server").addr, received, behavior }
     }
     /// Changes the behavior from the next request on.
@@ -68,7 +69,7 @@
     behavior: &Mutex<Behavior>,
 ) -> std::io::Result<()> {
     let mut from = BufReader::new(stream);
-    while let Some(request) = read(&mut from)? {
+    while let Some(request) = read_message(&mut from)? {
         let (id, instance) =
             (request.header("lupinledge-attempt-id"), request.header("lupinledge-expect-instance"));
         let (id, instance) = (id.unwrap_or("none").to_string(), instance.unwrap_or("none").to_string());
--- a/data-plane/tests/start.rs
+++ b/data-plane/tests/start.rs
@@ -1,6 +1,6 @@
 //! Starts the program without any other process of the system, and talks to it over sockets.
 
-use lupinledge_example::waits;
+use lupinledge_example::scheduling_delay;
 use lupinledge_messaging::{decode, WireMessage};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -34,7 +34,8 @@
     }
     /// The time that the program and this thread have waited for a processor.
     fn waits(&self) -> Duration {
-        waits::of(format!("/proc/{}", self.0.id()).as_ref()) + waits::here()
+        scheduling_delay::of_thread(format!("/proc/{}", self.0.id()).as_ref())
+            + scheduling_delay::of_current_thread()
     }
 }
 
@@ -79,7 +80,7 @@
 /// answer is the last of its connection, and is not lost when the body stays unread.
 #[test]
 fn clients_are_answered_before_the_state_is_known() {
-    let (began, here) = (Instant::now(), waits::here());
+    let (began, here) = (Instant::now(), scheduling_delay::of_current_thread());
     let (gateway, front, _) = start();
     let mut stream = loop {
         match TcpStream::connect(front) {
@@ -106,7 +107,7 @@
 /// The clock is requested from every process that may become the holder, before there is one.
 #[test]
 fn the_clock_is_requested_before_there_is_a_holder() {
-    let (began, here) = (Instant::now(), waits::here());
+    let (began, here) = (Instant::now(), scheduling_delay::of_current_thread());
     let (gateway, _, seed_socket) = start();
     seed_socket.set_read_timeout(Some(LONG_WAIT)).expect("a time-out");
     let mut datagram = [0; 2048];
--- a/example/src/counter.rs
+++ b/example/src/counter.rs
@@ -1,7 +1,7 @@
 //! The counter: RESP2, numbers by name that are forgotten after their life.
 
-use crate::door::Door;
-use crate::waits::Threads;
+use crate::listener::Listener;
+use crate::scheduling_delay::TrackedThreads;
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,15 +10,15 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
-    Answer,
+pub enum Behaviour {
+    Reply,
     Busy,
     /// Answers nothing for now: each call has its answer in its turn, however late.
     Silent,
     /// Adds, and answers without a number; nothing on that connection is answered after it.
-    Spoilt,
+    MalformedReply,
     /// Answers, and once more right behind it with another total.
-    Twice,
+    DuplicateReply,
 }
 
 type Totals = HashMap<String, (f64, Instant)>;
@@ -30,7 +30,7 @@
     split: Option<(Totals, Totals)>,
     calls: usize,
     /// Those of them that came to the present address, which is the nth.
-    calls_here: usize,
+    calls_at_current_address: usize,
     nth: usize,
     connections: usize,
     /// Those of them that are not ended.
@@ -39,28 +39,28 @@
 
 #[derive(Clone)]
 struct Shared {
-    manner: Arc<Mutex<Manner>>,
+    behaviour: Arc<Mutex<Behaviour>>,
     record: Arc<Mutex<Record>>,
-    threads: Threads,
+    threads: TrackedThreads,
 }
 
 pub struct Counter {
     pub addr: SocketAddr,
-    door: Door,
+    door: Listener,
     shared: Shared,
-    far: Vec<Door>,
+    far: Vec<Listener>,
 }
 
 impl Counter {
-    pub fn start(addr: &str, manner: Manner) -> io::Result<Counter> {
-        let manner = Arc::new(Mutex::new(manner));
-        let shared = Shared { manner, record: Arc::default(), threads: Threads::default() };
+    pub fn start(addr: &str, behaviour: Behaviour) -> io::Result<Counter> {
+        let behaviour = Arc::new(Mutex::new(behaviour));
+        let shared = Shared { behaviour, record: Arc::default(), threads: TrackedThreads::default() };
         let door = shared.door(addr, Some(0))?;
         Ok(Counter { addr: door.addr, door, shared, far: vec![] })
     }
 
     /// Another address of the same counter, on the far side of a split: it shares all totals except while split.
-    pub fn far_door(&mut self) -> io::Result<SocketAddr> {
+    pub fn add_far_address(&mut self) -> io::Result<SocketAddr> {
         let door = self.shared.door("127.0.0.1:0", None)?;
         let addr = door.addr;
         self.far.push(door);
@@ -69,7 +69,7 @@
 
     /// Splits the counter in two (each side goes on from the totals at the split), or heals it: what the far side
     /// added meanwhile is then added to the near side's totals.
-    pub fn split(&self, split: bool) {
+    pub fn set_split(&self, split: bool) {
         let mut record = self.shared.record.lock().unwrap();
         match (split, record.split.take()) {
             (true, None) => record.split = Some((record.totals.clone(), record.totals.clone())),
@@ -84,20 +84,20 @@
     }
 
     /// Goes to another address with all its totals; what is open at the old one ends after a time.
-    pub fn go(&mut self, addr: &str, after: Duration) -> io::Result<()> {
+    pub fn move_to(&mut self, addr: &str, after: Duration) -> io::Result<()> {
         let nth = {
             let mut record = self.shared.record.lock().unwrap();
-            (record.nth, record.calls_here) = (record.nth + 1, 0);
+            (record.nth, record.calls_at_current_address) = (record.nth + 1, 0);
             record.nth
         };
         let old = std::mem::replace(&mut self.door, self.shared.door(addr, Some(nth))?);
         self.addr = self.door.addr;
-        old.leave(after);
+        old.close(after);
         Ok(())
     }
 
-    pub fn now(&self, manner: Manner) {
-        *self.shared.manner.lock().unwrap() = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.shared.behaviour.lock().unwrap() = behaviour;
     }
     pub fn calls(&self) -> usize {
         self.shared.record.lock().unwrap().calls
@@ -106,19 +106,19 @@
         self.shared.record.lock().unwrap().connections
     }
     /// Calls that came to the present address.
-    pub fn calls_here(&self) -> usize {
-        self.shared.record.lock().unwrap().calls_here
+    pub fn calls_at_current_address(&self) -> usize {
+        self.shared.record.lock().unwrap().calls_at_current_address
     }
     /// Connections that are not ended: what was written to the others is all read.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.shared.record.lock().unwrap().open
     }
-    /// For how long its threads waited for a processor.
-    pub fn waited(&self) -> Duration {
-        self.shared.threads.waited()
+    /// For how long its threads.total for a processor.
+    pub fn scheduling_delay(&self) -> Duration {
+        self.shared.threads.total()
     }
     /// Forgets every total, as a fresh counter that has taken the old one's place.
-    pub fn forget(&self) {
+    pub fn reset_totals(&self) {
         let mut record = self.shared.record.lock().unwrap();
         record.totals.clear();
         if let Some((base, far)) = &mut record.split {
@@ -135,9 +135,9 @@
 
 impl Shared {
     /// The nth address, or with none that on the far side.
-    fn door(&self, addr: &str, nth: Option<usize>) -> io::Result<Door> {
+    fn door(&self, addr: &str, nth: Option<usize>) -> io::Result<Listener> {
         let me = self.clone();
-        Door::open(addr, move |stream| {
+        Listener::start(addr, move |stream| {
             me.counted(|r| (r.connections, r.open) = (r.connections + 1, r.open + 1));
             me.threads.run(|| me.serve(stream, nth));
             me.counted(|r| r.open -= 1);
@@ -151,20 +151,20 @@
     fn serve(&self, stream: TcpStream, nth: Option<usize>) -> Option<()> {
         let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
         while let Some(words) = read_call(&mut from).ok()? {
-            let mut manner = *self.manner.lock().unwrap();
-            while manner == Manner::Silent {
+            let mut behaviour = *self.behaviour.lock().unwrap();
+            while behaviour == Behaviour::Silent {
                 sleep(Duration::from_millis(5));
-                manner = *self.manner.lock().unwrap();
+                behaviour = *self.behaviour.lock().unwrap();
             }
-            if manner == Manner::Spoilt {
+            if behaviour == Behaviour::MalformedReply {
                 self.answer(&words, nth);
                 to.write_all(b"$5\r\nwhat?\r\n").ok()?;
                 while let Some(words) = read_call(&mut from).ok()? {
                     self.answer(&words, nth);
                 }
-            } else if manner == Manner::Twice {
+            } else if behaviour == Behaviour::DuplicateReply {
                 to.write_all((self.answer(&words, nth) + "$6\r\n999999\r\n").as_bytes()).ok()?;
-            } else if manner == Manner::Busy {
+            } else if behaviour == Behaviour::Busy {
                 to.write_all(b"-BUSY try later\r\n").ok()?;
             } else {
                 to.write_all(self.answer(&words, nth).as_bytes()).ok()?;
@@ -185,7 +185,7 @@
             ("CNT.ADD", 4, (Some(add), Some(Ok(life @ 1..)))) if words[1].len() <= 64 => {
                 let now = Instant::now();
                 record.calls += 1;
-                record.calls_here += (nth == Some(record.nth)) as usize;
+                record.calls_at_current_address += (nth == Some(record.nth)) as usize;
                 let fresh = (0.0, now + Duration::from_millis(life.min(60_000)));
                 let totals = match &mut record.split {
                     Some((_, far_side)) if nth.is_none() => far_side,
--- a/example/src/counter/tests.rs
+++ b/example/src/counter/tests.rs
@@ -13,16 +13,16 @@
 
 #[test]
 fn each_side_of_a_split_goes_on_alone_and_healing_adds_the_far_sides_adds() {
-    let mut c = Counter::start("127.0.0.1:0", Manner::Answer).unwrap();
-    let far = c.far_door().unwrap();
+    let mut c = Counter::start("127.0.0.1:0", Behaviour::Reply).unwrap();
+    let far = c.add_far_address().unwrap();
     assert_eq!(add(c.addr, "2"), "2");
     assert_eq!(add(far, "1"), "3", "one counter before the split");
-    c.split(true);
+    c.set_split(true);
     assert_eq!(add(far, "5"), "8");
     assert_eq!(add(c.addr, "1"), "4", "the near side does not see the far side's 5");
-    c.split(false);
+    c.set_split(false);
     assert_eq!(add(c.addr, "0"), "9");
     assert_eq!(add(far, "0"), "9");
-    c.forget();
+    c.reset_totals();
     assert_eq!(add(far, "1"), "1");
 }
--- a/example/src/discovery.rs
+++ b/example/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the list of srvs and watches on it.
 
-use crate::door::Door;
-use crate::http::read;
+use crate::http::read_message;
+use crate::listener::Listener;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
@@ -22,12 +22,12 @@
 
 pub struct Discovery {
     pub addr: SocketAddr,
-    door: Door,
+    door: Listener,
     state: Shared,
 }
 
 /// An entry of the list; `born` is the last start in Unix milliseconds, 0 for long ago.
-pub fn entry(id: &str, addr: SocketAddr, zone: &str, lifecycle: &str, born: u64) -> Value {
+pub fn catalog_entry(id: &str, addr: SocketAddr, zone: &str, lifecycle: &str, born: u64) -> Value {
     json!({"instanceId": id, "hostPort": addr.to_string(), "zone": zone, "machineType": "toy", "cell": 0,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": born})
 }
@@ -39,23 +39,23 @@
         Ok(Discovery { addr: door.addr, door, state })
     }
 
-    fn door(state: &Shared, addr: &str) -> io::Result<Door> {
+    fn door(state: &Shared, addr: &str) -> io::Result<Listener> {
         let state = state.clone();
-        Door::open(addr, move |stream| {
+        Listener::start(addr, move |stream| {
             serve(&state, stream);
         })
     }
 
     /// Goes to another address with all that it knows; what is open at the old one ends after a time.
-    pub fn go(&mut self, addr: &str, after: Duration) -> io::Result<()> {
+    pub fn move_to(&mut self, addr: &str, after: Duration) -> io::Result<()> {
         let old = std::mem::replace(&mut self.door, Discovery::door(&self.state, addr)?);
         self.addr = self.door.addr;
-        old.leave(after);
+        old.close(after);
         Ok(())
     }
 
     /// A new version of the list with these entries changed.
-    pub fn put(&self, entries: Vec<Value>) {
+    pub fn update_entries(&self, entries: Vec<Value>) {
         let mut state = self.state.0.lock().unwrap();
         state.generation += 1;
         let generation = state.generation;
@@ -66,20 +66,20 @@
         self.state.1.notify_all();
     }
     /// Whether watches stay silent, the empty lines included.
-    pub fn mute(&self, muted: bool) {
+    pub fn set_muted(&self, muted: bool) {
         self.state.0.lock().unwrap().muted = muted;
         self.state.1.notify_all();
     }
     /// Watches opened so far.
-    pub fn watches(&self) -> usize {
+    pub fn watches_opened(&self) -> usize {
         self.state.0.lock().unwrap().watches
     }
 }
 
 fn serve(state: &Shared, stream: TcpStream) -> Option<()> {
     let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-    while let Some(req) = read(&mut from).ok()? {
-        let target = req.start.split(' ').nth(1)?.to_string();
+    while let Some(req) = read_message(&mut from).ok()? {
+        let target = req.start_line.split(' ').nth(1)?.to_string();
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
         let from = query.split('&').find_map(|p| p.strip_prefix("from=")?.parse::<u64>().ok());
         if path != "/catalog/members" {
--- a/example/src/http.rs
+++ b/example/src/http.rs
@@ -7,7 +7,7 @@
 /// A message as it came. `start` is the request or status line.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    pub start: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
@@ -19,7 +19,7 @@
     }
     /// The status of an answer.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
@@ -27,7 +27,7 @@
 }
 
 /// The next message; `None` where the connection ends before one.
-pub fn read(from: &mut impl BufRead) -> io::Result<Option<Message>> {
+pub fn read_message(from: &mut impl BufRead) -> io::Result<Option<Message>> {
     let Some(mut m) = read_head(from)? else { return Ok(None) };
     read_body(from, &mut m)?;
     Ok(Some(m))
@@ -36,10 +36,10 @@
 /// The next message without its body.
 pub fn read_head(from: &mut impl BufRead) -> io::Result<Option<Message>> {
     let mut m = Message::default();
-    if from.read_line(&mut m.start)? == 0 {
+    if from.read_line(&mut m.start_line)? == 0 {
         return Ok(None);
     }
-    m.start = m.start.trim_end().to_string();
+    m.start_line = m.start_line.trim_end().to_string();
     loop {
         let mut line = String::new();
         if from.read_line(&mut line)? == 0 {
@@ -66,11 +66,11 @@
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub fn to(addr: SocketAddr) -> io::Result<Client> {
-        Client::within(addr, Duration::from_secs(10))
+    pub fn connect(addr: SocketAddr) -> io::Result<Client> {
+        Client::connect_with_timeout(addr, Duration::from_secs(10))
     }
     /// One that waits at most `wait` to connect and for each read.
-    pub fn within(addr: SocketAddr, wait: Duration) -> io::Result<Client> {
+    pub fn connect_with_timeout(addr: SocketAddr, wait: Duration) -> io::Result<Client> {
         let stream = TcpStream::connect_timeout(&addr, wait)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(wait))?;
@@ -80,11 +80,11 @@
         self.0.get_mut().write_all(bytes)
     }
     /// The next answer; `None` where the connection is ended instead.
-    pub fn answer(&mut self) -> io::Result<Option<Message>> {
-        read(&mut self.0)
+    pub fn read_response(&mut self) -> io::Result<Option<Message>> {
+        read_message(&mut self.0)
     }
-    pub fn ask(&mut self, bytes: &[u8]) -> io::Result<Option<Message>> {
+    pub fn send_request(&mut self, bytes: &[u8]) -> io::Result<Option<Message>> {
         self.write(bytes)?;
-        self.answer()
+        self.read_response()
     }
 }
--- a/example/src/lib.rs
+++ b/example/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod counter;
 pub mod discovery;
-pub mod door;
 pub mod http;
-pub mod srv;
-pub mod waits;
+pub mod listener;
+pub mod scheduling_delay;
+pub mod server;
--- a/example/src/door.rs
+++ b/example/src/listener.rs
@@ -8,20 +8,20 @@
 use std::time::Duration;
 
 #[derive(Clone)]
-pub struct Door {
+pub struct Listener {
     pub addr: SocketAddr,
     left: Arc<AtomicBool>,
     open: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Door {
+impl Listener {
     /// Serves each connection in a thread of its own.
-    pub fn open(addr: &str, serve: impl Fn(TcpStream) + Send + Clone + 'static) -> io::Result<Door> {
-        let listener = TcpListener::bind(addr)?;
-        let door = Door { addr: listener.local_addr()?, left: Arc::default(), open: Arc::default() };
-        let me = door.clone();
+    pub fn start(addr: &str, serve: impl Fn(TcpStream) + Send + Clone + 'static) -> io::Result<Listener> {
+        let socket = TcpListener::bind(addr)?;
+        let listener = Listener { addr: socket.local_addr()?, left: Arc::default(), open: Arc::default() };
+        let me = listener.clone();
         spawn(move || {
-            for stream in listener.incoming().flatten() {
+            for stream in socket.incoming().flatten() {
                 if me.left.load(Ordering::SeqCst) {
                     return;
                 }
@@ -34,11 +34,11 @@
                 });
             }
         });
-        Ok(door)
+        Ok(listener)
     }
 
     /// Takes no new connection; the open ones are ended after a time.
-    pub fn leave(&self, after: Duration) {
+    pub fn close(&self, after: Duration) {
         self.left.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.addr);
         let open = self.open.clone();
--- a/example/src/waits.rs
+++ b/example/src/scheduling_delay.rs
@@ -8,21 +8,21 @@
 use std::time::Duration;
 
 /// Of one thread, by its directory below `/proc`.
-pub fn of(thread: &Path) -> Duration {
+pub fn of_thread(thread: &Path) -> Duration {
     let text = read_to_string(thread.join("schedstat")).unwrap_or_default();
     Duration::from_nanos(text.split(' ').nth(1).and_then(|ns| ns.parse().ok()).unwrap_or(0))
 }
 
 /// Of this thread.
-pub fn here() -> Duration {
-    of(Path::new("/proc/thread-self"))
+pub fn of_current_thread() -> Duration {
+    of_thread(Path::new("/proc/thread-self"))
 }
 
 /// The threads of one stand-in.
 #[derive(Clone, Default)]
-pub struct Threads(Arc<Mutex<(BTreeSet<PathBuf>, Duration)>>);
+pub struct TrackedThreads(Arc<Mutex<(BTreeSet<PathBuf>, Duration)>>);
 
-impl Threads {
+impl TrackedThreads {
     /// Runs this as one of them.
     pub fn run<T>(&self, work: impl FnOnce() -> T) -> T {
         let me = read_link("/proc/thread-self").map(|t| Path::new("/proc").join(t)).unwrap_or_default();
@@ -30,13 +30,13 @@
         let done = work();
         let mut threads = self.0.lock().unwrap();
         threads.0.remove(&me);
-        threads.1 += here();
+        threads.1 += of_current_thread();
         done
     }
 
     /// Of all of them so far, also of those that have ended.
-    pub fn waited(&self) -> Duration {
+    pub fn total(&self) -> Duration {
         let threads = self.0.lock().unwrap();
-        threads.0.iter().map(|t| of(t)).sum::<Duration>() + threads.1
+        threads.0.iter().map(|t| of_thread(t)).sum::<Duration>() + threads.1
     }
 }
--- a/example/src/srv.rs
+++ b/example/src/server.rs
@@ -1,7 +1,7 @@
 //! A srv: records each req whose last byte came, and treats it as it was told to.
 
-use crate::http::{read, Message};
-use crate::waits::Threads;
+use crate::http::{read_message, Message};
+use crate::scheduling_delay::TrackedThreads;
 use socket2::SockRef;
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,28 +11,28 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Manner {
+pub enum Behaviour {
     /// Answers after a time.
-    Answer(Duration),
-    /// Answers nothing for now: each req has its answer once the manner is another one.
-    Held,
+    Respond(Duration),
+    /// Answers nothing for now: each req has its answer once the behaviour is another one.
+    Hold,
     /// Answers, a byte at a time; in one go what is left after `TRICKLE`.
     Trickle,
-    Full,
-    Error,
+    Overloaded,
+    InternalError,
     /// Resets the connection once the req is whole: it may have run.
-    Reset,
+    ResetAfterRequest,
     /// Breaks off within its answer.
-    HalfAnswer,
+    PartialResponse,
     /// Resets each connection before it reads from it.
-    ResetFirst,
+    ResetOnAccept,
     Silent,
     /// Writes this in place of an answer and leaves the connection open.
-    Spoilt(&'static str),
+    Malformed(&'static str),
     /// Claims 3 GB and keeps sending.
-    Flood,
+    OversizedBody,
     /// A good answer with something in front of it, among its headers, and right behind it.
-    Around(&'static str, &'static str, &'static str),
+    ResponseWithExtraBytes(&'static str, &'static str, &'static str),
 }
 
 /// A trickled answer is there whole soon after that, however busy the machine is.
@@ -40,31 +40,31 @@
 
 #[derive(Default)]
 struct Record {
-    seen: Vec<Message>,
+    received: Vec<Message>,
     connections: usize,
 }
 
 #[derive(Clone)]
-pub struct Srv {
+pub struct Server {
     pub addr: SocketAddr,
-    manner: Arc<Mutex<Manner>>,
+    behaviour: Arc<Mutex<Behaviour>>,
     record: Arc<Mutex<Record>>,
-    threads: Threads,
+    threads: TrackedThreads,
 }
 
-impl Srv {
-    pub fn start(addr: &str, manner: Manner) -> io::Result<Srv> {
+impl Server {
+    pub fn start(addr: &str, behaviour: Behaviour) -> io::Result<Server> {
         let listener = TcpListener::bind(addr)?;
-        let srv = Srv::of(listener.local_addr()?, manner);
+        let srv = Server::of(listener.local_addr()?, behaviour);
         let me = srv.clone();
         spawn(move || me.accept(listener));
         Ok(srv)
     }
 
     /// One to which connections come up only once it is told to: its queue is full until then.
-    pub fn start_late(addr: &str) -> io::Result<(Srv, Sender<()>)> {
+    pub fn start_with_full_backlog(addr: &str) -> io::Result<(Server, Sender<()>)> {
         let listener = TcpListener::bind(addr)?;
-        let srv = Srv::of(listener.local_addr()?, Manner::Answer(Duration::ZERO));
+        let srv = Server::of(listener.local_addr()?, Behaviour::Respond(Duration::ZERO));
         SockRef::from(&listener).listen(0)?;
         let fill = TcpStream::connect(srv.addr)?;
         let (me, (open, opened)) = (srv.clone(), channel());
@@ -76,28 +76,28 @@
         Ok((srv, open))
     }
 
-    fn of(addr: SocketAddr, manner: Manner) -> Srv {
-        Srv {
+    fn of(addr: SocketAddr, behaviour: Behaviour) -> Server {
+        Server {
             addr,
-            manner: Arc::new(Mutex::new(manner)),
+            behaviour: Arc::new(Mutex::new(behaviour)),
             record: Arc::default(),
-            threads: Threads::default(),
+            threads: TrackedThreads::default(),
         }
     }
 
-    pub fn now(&self, manner: Manner) {
-        *self.manner.lock().unwrap() = manner;
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        *self.behaviour.lock().unwrap() = behaviour;
     }
     /// The reqs that came whole.
-    pub fn seen(&self) -> Vec<Message> {
-        self.record.lock().unwrap().seen.clone()
+    pub fn received(&self) -> Vec<Message> {
+        self.record.lock().unwrap().received.clone()
     }
     pub fn connections(&self) -> usize {
         self.record.lock().unwrap().connections
     }
-    /// For how long its threads waited for a processor.
-    pub fn waited(&self) -> Duration {
-        self.threads.waited()
+    /// For how long its threads.total for a processor.
+    pub fn scheduling_delay(&self) -> Duration {
+        self.threads.total()
     }
 
     fn accept(self, listener: TcpListener) {
@@ -111,25 +111,25 @@
     fn serve(self, stream: TcpStream) -> Option<()> {
         let reset = |s: &TcpStream| SockRef::from(s).set_linger(Some(Duration::ZERO)).ok();
         stream.set_nodelay(true).ok()?;
-        if *self.manner.lock().unwrap() == Manner::ResetFirst {
+        if *self.behaviour.lock().unwrap() == Behaviour::ResetOnAccept {
             return reset(&stream);
         }
         let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-        while let Some(req) = read(&mut from).ok()? {
+        while let Some(req) = read_message(&mut from).ok()? {
             let body = format!("made for {}\n", req.header("x-request-id").unwrap_or("nobody"));
-            self.record.lock().unwrap().seen.push(req);
-            let mut manner = *self.manner.lock().unwrap();
-            while manner == Manner::Held {
+            self.record.lock().unwrap().received.push(req);
+            let mut behaviour = *self.behaviour.lock().unwrap();
+            while behaviour == Behaviour::Hold {
                 sleep(Duration::from_millis(5));
-                manner = *self.manner.lock().unwrap();
+                behaviour = *self.behaviour.lock().unwrap();
             }
             let head = |status| format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n", body.len());
-            match manner {
-                Manner::Answer(after) => {
+            match behaviour {
+                Behaviour::Respond(after) => {
                     sleep(after);
                     to.write_all(format!("{}\r\n{body}", head("200 OK")).as_bytes()).ok()?;
                 }
-                Manner::Trickle => {
+                Behaviour::Trickle => {
                     let (answer, start) = (format!("{}\r\n{body}", head("200 OK")), Instant::now());
                     let mut left = answer.as_bytes();
                     while start.elapsed() < TRICKLE && !left.is_empty() {
@@ -139,25 +139,25 @@
                     }
                     to.write_all(left).ok()?;
                 }
-                Manner::Full => {
+                Behaviour::Overloaded => {
                     let head = head("503 Service Unavailable");
                     to.write_all(format!("{head}X-Not-Run: 1\r\n\r\n{body}").as_bytes()).ok()?;
                 }
-                Manner::Error => to
+                Behaviour::InternalError => to
                     .write_all(format!("{}\r\n{body}", head("500 Internal Server Error")).as_bytes())
                     .ok()?,
-                Manner::HalfAnswer => {
+                Behaviour::PartialResponse => {
                     to.write_all(format!("{}\r\nmade", head("200 OK")).as_bytes()).ok()?;
                     return Some(());
                 }
-                Manner::Reset | Manner::ResetFirst => return reset(&to),
-                Manner::Silent | Manner::Held => {}
-                Manner::Spoilt(bytes) => to.write_all(bytes.as_bytes()).ok()?,
-                Manner::Flood => {
+                Behaviour::ResetAfterRequest | Behaviour::ResetOnAccept => return reset(&to),
+                Behaviour::Silent | Behaviour::Hold => {}
+                Behaviour::Malformed(bytes) => to.write_all(bytes.as_bytes()).ok()?,
+                Behaviour::OversizedBody => {
                     to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n").ok()?;
                     while to.write_all(&[b'x'; 4096]).is_ok() {}
                 }
-                Manner::Around(front, headers, behind) => to
+                Behaviour::ResponseWithExtraBytes(front, headers, behind) => to
                     .write_all(format!("{front}{}{headers}\r\n{body}{behind}", head("200 OK")).as_bytes())
                     .ok()?,
             }
--- a/gateway/tests/sockets.rs
+++ b/gateway/tests/sockets.rs
@@ -1,9 +1,9 @@
 //! Starts the program among stand-ins and speaks to it over sockets.
 
-use lupinledge_example::discovery::{entry, Discovery};
+use lupinledge_example::discovery::{catalog_entry, Discovery};
 use lupinledge_example::http::{Client, Message};
-use lupinledge_example::srv::{Manner, Srv};
-use lupinledge_example::{counter, counter::Counter, waits};
+use lupinledge_example::server::{Behaviour, Server};
+use lupinledge_example::{counter, counter::Counter, scheduling_delay};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-const ANSWER: Manner = Manner::Answer(Duration::ZERO);
+const ANSWER: Behaviour = Behaviour::Respond(Duration::ZERO);
 /// What has not come by then never does, however busy the machine is.
 const LONG: Duration = Duration::from_secs(60);
 
@@ -35,7 +35,7 @@
 
 /// A connection of a client that waits for long.
 fn client(addr: SocketAddr) -> Client {
-    Client::within(addr, LONG).expect("a connection")
+    Client::connect_with_timeout(addr, LONG).expect("a connection")
 }
 
 /// A span without the time for which the program, this thread and the stand-ins named waited for a processor: what
@@ -54,7 +54,9 @@
         lap
     }
     fn waits(&self) -> Duration {
-        waits::of(&self.program) + waits::here() + self.others.iter().map(|o| o()).sum::<Duration>()
+        scheduling_delay::of_thread(&self.program)
+            + scheduling_delay::of_current_thread()
+            + self.others.iter().map(|o| o()).sum::<Duration>()
     }
     fn passed(&self) -> Duration {
         let waited = self.waits().saturating_sub(self.waited);
@@ -106,9 +108,9 @@
 
     fn with(srvs: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Gateway {
         let discovery = Discovery::start("127.0.0.1:0").expect("discovery");
-        let counter = Counter::start("127.0.0.1:0", counter::Manner::Answer).expect("counter");
+        let counter = Counter::start("127.0.0.1:0", counter::Behaviour::Reply).expect("counter");
         if !srvs.is_empty() {
-            discovery.put(srvs.iter().enumerate().map(|(i, s)| row(i, *s, "active")).collect());
+            discovery.update_entries(srvs.iter().enumerate().map(|(i, s)| row(i, *s, "active")).collect());
         }
         let path = configuration(|v| {
             v["discovery"] = json!(discovery.addr.to_string());
@@ -142,7 +144,7 @@
     }
     /// One req on a connection of its own.
     fn ask(&self, bytes: &[u8]) -> Message {
-        client(self.addr).ask(bytes).expect("an answer").expect("a whole answer")
+        client(self.addr).send_request(bytes).expect("an answer").expect("a whole answer")
     }
     /// Begins a span, see `Lap`.
     fn lap<'a>(&self, others: &[&'a dyn Fn() -> Duration]) -> Lap<'a> {
@@ -187,11 +189,11 @@
 }
 
 fn row(i: usize, addr: SocketAddr, lifecycle: &str) -> Value {
-    entry(&format!("s{i}"), addr, ["east", "west"][i % 2], lifecycle, 0)
+    catalog_entry(&format!("s{i}"), addr, ["east", "west"][i % 2], lifecycle, 0)
 }
 
-fn srv(manner: Manner) -> Srv {
-    Srv::start("127.0.0.1:0", manner).expect("a srv")
+fn srv(manner: Behaviour) -> Server {
+    Server::start("127.0.0.1:0", manner).expect("a srv")
 }
 
 /// An address at which nobody listens.
@@ -220,9 +222,9 @@
     let s = srv(ANSWER);
     let g = Gateway::start(&[s.addr]);
     let answer = g.ask(req("order", "house", "45.500").as_bytes());
-    let seen = s.seen().remove(0);
+    let seen = s.received().remove(0);
     assert_eq!(
-        (answer.status(), seen.start.as_str()),
+        (answer.status(), seen.start_line.as_str()),
         (200, "POST /order/7?client=00000000b4d65521 HTTP/1.1")
     );
     let id = seen.header("x-request-id").expect("an id").to_string();
@@ -236,7 +238,7 @@
 /// Nothing depends on how either side's bytes are cut.
 #[test]
 fn split_writes() {
-    let s = srv(Manner::Trickle);
+    let s = srv(Behaviour::Trickle);
     let g = Gateway::start(&[s.addr]);
     let mut c = client(g.addr);
     for _ in 0..2 {
@@ -249,9 +251,9 @@
             sleep(Duration::from_micros(200));
         }
         c.write(left).unwrap();
-        assert_eq!(c.answer().unwrap().expect("an answer").status(), 200);
+        assert_eq!(c.read_response().unwrap().expect("an answer").status(), 200);
     }
-    assert_eq!((s.seen().len(), s.connections()), (2, 1), "the connection to the srv is used again");
+    assert_eq!((s.received().len(), s.connections()), (2, 1), "the connection to the srv is used again");
 }
 
 #[test_case("/quote", "/nothing", 404; "an unknown frontend")]
@@ -282,7 +284,7 @@
     let g = Gateway::start(&[s.addr]);
     let text = req("quote", "house", "60").replace(from, to);
     assert_eq!(g.ask(text.as_bytes()).status(), status, "{text}");
-    assert_eq!(s.seen().len(), (status == 200) as usize);
+    assert_eq!(s.received().len(), (status == 200) as usize);
     g.signal("USR1");
     until("counters", || g.count("taken").is_some());
     assert_eq!(g.count("taken"), Some((status == 200) as u64));
@@ -301,9 +303,9 @@
     let text = text.strip_suffix("hello").unwrap().to_string() + body + &req("quote", "house", "60");
     let mut c = client(g.addr);
     c.write(text.as_bytes()).unwrap();
-    assert_eq!(c.answer().unwrap().expect("an answer").status(), 400);
-    assert!(!matches!(c.answer(), Ok(Some(_))), "the connection ends");
-    assert_eq!(s.seen().len(), 0);
+    assert_eq!(c.read_response().unwrap().expect("an answer").status(), 400);
+    assert!(!matches!(c.read_response(), Ok(Some(_))), "the connection ends");
+    assert_eq!(s.received().len(), 0);
 }
 
 /// Pipelined reqs are reqs all the same.
@@ -313,23 +315,23 @@
     let g = Gateway::start(&[s.addr]);
     let mut c = client(g.addr);
     c.write((req("notice", "house", "60") + &req("quote", "house", "60")).as_bytes()).unwrap();
-    assert_eq!([0; 2].map(|_| c.answer().unwrap().expect("an answer").status()), [200, 200]);
+    assert_eq!([0; 2].map(|_| c.read_response().unwrap().expect("an answer").status()), [200, 200]);
 }
 
 /// An id that is open, or was lately, belongs to that req alone.
 #[test]
 fn an_id_had_before() {
-    let s = srv(Manner::Held);
+    let s = srv(Behaviour::Hold);
     let g = Gateway::start(&[s.addr]);
     let text = req("quote", "house", "60");
     let mut c = client(g.addr);
     c.write(text.as_bytes()).unwrap();
-    until("it is out", || !s.seen().is_empty());
+    until("it is out", || !s.received().is_empty());
     assert_eq!(g.ask(text.as_bytes()).status(), 409, "while it is open");
-    s.now(ANSWER);
-    assert_eq!(c.answer().unwrap().expect("its answer").status(), 200);
+    s.set_behaviour(ANSWER);
+    assert_eq!(c.read_response().unwrap().expect("its answer").status(), 200);
     assert_eq!(g.ask(text.as_bytes()).status(), 409, "when it is answered");
-    assert_eq!(s.seen().len(), 1);
+    assert_eq!(s.received().len(), 1);
 }
 
 /// Who says nothing, never ends a head or a body, or asked once and stays, is ended in time; others go on.
@@ -342,7 +344,7 @@
     let g = Gateway::start(&[s.addr]);
     let (start, proc) = (Instant::now(), g.proc());
     let mut stayed = client(g.addr);
-    assert_eq!(stayed.ask(req("quote", "house", "60").as_bytes()).unwrap().unwrap().status(), 200);
+    assert_eq!(stayed.send_request(req("quote", "house", "60").as_bytes()).unwrap().unwrap().status(), 200);
     let mut bad = client(g.addr);
     bad.write(begin).unwrap();
     let (addr, drips, program) = (g.addr, !begin.is_empty(), proc.clone());
@@ -351,16 +353,16 @@
         while drips && start.elapsed() < LONG && bad.write(b"a").is_ok() {
             sleep(ms(100));
         }
-        let got = bad.answer();
+        let got = bad.read_response();
         (got.ok().flatten().map(|a| a.status()), lap.passed())
     });
     let left = spawn(move || {
         let lap = Lap::start(proc, &[]);
-        let closed = stayed.answer().is_ok_and(|a| a.is_none());
+        let closed = stayed.read_response().is_ok_and(|a| a.is_none());
         (closed, start.elapsed(), lap.passed())
     });
     while !ended.is_finished() || !left.is_finished() {
-        let c = client(addr).ask(req("quote", "house", "60").as_bytes());
+        let c = client(addr).send_request(req("quote", "house", "60").as_bytes());
         assert_eq!(c.unwrap().unwrap().status(), 200);
         sleep(ms(50));
     }
@@ -378,7 +380,7 @@
     let g = Gateway::with(&[s.addr], |v| v["limits"]["sockets"] = json!(64));
     let silent: Vec<_> = (0..300).map(|_| std::net::TcpStream::connect(g.addr).unwrap()).collect();
     for _ in 0..10 {
-        let waited = || s.waited();
+        let waited = || s.scheduling_delay();
         let lap = g.lap(&[&waited]);
         assert_eq!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
         let passed = lap.passed();
@@ -399,34 +401,35 @@
     text.resize(text.len() + if status == 200 { 65536 } else { 65537 }, b'x');
     let mut c = client(g.addr);
     let _ = c.write(&text); // the answer may come, and the connection end, before all of it is written
-    assert_eq!(c.answer().unwrap().expect("an answer").status(), status);
-    assert_eq!(s.seen().iter().filter(|m| m.body.len() == 65536).count(), (status == 200) as usize);
+    assert_eq!(c.read_response().unwrap().expect("an answer").status(), status);
+    assert_eq!(s.received().iter().filter(|m| m.body.len() == 65536).count(), (status == 200) as usize);
 }
 
 /// What never ran may go to another srv, also where a repeat is forbidden; what may have run may not.
 #[test_case("notice", None, 200; "refused")]
-#[test_case("notice", Some(Manner::Full), 200; "turned away")]
-#[test_case("notice", Some(Manner::Reset), 502; "reset after the last byte")]
-#[test_case("notice", Some(Manner::HalfAnswer), 502; "broken off within the answer")]
-#[test_case("notice", Some(Manner::Error), 502; "an error")]
-#[test_case("notice", Some(Manner::Silent), 502; "no answer")]
-#[test_case("quote", Some(Manner::Reset), 200; "reset, replayable")]
-#[test_case("quote", Some(Manner::Silent), 200; "no answer, replayable")]
-#[test_case("order", Some(Manner::Reset), 502; "reset, uniqued, the other srv in another group")]
-fn bad_srv(frontend: &str, manner: Option<Manner>, status: u16) {
+#[test_case("notice", Some(Behaviour::Overloaded), 200; "turned away")]
+#[test_case("notice", Some(Behaviour::ResetAfterRequest), 502; "reset after the last byte")]
+#[test_case("notice", Some(Behaviour::PartialResponse), 502; "broken off within the answer")]
+#[test_case("notice", Some(Behaviour::InternalError), 502; "an error")]
+#[test_case("notice", Some(Behaviour::Silent), 502; "no answer")]
+#[test_case("quote", Some(Behaviour::ResetAfterRequest), 200; "reset, replayable")]
+#[test_case("quote", Some(Behaviour::Silent), 200; "no answer, replayable")]
+#[test_case("order", Some(Behaviour::ResetAfterRequest), 502; "reset, uniqued, the other srv in another group")]
+fn bad_srv(frontend: &str, manner: Option<Behaviour>, status: u16) {
     let (bad, good) = (manner.map(srv), srv(ANSWER));
     let at = bad.as_ref().map_or_else(nobody, |s| s.addr);
     // where no answer may come, the client's time and that in which one is worth something are what is met
     let (slo, left, most) = match (manner, frontend) {
-        (Some(Manner::Silent), "notice") | (_, "order") => (1.5, 2.0, ms(2100)),
-        (Some(Manner::Silent), _) => (3.0, 6.0, ms(6100)),
+        (Some(Behaviour::Silent), "notice") | (_, "order") => (1.5, 2.0, ms(2100)),
+        (Some(Behaviour::Silent), _) => (3.0, 6.0, ms(6100)),
         _ => (20.0, 60.0, ms(1300)),
     };
     let g = Gateway::with(&[at, good.addr], |v| wait(v, slo, 60.0));
     let (mut worst, mut ids) = (200, 0);
     // each srv is tried within some reqs; once the bad one is known, it is spared for a while
     for _ in 0..12 {
-        let waited = || good.waited() + bad.as_ref().map_or(Duration::ZERO, Srv::waited);
+        let waited =
+            || good.scheduling_delay() + bad.as_ref().map_or(Duration::ZERO, Server::scheduling_delay);
         let lap = g.lap(&[&waited]);
         let got = g.ask(req(frontend, "house", &left.to_string()).as_bytes()).status();
         let passed = lap.passed();
@@ -434,7 +437,7 @@
         assert!(got == 200 || got == status, "{got}");
         (worst, ids) = (worst.max(got), ids + 1);
     }
-    let seen = [bad.map(|b| b.seen()).unwrap_or_default(), good.seen()];
+    let seen = [bad.map(|b| b.received()).unwrap_or_default(), good.received()];
     let by_id = seen.each_ref().map(|s| {
         let ids: BTreeSet<&str> = s.iter().filter_map(|m| m.header("x-request-id")).collect();
         ids
@@ -448,28 +451,32 @@
 }
 
 /// What is no whole answer may have run: no repeat, no wait until the client's time is up, and its connection ends.
-#[test_case(Manner::Spoilt("what is this?\r\n\r\n"); "noise")]
-#[test_case(Manner::Spoilt("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"); "a status that is no number")]
-#[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nA: b\r\n"); "a head without an end")]
-#[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort"); "a body too short")]
-#[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); "a length below nothing")]
-#[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"); "two lengths")]
-#[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
+#[test_case(Behaviour::Malformed("what is this?\r\n\r\n"); "noise")]
+#[test_case(Behaviour::Malformed("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"); "a status that is no number")]
+#[test_case(Behaviour::Malformed("HTTP/1.1 200 OK\r\nA: b\r\n"); "a head without an end")]
+#[test_case(Behaviour::Malformed("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort"); "a body too short")]
+#[test_case(Behaviour::Malformed("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); "a length below nothing")]
+#[test_case(Behaviour::Malformed("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"); "two lengths")]
+#[test_case(Behaviour::Malformed("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
     "a length beside chunks")]
-#[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\n\r\nok"); "no length")]
-#[test_case(Manner::Flood; "an endless body")]
-fn spoilt_answer(manner: Manner) {
+#[test_case(Behaviour::Malformed("HTTP/1.1 200 OK\r\n\r\nok"); "no length")]
+#[test_case(Behaviour::OversizedBody; "an endless body")]
+fn spoilt_answer(manner: Behaviour) {
     let s = srv(manner);
     let g = Gateway::start(&[s.addr]);
     for nth in 1..=3 {
-        let waited = || s.waited();
+        let waited = || s.scheduling_delay();
         let lap = g.lap(&[&waited]);
         assert_eq!(g.ask(req("notice", "house", "60").as_bytes()).status(), 502);
         let passed = lap.passed();
         assert!(passed < ms(1200), "{passed:?}");
-        assert_eq!((s.seen().len(), s.connections()), (nth, nth), "once each, on connections of their own");
+        assert_eq!(
+            (s.received().len(), s.connections()),
+            (nth, nth),
+            "once each, on connections of their own"
+        );
     }
-    s.now(ANSWER);
+    s.set_behaviour(ANSWER);
     until("it is trusted again", || g.ask(req("notice", "house", "60").as_bytes()).status() == 200);
 }
 
@@ -482,7 +489,7 @@
 #[test_case("", "Billed-Units: 1e30\r\n", ""; "units past all")]
 #[test_case("", "Billed-Units: -5\r\n", ""; "units below nothing")]
 fn more_than_an_answer(front: &'static str, headers: &'static str, behind: &'static str) {
-    let s = srv(Manner::Around(front, headers, behind));
+    let s = srv(Behaviour::ResponseWithExtraBytes(front, headers, behind));
     let g = Gateway::with(&[s.addr], |v| {
         v["settings"]["familyInfo"]["costAfter"] = json!(true);
         v["settings"]["packages"][0]["storeSize"] = json!(50);
@@ -500,26 +507,26 @@
 /// A connection reset before it took a byte, whenever that shows: no req runs twice, each is answered.
 #[test]
 fn reset_before_the_last_byte() {
-    let (bad, good) = (srv(Manner::ResetFirst), srv(ANSWER));
+    let (bad, good) = (srv(Behaviour::ResetOnAccept), srv(ANSWER));
     let g = Gateway::start(&[bad.addr, good.addr]);
     let answers: Vec<u16> =
         (0..20).map(|_| g.ask(req("notice", "house", "60").as_bytes()).status()).collect();
     assert!(answers.iter().all(|s| *s == 200 || *s == 502), "{answers:?}");
-    assert_eq!(good.seen().len(), answers.iter().filter(|s| **s == 200).count());
-    assert!(bad.connections() > 0 && bad.seen().is_empty());
+    assert_eq!(good.received().len(), answers.iter().filter(|s| **s == 200).count());
+    assert!(bad.connections() > 0 && bad.received().is_empty());
 }
 
 /// What the settings to come would have decided otherwise is counted; the program decides as before.
 #[test]
 fn watching_for_settings_to_come() {
-    let (bad, worse) = (srv(Manner::Error), srv(Manner::Error));
+    let (bad, worse) = (srv(Behaviour::InternalError), srv(Behaviour::InternalError));
     let g = Gateway::with(&[bad.addr, worse.addr], |v| {
         let mut plans = v["settings"]["packages"].clone();
         (plans[2]["capRate"], plans[2]["neverOverDepth"]) = (json!(0.001), json!(8));
         v["watch"] = json!({"limits": {"maxAttempts": 1}, "packages": plans});
     });
     assert_ne!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
-    let dispatches = bad.seen().len() + worse.seen().len();
+    let dispatches = bad.received().len() + worse.received().len();
     assert!(dispatches > 1);
     g.signal("USR1");
     until("its counters", || g.count("watch.attempts").is_some());
@@ -530,23 +537,24 @@
 /// The srv starts to drain while a connection to it comes up: the req doesn't go there any more.
 #[test]
 fn drain_while_connecting() {
-    let (late, open) = Srv::start_late("127.0.0.1:0").unwrap();
+    let (late, open) = Server::start_with_full_backlog("127.0.0.1:0").unwrap();
     let (other, good) = (srv(ANSWER), srv(ANSWER));
     let mut g = Gateway::with(&[late.addr, other.addr], |v| {
         v["settings"]["limits"]["connectTimeout"] = json!(60);
         v["settings"]["limits"]["keepalive"] = json!(120);
     });
     let addr = g.addr;
-    let ask = move || client(addr).ask(req("notice", "house", "60").as_bytes()).unwrap().unwrap().status();
+    let ask =
+        move || client(addr).send_request(req("notice", "house", "60").as_bytes()).unwrap().unwrap().status();
     let mut asked = vec![spawn(ask)];
     until("a connection to it is begun, and one to the other is there", || {
         let begun = connecting_to(late.addr);
         if asked.last().is_some_and(|a| a.is_finished()) || begun && asked.len() < 6 {
             asked.push(spawn(ask));
         }
-        begun && !other.seen().is_empty()
+        begun && !other.received().is_empty()
     });
-    g.discovery.put(vec![
+    g.discovery.update_entries(vec![
         row(0, late.addr, "leaving"),
         row(1, other.addr, "left"),
         row(2, good.addr, "active"),
@@ -561,7 +569,7 @@
     g.signal("TERM");
     let lap = g.lap(&[]);
     assert!(g.exit(&lap).0.success());
-    assert_eq!(late.seen().len(), 0);
+    assert_eq!(late.received().len(), 0);
 }
 
 /// Whether some connection to this address waits to come up.
@@ -574,11 +582,11 @@
 /// A client that leaves: its dispatch is given up, nothing more is sent for it, its lease comes back.
 #[test]
 fn client_gone() {
-    let s = srv(Manner::Silent);
+    let s = srv(Behaviour::Silent);
     let mut g = Gateway::start(&[s.addr]);
     let mut c = client(g.addr);
     c.write(req("quote", "team", "60").as_bytes()).unwrap();
-    until("it is out", || s.seen().len() == 1);
+    until("it is out", || s.received().len() == 1);
     until("its lease is taken", || g.counter.sum() > 0.5);
     drop(c);
     until("its connection to the srv ends", || g.log().contains("ended srv"));
@@ -588,24 +596,24 @@
     let lap = g.lap(&[]);
     assert!(g.exit(&lap).0.success());
     until("counters", || g.count("left") == Some(1));
-    assert_eq!(s.seen().len(), 1);
+    assert_eq!(s.received().len(), 1);
     assert_eq!((g.count("taken"), g.count("dispatch.cancelled")), (Some(1), Some(1)));
 }
 
 /// A counter that turns calls away or says nothing: reqs are answered all the same, each in its time.
-#[test_case(counter::Manner::Busy; "busy")]
-#[test_case(counter::Manner::Silent; "silent")]
-fn sick_counter(manner: counter::Manner) {
+#[test_case(counter::Behaviour::Busy; "busy")]
+#[test_case(counter::Behaviour::Silent; "silent")]
+fn sick_counter(manner: counter::Behaviour) {
     let s = srv(ANSWER);
     // the call's time is 80 ms, and that of a connection to be taken for dead is 640 ms, where nothing is said; who
     // is turned away does not wait for either
-    let count_wait = if manner == counter::Manner::Silent { 0.08 } else { 10.0 };
+    let count_wait = if manner == counter::Behaviour::Silent { 0.08 } else { 10.0 };
     let g = Gateway::with(&[s.addr], |v| v["settings"]["familyInfo"]["countWait"] = json!(count_wait));
     until("all its connections are up", || g.counter.connections() == 4);
-    g.counter.now(manner);
+    g.counter.set_behaviour(manner);
     // the stand-in that says nothing holds nobody up
-    let silent = manner == counter::Manner::Silent;
-    let waited = || s.waited() + if silent { Duration::ZERO } else { g.counter.waited() };
+    let silent = manner == counter::Behaviour::Silent;
+    let waited = || s.scheduling_delay() + if silent { Duration::ZERO } else { g.counter.scheduling_delay() };
     let (start, mut passed) = (Instant::now(), 0);
     for (nth, plan) in ["team", "free"].into_iter().cycle().enumerate() {
         let lap = g.lap(&[&waited]);
@@ -619,13 +627,13 @@
         sleep(ms(20));
     }
     assert!(passed > 4, "by the room left: {passed}");
-    if manner == counter::Manner::Silent {
+    if manner == counter::Behaviour::Silent {
         until("a silent connection is replaced", || g.log().contains("code=silent"));
         assert!(g.counter.connections() > 4);
     } else {
         assert_eq!(g.counter.connections(), 4);
     }
-    g.counter.now(counter::Manner::Answer);
+    g.counter.set_behaviour(counter::Behaviour::Reply);
     let calls = g.counter.calls();
     until("the counter is used again", || {
         g.ask(req("quote", "team", "60").as_bytes());
@@ -643,23 +651,23 @@
     });
     until("all its connections are up", || g.counter.connections() == 4);
     let (mut asked, mut passed) = (0, 0);
-    let mut ask = |manner: counter::Manner| {
-        g.counter.now(manner);
+    let mut ask = |manner: counter::Behaviour| {
+        g.counter.set_behaviour(manner);
         passed += (g.ask(req("quote", "free", "60").as_bytes()).status() == 200) as usize;
         asked += 1;
     };
     let spoilt = || g.log().matches("code=malformed").count();
     for nth in 1..=20 {
-        ask(counter::Manner::Answer);
+        ask(counter::Behaviour::Reply);
         until("a spoilt answer", || {
-            ask(counter::Manner::Spoilt);
+            ask(counter::Behaviour::MalformedReply);
             spoilt() >= nth
         });
-        ask(counter::Manner::Answer);
+        ask(counter::Behaviour::Reply);
     }
     assert!(3 * passed > 2 * asked, "{passed} of {asked}");
     assert!(g.counter.connections() > 4 + 10);
-    g.counter.now(counter::Manner::Answer);
+    g.counter.set_behaviour(counter::Behaviour::Reply);
     // what was turned away meanwhile is told with a next call
     for _ in 0..40 {
         passed += (g.ask(req("quote", "free", "60").as_bytes()).status() == 200) as usize;
@@ -667,7 +675,7 @@
     let sum = || (g.counter.sum() - passed as f64).abs() < 0.5;
     until("each amount is there", sum);
     g.signal("TERM");
-    until("all is told", || g.counter.open() == 0);
+    until("all is told", || g.counter.open_connections() == 0);
     assert!(sum(), "{} for {passed}", g.counter.sum());
 }
 
@@ -676,7 +684,7 @@
 fn counter_answers_twice() {
     let s = srv(ANSWER);
     let g = Gateway::with(&[s.addr], |v| v["settings"]["packages"][0]["storeSize"] = json!(1000));
-    g.counter.now(counter::Manner::Twice);
+    g.counter.set_behaviour(counter::Behaviour::DuplicateReply);
     for nth in 1..=10 {
         assert_eq!(g.ask(req("quote", "free", "60").as_bytes()).status(), 200);
         until("its connection ends", || g.log().matches("code=stray").count() == nth);
@@ -693,7 +701,7 @@
     let passed = answers.iter().filter(|a| a.status() == 200).count();
     // a store of 4; twice that where the window's name rolls just now
     assert!((3..=8).contains(&passed), "{passed}");
-    assert_eq!(s.seen().len(), passed);
+    assert_eq!(s.received().len(), passed);
     let hint = answers.iter().filter(|a| a.status() == 429).find_map(|a| a.header("retry-after"));
     assert!(hint.and_then(|h| h.parse::<f64>().ok()).is_some_and(|h| h > 0.0 && h <= 0.5), "{hint:?}");
 }
@@ -714,13 +722,13 @@
     // a store of 4 at 2 a second; twice that where the window's name rolls just now
     let most = 8.0 + 2.0 * began.elapsed().as_secs_f64();
     assert!(first >= 3 && passed as f64 <= most, "{passed} of {most}");
-    assert_eq!(s.seen().len(), passed);
+    assert_eq!(s.received().len(), passed);
 }
 
 /// At SIGTERM under load: all that was taken is answered, connections end, the exit is clean.
 #[test]
 fn sigterm_under_load() {
-    let s = srv(Manner::Answer(ms(40)));
+    let s = srv(Behaviour::Respond(ms(40)));
     let mut g = Gateway::start(&[s.addr]);
     let (ended, asked) = (Arc::new(Mutex::new(None::<Instant>)), Arc::new(AtomicU64::new(0)));
     let clients: Vec<_> = (0..8)
@@ -735,14 +743,15 @@
                 let mut link: Option<Client> = None;
                 while since() <= ms(400) || closes == 0 {
                     assert!(since() < LONG, "never: the end");
-                    let mut c = match link.take().map_or_else(|| Client::within(addr, LONG), Ok) {
+                    let mut c = match link.take().map_or_else(|| Client::connect_with_timeout(addr, LONG), Ok)
+                    {
                         Ok(c) => c,
                         Err(_) if gone() => return (answers, closes, true),
                         Err(e) => panic!("still taken in: {e}"),
                     };
                     let wrote = c.write(req("quote", "house", "60").as_bytes());
                     let late = gone();
-                    let a = match wrote.and_then(|_| c.answer()) {
+                    let a = match wrote.and_then(|_| c.read_response()) {
                         Ok(Some(a)) => a,
                         _ if late => return (answers, closes, true),
                         lost => panic!("not lost: {lost:?}"),
@@ -785,7 +794,7 @@
         v["settings"]["packages"][0]["storeSize"] = json!(1000);
     });
     // each req holds its connection until its call is given up, long after the last is accepted
-    g.counter.now(counter::Manner::Silent);
+    g.counter.set_behaviour(counter::Behaviour::Silent);
     let clients: Vec<_> = (0..60)
         .map(|_| {
             let mut c = client(g.addr);
@@ -793,11 +802,11 @@
             c
         })
         .collect();
-    let waited = || s.waited();
+    let waited = || s.scheduling_delay();
     let lap = g.lap(&[&waited]);
     g.signal("TERM");
     for mut c in clients {
-        let status = c.answer().expect("not lost").expect("a whole answer").status();
+        let status = c.read_response().expect("not lost").expect("a whole answer").status();
         assert!([200, 429].contains(&status), "{status}");
     }
     let (status, passed) = g.exit(&lap);
@@ -808,7 +817,7 @@
 /// count told twice or not at all. Between them a file that can't be used: all stays as it is.
 #[test]
 fn new_configuration_under_load() {
-    let (first, second) = (srv(Manner::Answer(ms(10))), srv(Manner::Answer(ms(10))));
+    let (first, second) = (srv(Behaviour::Respond(ms(10))), srv(Behaviour::Respond(ms(10))));
     let mut g = Gateway::with(&[first.addr], |v| {
         v["settings"]["packages"][0]["storeSize"] = json!(10000);
         v["settings"]["packages"][0]["unitsPerS"] = json!(0.001);
@@ -820,7 +829,7 @@
             spawn(move || {
                 let (mut c, mut passed) = (client(addr), 0);
                 while over.load(Ordering::Relaxed) == 0 {
-                    let a = c.ask(req("quote", "free", "60").as_bytes()).unwrap().expect("not lost");
+                    let a = c.send_request(req("quote", "free", "60").as_bytes()).unwrap().expect("not lost");
                     passed += (a.status() == 200) as usize;
                 }
                 passed
@@ -828,8 +837,8 @@
         })
         .collect();
     let served = |what: &str| {
-        let seen = first.seen().len();
-        until(what, || first.seen().len() > seen + 20);
+        let seen = first.received().len();
+        until(what, || first.received().len() > seen + 20);
     };
     served("it is under load");
     for turn in 0..2 {
@@ -838,27 +847,27 @@
             g.signal("HUP");
             until("the file is not taken", || g.log().contains("configuration not taken"));
         }
-        let watches = g.discovery.watches();
-        g.discovery.go("127.0.0.1:0", LONG).unwrap();
-        g.counter.go("127.0.0.1:0", LONG).unwrap();
+        let watches = g.discovery.watches_opened();
+        g.discovery.move_to("127.0.0.1:0", LONG).unwrap();
+        g.counter.move_to("127.0.0.1:0", LONG).unwrap();
         let (path, d, c) = (g.path.clone(), g.discovery.addr.to_string(), g.counter.addr.to_string());
         std::fs::copy(configuration(|v| (v["discovery"], v["counter"]) = (json!(d), json!(c))), path)
             .unwrap();
         g.signal("HUP");
-        until("the watch moves", || g.discovery.watches() > watches);
-        until("the counter is used at its new address", || g.counter.calls_here() > 20);
+        until("the watch moves", || g.discovery.watches_opened() > watches);
+        until("the counter is used at its new address", || g.counter.calls_at_current_address() > 20);
         until("all have moved", || g.log().matches("code=moved").count() == 5 * (turn + 1));
         served("it goes on under load");
     }
-    g.discovery.put(vec![row(0, first.addr, "left"), row(1, second.addr, "active")]);
-    until("news come from the new address", || !second.seen().is_empty());
+    g.discovery.update_entries(vec![row(0, first.addr, "left"), row(1, second.addr, "active")]);
+    until("news come from the new address", || !second.received().is_empty());
     over.store(1, Ordering::Relaxed);
     let passed: usize = clients.into_iter().map(|c| c.join().expect("all answered")).sum();
     let moved = g.log().matches("code=moved").count();
     assert_eq!(moved, 2 * 5, "four connections to the counter and a watch, twice: {}", g.log());
     let calls = g.log().matches("ended counter").count();
     assert_eq!(calls, 8, "none ended otherwise");
-    assert_eq!(passed, first.seen().len() + second.seen().len());
+    assert_eq!(passed, first.received().len() + second.received().len());
     until("each unit is counted once", || (g.counter.sum() - passed as f64).abs() < 0.5);
 }
 
@@ -879,7 +888,7 @@
 /// More connections than descriptors: each is served in its turn, idle and unfinished ones make room.
 #[test]
 fn descriptors_used_up() {
-    let s = srv(Manner::Answer(ms(30)));
+    let s = srv(Behaviour::Respond(ms(30)));
     let g = Gateway::with(&[s.addr], |v| v["limits"]["sockets"] = json!(64));
     let mut stalled: Vec<Client> = (0..40).map(|_| client(g.addr)).collect();
     stalled.iter_mut().for_each(|c| c.write(b"GET /quo").unwrap());
@@ -888,7 +897,7 @@
             let addr = g.addr;
             spawn(move || {
                 let mut c = client(addr);
-                c.ask(req("quote", "house", "60").as_bytes()).unwrap().expect("an answer").status()
+                c.send_request(req("quote", "house", "60").as_bytes()).unwrap().expect("an answer").status()
             })
         })
         .collect();
@@ -906,7 +915,7 @@
     let s = srv(ANSWER);
     let g = Gateway::start(&[s.addr]);
     assert_eq!(g.ask(req("notice", "house", "60").as_bytes()).status(), 200);
-    g.discovery.put(vec![row(0, s.addr, "left"), row(1, s.addr, "active")]);
+    g.discovery.update_entries(vec![row(0, s.addr, "left"), row(1, s.addr, "active")]);
     until("the idle connection goes", || {
         g.log().contains("ended srv") && g.log().contains("code=closed-here")
     });
@@ -937,16 +946,16 @@
     let g = Gateway::start(&[]);
     sleep(ms(200));
     assert_eq!(g.health(), 503);
-    g.discovery.put(vec![row(0, first.addr, "active")]);
+    g.discovery.update_entries(vec![row(0, first.addr, "active")]);
     until("it is ready", || g.health() == 200);
-    g.discovery.mute(true);
-    let watches = g.discovery.watches();
-    until("the watch is opened anew", || g.discovery.watches() > watches);
-    g.discovery.put(vec![row(0, first.addr, "left"), row(1, second.addr, "active")]);
-    g.discovery.mute(false);
+    g.discovery.set_muted(true);
+    let watches = g.discovery.watches_opened();
+    until("the watch is opened anew", || g.discovery.watches_opened() > watches);
+    g.discovery.update_entries(vec![row(0, first.addr, "left"), row(1, second.addr, "active")]);
+    g.discovery.set_muted(false);
     until("the new list is followed", || {
         assert_eq!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
-        !second.seen().is_empty()
+        !second.received().is_empty()
     });
 }
 
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -253,7 +253,7 @@
 
     /// What of a request no client sent.
     fn fault(&self, message: &Message, id: &str) -> Option<&'static str> {
-        let (path, body) = (message.start.split(' ').nth(1).unwrap_or_default(), message.text());
+        let (path, body) = (message.start_line.split(' ').nth(1).unwrap_or_default(), message.text());
         let subject = subject(message, id);
         match message {
             _ if path.starts_with(KEYED) && message.header(OPERATION_KEY).is_none() => {
@@ -263,8 +263,8 @@
             m if m.header("lupinledge-tenant").is_none() => Some("no tenant"),
             _ if !path.ends_with(&format!("/{subject}")) => Some("another path"),
             _ if self.behaviour.deed(id) == Deed::Early => None,
-            m if m.start.starts_with("POST ") && body != request_body(subject) => Some("another body"),
-            m if m.start.starts_with("GET ") && !body.is_empty() => Some("a body that was not sent"),
+            m if m.start_line.starts_with("POST ") && body != request_body(subject) => Some("another body"),
+            m if m.start_line.starts_with("GET ") && !body.is_empty() => Some("a body that was not sent"),
             _ => None,
         }
     }
@@ -272,7 +272,7 @@
     /// Runs a request; whether the connection goes on.
     fn request(&self, message: &Message, to: &mut TcpStream) -> io::Result<bool> {
         let id = message.header("lupinledge-attempt-id").unwrap_or("none").to_string();
-        let path = message.start.split(' ').nth(1).unwrap_or_default().to_string();
+        let path = message.start_line.split(' ').nth(1).unwrap_or_default().to_string();
         if message.header("lupinledge-expect-instance") != Some(&self.id) {
             to.write_all(answer("421 Another Instance", &id, "", "").as_bytes())?;
             return Ok(true);
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -132,7 +132,7 @@
             return Some(link);
         }
         let front = self.fronts[self.rng.usize(0..self.fronts.len())];
-        match Client::within(front, DEADLINE + PATIENCE) {
+        match Client::connect_with_timeout(front, DEADLINE + PATIENCE) {
             Ok(client) => Some((front, client)),
             Err(_) => {
                 // it failed: another answer of the directory, and until then the other fronts
@@ -159,7 +159,7 @@
                 Ending::Left
             }
             Ok(()) => {
-                let answer = link.answer();
+                let answer = link.read_response();
                 let closes =
                     |a: &Message| a.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
                 goes_on = matches!(&answer, Ok(Some(a)) if !closes(a));
@@ -202,9 +202,9 @@
 /// The addresses that the directory names.
 pub fn resolve(at: SocketAddr) -> Option<Vec<SocketAddr>> {
     let path = format!("/lupinledge/resolve?name={HOST}&region=north&zone=north-1");
-    let mut client = Client::within(at, Duration::from_secs(1)).ok()?;
+    let mut client = Client::connect_with_timeout(at, Duration::from_secs(1)).ok()?;
     let call = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
-    let answer = client.ask(call.as_bytes()).ok()??;
+    let answer = client.send_request(call.as_bytes()).ok()??;
     let told: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     let addresses = told["addresses"].as_array()?.iter();
     let fronts: Vec<SocketAddr> = addresses.filter_map(|a| a.as_str()?.parse().ok()).collect();
--- a/soak/src/cluster.rs
+++ b/soak/src/cluster.rs
@@ -417,8 +417,8 @@
 
     /// One call without a body at one of a process's own addresses.
     fn get(&self, at: SocketAddr, path: &str) -> Option<Message> {
-        let mut client = Client::within(at, Duration::from_millis(800)).ok()?;
-        client.ask(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes()).ok()?
+        let mut client = Client::connect_with_timeout(at, Duration::from_millis(800)).ok()?;
+        client.send_request(format!("GET {path} HTTP/1.1\r\nHost: {at}\r\n\r\n").as_bytes()).ok()?
     }
 
     /// A figure that a process tells of itself.
--- a/soak/src/keyed_client.rs
+++ b/soak/src/keyed_client.rs
@@ -70,7 +70,9 @@
 
 /// Sends one try; whether it was a success. One that could not be sent is not recorded.
 fn attempt(record: &Record, cluster: &Cluster, operation: &Operation, attempt: String, way: Way) -> bool {
-    let Ok(mut link) = Client::within(cluster.front(way.edge), DEADLINE + PATIENCE) else { return false };
+    let Ok(mut link) = Client::connect_with_timeout(cluster.front(way.edge), DEADLINE + PATIENCE) else {
+        return false;
+    };
     let written = link.write(&operation.request(&attempt));
     let at = record.now();
     let (ending, answer) = match (written, way.leaves_after) {
@@ -79,7 +81,7 @@
             sleep(after);
             (Ending::Left, None)
         }
-        (Ok(()), None) => ended(&attempt, link.answer()),
+        (Ok(()), None) => ended(&attempt, link.read_response()),
     };
     let success = matches!(ending, Ending::Answered { status: 200..300, .. });
     let ended = record.now();
--- a/soak/src/operator.rs
+++ b/soak/src/operator.rs
@@ -262,10 +262,10 @@
 
 /// One call; none where no whole answer comes.
 fn ask(at: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<Message> {
-    let mut client = Client::within(at, SILENCE).ok()?;
+    let mut client = Client::connect_with_timeout(at, SILENCE).ok()?;
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
     );
-    client.ask(&[head.as_bytes(), body].concat()).ok()?
+    client.send_request(&[head.as_bytes(), body].concat()).ok()?
 }
--- a/soak/src/platform.rs
+++ b/soak/src/platform.rs
@@ -3,8 +3,8 @@
 use crate::backend::{Backend, Behaviour};
 use crate::configuration::{SERVICES, ZONES};
 use crate::record::Record;
-use lupinledge_example::door::Door;
 use lupinledge_example::http;
+use lupinledge_example::listener::Listener;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -43,7 +43,7 @@
             }
         }
         let answers = platform.clone();
-        let door = Door::open("127.0.0.1:0", move |stream| drop(answers.serve(stream)))?;
+        let door = Listener::start("127.0.0.1:0", move |stream| drop(answers.serve(stream)))?;
         Ok((platform, door.addr))
     }
 
@@ -103,7 +103,7 @@
 
     fn serve(&self, stream: TcpStream) -> std::io::Result<()> {
         let mut from = BufReader::new(stream);
-        while http::read(&mut from)?.is_some() {
+        while http::read_message(&mut from)?.is_some() {
             while self.silent.load(Ordering::SeqCst) {
                 sleep(Duration::from_millis(20));
             }
--- a/testbed/src/broken.rs
+++ b/testbed/src/broken.rs
@@ -2,7 +2,7 @@
 //! once (so it sends to drained srvs for ever) and sends every req to two srvs (so a non-replayable req runs
 //! twice). It speaks just enough of the protocol to be started by the lab like the real one.
 
-use lupinledge_example::http::{read, Client, Message};
+use lupinledge_example::http::{read_message, Client, Message};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -28,8 +28,8 @@
 }
 
 fn members(discovery: SocketAddr) -> Result<Vec<SocketAddr>, String> {
-    let mut c = Client::to(discovery).map_err(|e| format!("discovery: {e}"))?;
-    let m = c.ask(b"GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n").map_err(|e| e.to_string())?;
+    let mut c = Client::connect(discovery).map_err(|e| format!("discovery: {e}"))?;
+    let m = c.send_request(b"GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n").map_err(|e| e.to_string())?;
     let list: serde_json::Value =
         serde_json::from_slice(&m.ok_or("discovery: no answer")?.body).map_err(|e| e.to_string())?;
     let rows = list["instances"].as_array().ok_or("discovery: no instances")?;
@@ -38,8 +38,8 @@
 
 fn connection(stream: TcpStream, srvs: &[SocketAddr], turn: &AtomicUsize) -> Option<()> {
     let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-    while let Some(req) = read(&mut from).ok()? {
-        if req.start.starts_with("GET /_health") {
+    while let Some(req) = read_message(&mut from).ok()? {
+        if req.start_line.starts_with("GET /_health") {
             to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").ok()?;
             continue;
         }
@@ -47,7 +47,7 @@
         let first = forward(&req, srvs[n % srvs.len()]);
         let _second = forward(&req, srvs[(n + 1) % srvs.len()]);
         let (status, body) = first.map_or(("502 Bad Gateway".to_string(), vec![]), |m| {
-            (m.start.split_once(' ').map_or("502 Bad Gateway", |s| s.1).to_string(), m.body)
+            (m.start_line.split_once(' ').map_or("502 Bad Gateway", |s| s.1).to_string(), m.body)
         });
         let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
         to.write_all(head.as_bytes()).ok()?;
@@ -57,12 +57,12 @@
 }
 
 fn forward(req: &Message, srv: SocketAddr) -> Option<Message> {
-    let mut text = format!("{}\r\n", req.start);
+    let mut text = format!("{}\r\n", req.start_line);
     for (n, v) in &req.headers {
         text.push_str(&format!("{n}: {v}\r\n"));
     }
     text.push_str("\r\n");
     let mut bytes = text.into_bytes();
     bytes.extend_from_slice(&req.body);
-    Client::within(srv, Duration::from_millis(200)).ok()?.ask(&bytes).ok()?
+    Client::connect_with_timeout(srv, Duration::from_millis(200)).ok()?.send_request(&bytes).ok()?
 }
--- a/testbed/src/emu/srv.rs
+++ b/testbed/src/emu/srv.rs
@@ -5,7 +5,7 @@
 use crate::record::Arrival;
 use crate::scenario::{Target, What};
 use crate::schedule;
-use lupinledge_example::http::{read, Message};
+use lupinledge_example::http::{read_message, Message};
 use socket2::SockRef;
 use std::collections::BTreeSet;
 use std::io::{BufReader, Read, Write};
@@ -82,14 +82,14 @@
 }
 
 fn customer_of(m: &Message) -> u32 {
-    let target = m.start.split(' ').nth(1).unwrap_or_default();
+    let target = m.start_line.split(' ').nth(1).unwrap_or_default();
     let query = target.split_once('?').map_or("", |q| q.1);
     let hex = query.split('&').find_map(|p| p.strip_prefix("client="));
     hex.and_then(|h| u64::from_str_radix(h, 16).ok()).unwrap_or(0) as u32
 }
 
 fn class_of(m: &Message, shared: &Shared) -> u8 {
-    let target = m.start.split(' ').nth(1).unwrap_or_default();
+    let target = m.start_line.split(' ').nth(1).unwrap_or_default();
     let first = target.trim_start_matches('/').split(['/', '?']).next().unwrap_or_default();
     shared.terms.class(first).unwrap_or(u8::MAX as usize) as u8
 }
@@ -98,7 +98,7 @@
     fn serve(&self, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
         let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-        while let Some(req) = read(&mut from).ok()? {
+        while let Some(req) = read_message(&mut from).ok()? {
             self.one(&req, &mut to, &mut from)?;
         }
         Some(())
--- a/testbed/src/emu/world.rs
+++ b/testbed/src/emu/world.rs
@@ -6,8 +6,8 @@
 use crate::scenario::{Scenario, Target, What};
 use crate::schedule;
 use crate::terms::LabTerms;
-use lupinledge_example::counter::{Counter, Manner};
-use lupinledge_example::discovery::{entry, Discovery};
+use lupinledge_example::counter::{Behaviour, Counter};
+use lupinledge_example::discovery::{catalog_entry, Discovery};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 }
 
 fn row(s: &Srv, lifecycle: &str, born: u64) -> Value {
-    entry(&format!("lab-s{}", s.n), s.addr, &s.zone, lifecycle, born)
+    catalog_entry(&format!("lab-s{}", s.n), s.addr, &s.zone, lifecycle, born)
 }
 
 fn unix_ms() -> u64 {
@@ -42,8 +42,8 @@
     pub fn start(s: &Scenario, terms: &LabTerms) -> std::io::Result<World> {
         let shared = Arc::new(Shared::new(s.faults.clone(), s.grace_s, terms.clone()));
         let discovery = Arc::new(Discovery::start("127.0.0.1:0")?);
-        let mut counter = Counter::start("127.0.0.1:0", Manner::Answer)?;
-        let counter_far = counter.far_door()?;
+        let mut counter = Counter::start("127.0.0.1:0", Behaviour::Reply)?;
+        let counter_far = counter.add_far_address()?;
         let counter = Arc::new(counter);
         let groups = s.srv_groups();
         let srvs = groups
@@ -51,7 +51,7 @@
             .enumerate()
             .map(|(n, g)| Srv::start(n, &g.zone, g.latency_ms, g.capacity, shared.clone()))
             .collect::<std::io::Result<Vec<_>>>()?;
-        discovery.put(srvs.iter().map(|s| row(s, "active", 0)).collect());
+        discovery.update_entries(srvs.iter().map(|s| row(s, "active", 0)).collect());
         Ok(World { shared, discovery, counter, counter_far, srvs, player: None })
     }
 
@@ -73,22 +73,34 @@
                 }
                 let f = &shared.faults[i];
                 match (f.target(), f.what, begins) {
-                    (Ok(Target::Srv(n)), What::Drain, true) => discovery.put(vec![row(srv(n), "leaving", 0)]),
-                    (Ok(Target::Srv(n)), What::Drain, false) => discovery.put(vec![row(srv(n), "left", 0)]),
+                    (Ok(Target::Srv(n)), What::Drain, true) => {
+                        discovery.update_entries(vec![row(srv(n), "leaving", 0)])
+                    }
+                    (Ok(Target::Srv(n)), What::Drain, false) => {
+                        discovery.update_entries(vec![row(srv(n), "left", 0)])
+                    }
                     (Ok(Target::Srv(n)), What::Cold { .. }, true) => {
-                        discovery.put(vec![row(srv(n), "active", unix_ms())])
+                        discovery.update_entries(vec![row(srv(n), "active", unix_ms())])
                     }
-                    (_, What::Busy, true) => counter.now(Manner::Busy),
-                    (_, What::Stall, true) => counter.now(Manner::Silent),
-                    (_, What::Busy | What::Stall, false) => counter.now(Manner::Answer),
-                    (_, What::RestartAtZero, true) => counter.forget(),
-                    (_, What::Split, b) => counter.split(b),
-                    (_, What::Late, b) => discovery.mute(b),
+                    (_, What::Busy, true) => counter.set_behaviour(Behaviour::Busy),
+                    (_, What::Stall, true) => counter.set_behaviour(Behaviour::Silent),
+                    (_, What::Busy | What::Stall, false) => counter.set_behaviour(Behaviour::Reply),
+                    (_, What::RestartAtZero, true) => counter.reset_totals(),
+                    (_, What::Split, b) => counter.set_split(b),
+                    (_, What::Late, b) => discovery.set_muted(b),
                     (_, What::Wrong { srv: n }, true) => {
                         let s = srv(n);
-                        discovery.put(vec![entry(&format!("lab-s{n}"), nowhere(), &s.zone, "active", 0)])
+                        discovery.update_entries(vec![catalog_entry(
+                            &format!("lab-s{n}"),
+                            nowhere(),
+                            &s.zone,
+                            "active",
+                            0,
+                        )])
+                    }
+                    (_, What::Wrong { srv: n }, false) => {
+                        discovery.update_entries(vec![row(srv(n), "active", 0)])
                     }
-                    (_, What::Wrong { srv: n }, false) => discovery.put(vec![row(srv(n), "active", 0)]),
                     _ => {}
                 }
                 tracing::debug!(at, fault = f.what.label(), begins, "schedule");
@@ -99,8 +111,8 @@
     /// Ends the run: srvs stop taking connections and silent ones let go.
     pub fn end(mut self) -> Arc<Shared> {
         self.shared.end();
-        self.counter.now(Manner::Answer);
-        self.discovery.mute(false);
+        self.counter.set_behaviour(Behaviour::Reply);
+        self.discovery.set_muted(false);
         if let Some(p) = self.player.take() {
             let _ = p.join();
         }
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -164,7 +164,7 @@
 }
 
 fn health(addr: SocketAddr) -> Option<u16> {
-    let mut c = Client::within(addr, Duration::from_millis(500)).ok()?;
-    let m = c.ask(b"GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").ok()??;
+    let mut c = Client::connect_with_timeout(addr, Duration::from_millis(500)).ok()?;
+    let m = c.send_request(b"GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").ok()??;
     Some(m.status())
 }
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -7,7 +7,7 @@
 use crate::scenario::Scenario;
 use crate::terms::{Effect, LabTerms};
 use indicatif::ProgressBar;
-use lupinledge_example::http::{read, Message};
+use lupinledge_example::http::{read_message, Message};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -152,8 +152,11 @@
         let c = conn.as_mut().expect("just made");
         let left = wait - (plan.start.elapsed().as_secs_f64() - sent);
         let _ = c.get_ref().set_read_timeout(Some(Duration::from_secs_f64(left.max(0.001))));
-        let got =
-            c.get_mut().write_all(bytes.as_bytes()).map_err(|_| None).and_then(|_| read(c).map_err(Some));
+        let got = c
+            .get_mut()
+            .write_all(bytes.as_bytes())
+            .map_err(|_| None)
+            .and_then(|_| read_message(c).map_err(Some));
         match got {
             Ok(Some(m)) => break Ok(m),
             Ok(None) | Err(None) if !fresh => *conn = None,
