--- a/testbed/src/arrivals.rs
+++ b/testbed/src/arrivals.rs
@@ -1,35 +1,40 @@
 //! Open-loop arrivals, pure and seeded: the same scenario gives the same reqs at the same points.
 
+use crate::gateway_settings::GatewaySettings;
 use crate::scenario::{Scenario, Share};
-use crate::terms::LabTerms;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, WeightedIndex};
 
 /// One req due to be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Due {
+pub struct ScheduledRequest {
     pub at: f64,
     pub gateway: u16,
     pub customer: u32,
     /// Index in the gateway's classes and plans.
     pub class: u8,
     pub plan: u8,
-    /// Client timeout, s.
+    /// Client timeout, scenario.
     pub timeout: f64,
     /// Where the client gives up on purpose, s after sending; `None` for a patient one.
     pub give_up: Option<f64>,
 }
 
 /// The rate at `t`, reqs/s: the scenario's rate times the multiple of the bursts that hold then.
-pub fn rate_at(s: &Scenario, t: f64) -> f64 {
-    s.load.bursts.iter().filter(|b| b.at <= t && t < b.at + b.span).fold(s.load.rate, |r, b| r * b.times)
+pub fn rate_at(scenario: &Scenario, t: f64) -> f64 {
+    scenario
+        .load
+        .bursts
+        .iter()
+        .filter(|b| b.at <= t && t < b.at + b.span)
+        .fold(scenario.load.rate, |r, b| r * b.times)
 }
 
 /// Every req of the run in order of time. Customers keep one plan each and spread over all gateways, as the
 /// front does; an error names a class or plan the gateway's settings lack.
-pub fn arrivals(s: &Scenario, terms: &LabTerms) -> Result<Vec<Due>, String> {
-    let mut rng = StdRng::seed_from_u64(s.seed);
+pub fn arrivals(scenario: &Scenario, settings: &GatewaySettings) -> Result<Vec<ScheduledRequest>, String> {
+    let mut rng = StdRng::seed_from_u64(scenario.seed);
     let index = |list: &[Share], find: &dyn Fn(&str) -> Option<usize>, field: &str| {
         let ids =
             list.iter().map(|c| find(&c.name).ok_or(format!("`{field}`: `{}` not in the settings", c.name)));
@@ -37,10 +42,12 @@
         let pick = WeightedIndex::new(list.iter().map(|c| c.share)).map_err(|e| format!("`{field}`: {e}"))?;
         Ok::<_, String>((ids, pick))
     };
-    let (classes, class_pick) = index(&s.load.classes, &|n| terms.class(n), "load.classes")?;
-    let (plans, plan_pick) = index(&s.load.plans, &|n| terms.plan(n), "load.plans")?;
-    let plan_of: Vec<u8> = (0..s.load.customers).map(|_| plans[plan_pick.sample(&mut rng)] as u8).collect();
-    let peak = s.load.bursts.iter().fold(s.load.rate, |r, b| r.max(s.load.rate * b.times));
+    let (classes, class_pick) = index(&scenario.load.classes, &|n| settings.class(n), "load.classes")?;
+    let (plans, plan_pick) = index(&scenario.load.plans, &|n| settings.plan(n), "load.plans")?;
+    let plan_of: Vec<u8> =
+        (0..scenario.load.customers).map(|_| plans[plan_pick.sample(&mut rng)] as u8).collect();
+    let peak =
+        scenario.load.bursts.iter().fold(scenario.load.rate, |r, b| r.max(scenario.load.rate * b.times));
     let mut out = Vec::new();
     if peak <= 0.0 {
         return Ok(out);
@@ -50,20 +57,21 @@
     let mut t = 0.0;
     loop {
         t += gap.sample(&mut rng);
-        if t >= s.duration_s {
+        if t >= scenario.duration_s {
             return Ok(out);
         }
-        if rng.gen::<f64>() * peak > rate_at(s, t) {
+        if rng.gen::<f64>() * peak > rate_at(scenario, t) {
             continue;
         }
-        let customer = rng.gen_range(0..s.load.customers);
+        let customer = rng.gen_range(0..scenario.load.customers);
         let class = classes[class_pick.sample(&mut rng)];
-        let [lo, hi] = s.load.timeout_share;
-        let timeout = terms.classes[class].deadline * rng.gen_range(lo..=hi);
-        let give_up = (rng.gen::<f64>() < s.load.give_up_early).then(|| timeout * rng.gen_range(0.05..0.9));
-        out.push(Due {
+        let [lo, hi] = scenario.load.timeout_share;
+        let timeout = settings.classes[class].deadline * rng.gen_range(lo..=hi);
+        let give_up =
+            (rng.gen::<f64>() < scenario.load.give_up_early).then(|| timeout * rng.gen_range(0.05..0.9));
+        out.push(ScheduledRequest {
             at: t,
-            gateway: rng.gen_range(0..s.gateways) as u16,
+            gateway: rng.gen_range(0..scenario.gateways) as u16,
             customer,
             class: class as u8,
             plan: plan_of[customer as usize],
--- a/testbed/src/emu/srv.rs
+++ b/testbed/src/emulator/server.rs
@@ -1,9 +1,9 @@
 //! An emulated srv: serves reqs as the protocol page says, plays the faults the schedule gives it, and records
 //! every req that reaches it whole with what the rules need to know.
 
-use crate::emu::shared::Shared;
+use crate::emulator::run_state::RunState;
 use crate::record::Arrival;
-use crate::scenario::{Target, What};
+use crate::scenario::{FaultKind, Target};
 use crate::schedule;
 use lupinledge_example::http::{read_message, Message};
 use socket2::SockRef;
@@ -16,51 +16,51 @@
 use std::time::Duration;
 
 /// Most connections one srv holds; further ones are reset, as a real srv's machine does when full.
-pub const MOST_CONNECTIONS: usize = 256;
+pub const MAX_CONNECTIONS: usize = 256;
 
 #[derive(Clone)]
-pub struct Srv {
+pub struct Server {
     pub n: usize,
     pub addr: SocketAddr,
     pub zone: String,
 }
 
-struct Inner {
+struct ServerState {
     n: usize,
     latency: Duration,
     capacity: usize,
-    shared: Arc<Shared>,
+    run_state: Arc<RunState>,
     running: AtomicUsize,
     connections: AtomicUsize,
     /// Keys of uniqued reqs that ran here; a repeat is answered from memory. Bounded by the reqs of a run.
     keys: Mutex<BTreeSet<String>>,
 }
 
-impl Srv {
+impl Server {
     pub fn start(
         n: usize,
         zone: &str,
         latency_ms: u64,
         capacity: usize,
-        shared: Arc<Shared>,
-    ) -> std::io::Result<Srv> {
+        run_state: Arc<RunState>,
+    ) -> std::io::Result<Server> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
-        let inner = Arc::new(Inner {
+        let inner = Arc::new(ServerState {
             n,
             latency: Duration::from_millis(latency_ms),
             capacity,
-            shared,
+            run_state,
             running: AtomicUsize::new(0),
             connections: AtomicUsize::new(0),
             keys: Mutex::default(),
         });
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                if inner.shared.over() {
+                if inner.run_state.is_over() {
                     return;
                 }
-                if inner.connections.fetch_add(1, Ordering::SeqCst) >= MOST_CONNECTIONS {
+                if inner.connections.fetch_add(1, Ordering::SeqCst) >= MAX_CONNECTIONS {
                     inner.connections.fetch_sub(1, Ordering::SeqCst);
                     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     continue;
@@ -72,7 +72,7 @@
                 });
             }
         });
-        Ok(Srv { n, addr, zone: zone.to_string() })
+        Ok(Server { n, addr, zone: zone.to_string() })
     }
 }
 
@@ -88,75 +88,81 @@
     hex.and_then(|h| u64::from_str_radix(h, 16).ok()).unwrap_or(0) as u32
 }
 
-fn class_of(m: &Message, shared: &Shared) -> u8 {
+fn class_of(m: &Message, run_state: &RunState) -> u8 {
     let target = m.start_line.split(' ').nth(1).unwrap_or_default();
     let first = target.trim_start_matches('/').split(['/', '?']).next().unwrap_or_default();
-    shared.terms.class(first).unwrap_or(u8::MAX as usize) as u8
+    run_state.settings.class(first).unwrap_or(u8::MAX as usize) as u8
 }
 
-impl Inner {
+impl ServerState {
     fn serve(&self, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
         let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-        while let Some(req) = read_message(&mut from).ok()? {
-            self.one(&req, &mut to, &mut from)?;
+        while let Some(request) = read_message(&mut from).ok()? {
+            self.serve_request(&request, &mut to, &mut from)?;
         }
         Some(())
     }
 
     /// Serves one req; `None` where the connection is to end.
-    fn one(&self, req: &Message, to: &mut TcpStream, from: &mut BufReader<TcpStream>) -> Option<()> {
-        let sh = &self.shared;
-        let t = sh.now();
-        let (limit, cold) = schedule::limit(&sh.faults, self.n, self.capacity, t);
-        let since_drain = schedule::drain_told(&sh.faults, self.n, t).map_or(f64::NAN, |d| t - d);
-        let customer = customer_of(req);
-        let key = req.header("idempotency-key").map(str::to_string);
+    fn serve_request(
+        &self,
+        request: &Message,
+        to: &mut TcpStream,
+        from: &mut BufReader<TcpStream>,
+    ) -> Option<()> {
+        let state = &self.run_state;
+        let t = state.now();
+        let (limit, cold) = schedule::server_limit(&state.faults, self.n, self.capacity, t);
+        let since_drain_announced =
+            schedule::drain_announced_at(&state.faults, self.n, t).map_or(f64::NAN, |d| t - d);
+        let customer = customer_of(request);
+        let key = request.header("idempotency-key").map(str::to_string);
         let repeat_of_key = key.as_ref().is_some_and(|k| self.keys.lock().unwrap().contains(k));
         let running = self.running.load(Ordering::SeqCst);
-        let past_grace = since_drain > sh.grace_s;
+        let past_grace = since_drain_announced > state.grace_s;
         let ran = running < limit && !past_grace && !repeat_of_key;
-        let id = id_of(req);
-        let open = sh.open(customer, self.n as u16, id);
-        sh.arrive(Arrival {
-            srv: self.n as u16,
+        let id = id_of(request);
+        let open = state.request_opened(customer, self.n as u16, id);
+        state.record_arrival(Arrival {
+            server: self.n as u16,
             at: t,
             id,
-            class: class_of(req, sh),
+            class: class_of(request, state),
             customer,
             ran,
             repeat_of_key,
             running,
             limit,
             cold,
-            since_drain,
+            since_drain_announced,
             customer_open: open,
         });
-        let body = format!("made for {}\n", req.header("x-request-id").unwrap_or("nobody"));
+        let body = format!("made for {}\n", request.header("x-request-id").unwrap_or("nobody"));
         if repeat_of_key || !ran {
-            sh.shut(customer, self.n as u16, id);
+            state.request_closed(customer, self.n as u16, id);
             let (status, headers) =
                 if repeat_of_key { ("200 OK", "") } else { ("503 Service Unavailable", "X-Not-Run: 1\r\n") };
-            return answer(to, status, headers, &body);
+            return write_response(to, status, headers, &body);
         }
         if let Some(k) = key {
             self.keys.lock().unwrap().insert(k);
         }
         self.running.fetch_add(1, Ordering::SeqCst);
-        let out = Out { srv: self, customer, id, open: std::cell::Cell::new(true) };
-        let fault = schedule::active(&sh.faults, Target::Srv(self.n), t).map(|f| f.what);
-        self.play(fault, to, from, &body, &out)
+        let open_request = OpenRequest { server: self, customer, id, open: std::cell::Cell::new(true) };
+        let fault = schedule::active_fault(&state.faults, Target::Server(self.n), t).map(|f| f.kind);
+        self.respond(fault, to, from, &body, &open_request)
     }
 
     /// Waits `span` or till the gateway ends the connection (then `false`), or the run ends. A connection carries
     /// one req at a time, so nothing but its end can come while a req runs.
-    fn hold(&self, from: &mut BufReader<TcpStream>, span: Option<Duration>) -> bool {
+    fn wait_while_connected(&self, from: &mut BufReader<TcpStream>, span: Option<Duration>) -> bool {
         let until = span.map(|s| std::time::Instant::now() + s);
         let mut byte = [0u8; 1];
         loop {
             let left =
                 until.map_or(POLL, |u| u.saturating_duration_since(std::time::Instant::now()).min(POLL));
-            if left.is_zero() || self.shared.over() {
+            if left.is_zero() || self.run_state.is_over() {
                 return until.is_some();
             }
             if from.get_ref().set_read_timeout(Some(left)).is_err() {
@@ -172,42 +178,42 @@
         }
     }
 
-    fn play(
+    fn respond(
         &self,
-        fault: Option<What>,
+        fault: Option<FaultKind>,
         to: &mut TcpStream,
         from: &mut BufReader<TcpStream>,
         body: &str,
-        out: &Out,
+        open_request: &OpenRequest,
     ) -> Option<()> {
         let span = match fault {
-            Some(What::Slow { ms }) => Some(self.latency + Duration::from_millis(ms)),
-            Some(What::Silent) => None,
+            Some(FaultKind::Slow { ms }) => Some(self.latency + Duration::from_millis(ms)),
+            Some(FaultKind::Silent) => None,
             _ => Some(self.latency),
         };
-        if !self.hold(from, span) {
-            out.close();
+        if !self.wait_while_connected(from, span) {
+            open_request.close();
             return None;
         }
         // The attempt is out until its answer is written: closed just before the last write.
         let (status, headers) = match fault {
-            Some(What::ResetMidAnswer) => {
+            Some(FaultKind::ResetMidAnswer) => {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\nmade", body.len());
                 to.write_all(head.as_bytes()).ok()?;
                 SockRef::from(&*to).set_linger(Some(Duration::ZERO)).ok()?;
-                out.close();
+                open_request.close();
                 return None;
             }
-            Some(What::Informational) => {
+            Some(FaultKind::Informational) => {
                 to.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").ok()?;
                 ("200 OK", "")
             }
-            Some(What::Failing) => ("500 Internal Server Error", ""),
-            Some(What::SpoiltBilled) => ("200 OK", "Billed-Units: lots\r\n"),
+            Some(FaultKind::Failing) => ("500 Internal Server Error", ""),
+            Some(FaultKind::SpoiltBilled) => ("200 OK", "Billed-Units: lots\r\n"),
             _ => ("200 OK", ""),
         };
-        out.close();
-        answer(to, status, headers, body)
+        open_request.close();
+        write_response(to, status, headers, body)
     }
 }
 
@@ -215,29 +221,29 @@
 const POLL: Duration = Duration::from_millis(20);
 
 /// A req that runs: counted in its srv and its customer until `close`, which may be called more than once.
-struct Out<'a> {
-    srv: &'a Inner,
+struct OpenRequest<'a> {
+    server: &'a ServerState,
     customer: u32,
     id: u64,
     open: std::cell::Cell<bool>,
 }
 
-impl Out<'_> {
+impl OpenRequest<'_> {
     fn close(&self) {
         if self.open.replace(false) {
-            self.srv.running.fetch_sub(1, Ordering::SeqCst);
-            self.srv.shared.shut(self.customer, self.srv.n as u16, self.id);
+            self.server.running.fetch_sub(1, Ordering::SeqCst);
+            self.server.run_state.request_closed(self.customer, self.server.n as u16, self.id);
         }
     }
 }
 
-impl Drop for Out<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
         self.close()
     }
 }
 
-fn answer(to: &mut TcpStream, status: &str, headers: &str, body: &str) -> Option<()> {
+fn write_response(to: &mut TcpStream, status: &str, headers: &str, body: &str) -> Option<()> {
     let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len());
     to.write_all(text.as_bytes()).ok()
 }
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -1,9 +1,9 @@
 //! The gateways under test: N processes of one build, each with a configuration file of its own made from the
 //! gateway configuration the lab was given, pointed at the emulator.
 
-use crate::emu::world::World;
+use crate::emulator::environment::Environment;
+use crate::gateway_settings::GatewaySettings;
 use crate::scenario::Scenario;
-use crate::terms::LabTerms;
 use lupinledge_example::http::Client;
 use serde_json::json;
 use std::collections::VecDeque;
@@ -17,27 +17,27 @@
 
 /// A build to start: a program and the words before its own.
 #[derive(Clone, Debug)]
-pub struct Build {
+pub struct GatewayCommand {
     pub program: PathBuf,
     pub args: Vec<String>,
 }
 
-impl Build {
+impl GatewayCommand {
     /// `lupinledge` beside the running program, as cargo lays out a target folder.
-    pub fn beside() -> Build {
+    pub fn next_to_this_program() -> GatewayCommand {
         let me = std::env::current_exe().unwrap_or_default();
         let mut dir = me.parent().map(PathBuf::from).unwrap_or_default();
         if dir.ends_with("deps") {
             dir.pop();
         }
-        Build { program: dir.join("lupinledge"), args: vec![] }
+        GatewayCommand { program: dir.join("lupinledge"), args: vec![] }
     }
 }
 
 /// Lines of each gateway's log kept for a report of why it failed.
-const LOG_LINES: usize = 200;
+const MAX_LOG_LINES: usize = 200;
 /// How long a gateway may take to listen and be ready: a release build takes some 50 ms, a debug one under 1 s.
-const READY_WITHIN: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct Fleet {
     children: Vec<Child>,
@@ -47,27 +47,37 @@
 }
 
 impl Fleet {
-    /// Starts `s.gateways` gateways and waits till each answers `GET /_health` with 200. The error names the
+    /// Starts `scenario.gateways` gateways and waits till each answers `GET /_health` with 200. The error names the
     /// gateway and ends with the last lines of its log.
-    pub fn start(build: &Build, s: &Scenario, terms: &LabTerms, world: &World) -> Result<Fleet, String> {
+    pub fn start(
+        build: &GatewayCommand,
+        scenario: &Scenario,
+        settings: &GatewaySettings,
+        environment: &Environment,
+    ) -> Result<Fleet, String> {
         let mut fleet = Fleet { children: vec![], addrs: vec![], files: vec![], logs: vec![] };
-        for i in 0..s.gateways {
-            let mut conf = terms.base.clone();
+        for i in 0..scenario.gateways {
+            let mut conf = settings.raw_config.clone();
             conf["name"] = json!(format!("lab-g{i}"));
             conf["listen"] = json!("127.0.0.1:0");
-            conf["discovery"] = json!(world.discovery.addr.to_string());
+            conf["discovery"] = json!(environment.discovery.addr.to_string());
             // The second half of the gateways reach the counter by its far door: one side of a split.
-            let counter =
-                if 2 * i >= s.gateways && s.gateways > 1 { world.counter_far } else { world.counter.addr };
+            let counter = if 2 * i >= scenario.gateways && scenario.gateways > 1 {
+                environment.far_counter_addr
+            } else {
+                environment.counter.addr
+            };
             conf["counter"] = json!(counter.to_string());
-            conf["seed"] =
-                json!(format!("{:016x}", s.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(i as u64)));
+            conf["seed"] = json!(format!(
+                "{:016x}",
+                scenario.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(i as u64)
+            ));
             conf["known"] = serde_json::Value::Null;
-            conf["settings"]["instances"] = json!(s.gateways);
+            conf["settings"]["instances"] = json!(scenario.gateways);
             let path = std::env::temp_dir().join(format!(
                 "lupinledge-lab-{}-{}-{i}.json",
                 std::process::id(),
-                nonce()
+                next_file_number()
             ));
             std::fs::write(&path, conf.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
             fleet.files.push(path.clone());
@@ -84,7 +94,7 @@
             spawn(move || {
                 for line in BufReader::new(from).lines().map_while(Result::ok) {
                     let mut log = to.lock().unwrap();
-                    if log.len() == LOG_LINES {
+                    if log.len() == MAX_LOG_LINES {
                         log.pop_front();
                     }
                     log.push_back(line);
@@ -94,7 +104,7 @@
             fleet.children.push(child);
             fleet.logs.push(log);
         }
-        for i in 0..s.gateways {
+        for i in 0..scenario.gateways {
             let addr = fleet.ready(i)?;
             fleet.addrs.push(addr);
         }
@@ -106,7 +116,7 @@
         let listens = |log: &VecDeque<String>| {
             log.iter().find_map(|l| l.split("listens on ").nth(1)?.trim().parse().ok())
         };
-        while start.elapsed() < READY_WITHIN {
+        while start.elapsed() < READY_TIMEOUT {
             if let Ok(Some(status)) = self.children[i].try_wait() {
                 return Err(format!("gateway {i} ended with {status}:\n{}", self.log(i)));
             }
@@ -116,7 +126,7 @@
             }
             sleep(Duration::from_millis(20));
         }
-        Err(format!("gateway {i} not ready within {READY_WITHIN:?}:\n{}", self.log(i)))
+        Err(format!("gateway {i} not ready within {READY_TIMEOUT:?}:\n{}", self.log(i)))
     }
 
     pub fn log(&self, i: usize) -> String {
@@ -124,7 +134,7 @@
     }
 
     /// Each gateway's peak resident memory, KiB, from `/proc`; 0 where it can't be read.
-    pub fn peaks(&self) -> Vec<u64> {
+    pub fn peak_memory_kib(&self) -> Vec<u64> {
         self.children.iter().map(|c| peak_kib(&format!("/proc/{}/status", c.id()))).collect()
     }
 
@@ -157,7 +167,7 @@
     line.and_then(|l| l.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
 }
 
-fn nonce() -> u64 {
+fn next_file_number() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static N: AtomicU64 = AtomicU64::new(0);
     N.fetch_add(1, Ordering::Relaxed)
--- a/testbed/src/terms.rs
+++ b/testbed/src/gateway_settings.rs
@@ -41,11 +41,11 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct LabTerms {
+pub struct GatewaySettings {
     pub classes: Vec<Class>,
     pub plans: Vec<Plan>,
     /// The gateway's configuration as read, to be started with.
-    pub base: serde_json::Value,
+    pub raw_config: serde_json::Value,
 }
 
 #[derive(Deserialize)]
@@ -66,14 +66,15 @@
     store_size: f64,
 }
 
-impl LabTerms {
+impl GatewaySettings {
     /// Reads a gateway configuration (the format of `example/config.json`); the error names the field.
-    pub fn parse(text: &str) -> Result<LabTerms, String> {
-        let base: serde_json::Value = serde_json::from_str(text).map_err(|e| format!("no JSON: {e}"))?;
-        let settings = base.get("settings").ok_or("`settings`: missing")?;
-        let classes: Vec<WireClass> = serde_json::from_value(settings["classes"].clone())
+    pub fn parse(text: &str) -> Result<GatewaySettings, String> {
+        let raw_config: serde_json::Value =
+            serde_json::from_str(text).map_err(|e| format!("no JSON: {e}"))?;
+        let section = raw_config.get("settings").ok_or("`settings`: missing")?;
+        let classes: Vec<WireClass> = serde_json::from_value(section["classes"].clone())
             .map_err(|e| format!("`settings.classes`: {e}"))?;
-        let plans: Vec<WirePlan> = serde_json::from_value(settings["packages"].clone())
+        let plans: Vec<WirePlan> = serde_json::from_value(section["packages"].clone())
             .map_err(|e| format!("`settings.packages`: {e}"))?;
         let classes = classes
             .into_iter()
@@ -96,7 +97,7 @@
                 store_size: p.store_size,
             })
             .collect();
-        Ok(LabTerms { classes, plans, base })
+        Ok(GatewaySettings { classes, plans, raw_config })
     }
 
     pub fn class(&self, name: &str) -> Option<usize> {
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,7 +1,8 @@
 pub mod arrivals;
-pub mod broken;
-pub mod emu;
+pub mod broken_gateway;
+pub mod emulator;
 pub mod fleet;
+pub mod gateway_settings;
 pub mod load;
 pub mod plot;
 pub mod quota;
@@ -11,4 +12,3 @@
 pub mod run;
 pub mod scenario;
 pub mod schedule;
-pub mod terms;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,11 +1,11 @@
 //! `lupinledge-lab`: plays scenarios against real gateways behind emulated srvs, counter and discovery.
 
 use clap::{Parser, Subcommand};
-use lupinledge_testbed::fleet::Build;
+use lupinledge_testbed::fleet::GatewayCommand;
+use lupinledge_testbed::gateway_settings::GatewaySettings;
 use lupinledge_testbed::report;
-use lupinledge_testbed::run::{self, Bench};
+use lupinledge_testbed::run::{self, RunOptions};
 use lupinledge_testbed::scenario::Scenario;
-use lupinledge_testbed::terms::LabTerms;
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -76,29 +76,34 @@
     BrokenGateway,
 }
 
-fn scenario(path: &PathBuf) -> Result<Scenario, String> {
+fn read_scenario(path: &PathBuf) -> Result<Scenario, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     Scenario::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-fn bench(c: &Common, gateway: Option<&PathBuf>, config: Option<&PathBuf>) -> Result<Bench, String> {
+fn run_options(
+    c: &Common,
+    gateway: Option<&PathBuf>,
+    config: Option<&PathBuf>,
+) -> Result<RunOptions, String> {
     let build = if c.broken {
         let me = std::env::current_exe().map_err(|e| e.to_string())?;
-        Build { program: me, args: vec!["broken-gateway".into()] }
+        GatewayCommand { program: me, args: vec!["broken-gateway".into()] }
     } else {
-        gateway
-            .or(c.gateway.as_ref())
-            .map_or_else(Build::beside, |p| Build { program: p.clone(), args: vec![] })
+        gateway.or(c.gateway.as_ref()).map_or_else(GatewayCommand::next_to_this_program, |p| GatewayCommand {
+            program: p.clone(),
+            args: vec![],
+        })
     };
     let text = match config.or(c.config.as_ref()) {
         Some(p) => std::fs::read_to_string(p).map_err(|e| format!("{}: {e}", p.display()))?,
         None => include_str!("../../example/config.json").to_string(),
     };
-    let terms = LabTerms::parse(&text).map_err(|e| format!("gateway configuration: {e}"))?;
-    Ok(Bench { build, terms, progress: std::io::stderr().is_terminal() })
+    let settings = GatewaySettings::parse(&text).map_err(|e| format!("gateway configuration: {e}"))?;
+    Ok(RunOptions { build, settings, progress: std::io::stderr().is_terminal() })
 }
 
-fn out(c: &Common, name: &str) -> PathBuf {
+fn output_dir(c: &Common, name: &str) -> PathBuf {
     c.out.clone().unwrap_or_else(|| PathBuf::from("lab-out").join(name))
 }
 
@@ -112,7 +117,7 @@
     if let Err(e) = ctrlc::set_handler(|| run::STOP.store(true, std::sync::atomic::Ordering::SeqCst)) {
         tracing::warn!("no handler for SIGINT and SIGTERM: {e}");
     }
-    match act(Cli::parse().command) {
+    match execute(Cli::parse().command) {
         _ if run::stopped() => ExitCode::from(130),
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
@@ -124,55 +129,59 @@
 }
 
 /// Does what was asked; `Ok(false)` where a rule broke.
-fn act(command: Command) -> Result<bool, String> {
+fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Run { scenario: path, common } => {
-            let s = scenario(&path)?;
-            let sum = run::run(&s, &bench(&common, None, None)?)?;
-            let dir = out(&common, &s.name);
-            run::write(&sum, &dir)?;
-            println!("{}", sum.markdown());
+            let s = read_scenario(&path)?;
+            let summary = run::run(&s, &run_options(&common, None, None)?)?;
+            let dir = output_dir(&common, &s.name);
+            run::write_report(&summary, &dir)?;
+            println!("{}", summary.markdown());
             println!("written to {}", dir.display());
-            Ok(sum.kept())
+            Ok(summary.rules_kept())
         }
         Command::Compare { a, b, common, gateway_b, config_b } => {
-            let sa = scenario(&a)?;
-            let mut sb = scenario(b.as_ref().unwrap_or(&a))?;
+            let scenario_a = read_scenario(&a)?;
+            let mut scenario_b = read_scenario(b.as_ref().unwrap_or(&a))?;
             if b.is_none() {
-                sb.name = format!("{} (B)", sa.name);
+                scenario_b.name = format!("{} (B)", scenario_a.name);
             }
-            let ra = run::run(&sa, &bench(&common, None, None)?)?;
-            let rb = run::run(&sb, &bench(&common, gateway_b.as_ref(), config_b.as_ref())?)?;
-            let dir = out(&common, &format!("{}-compare", sa.name));
-            run::write(&ra, &dir.join("a"))?;
-            run::write(&rb, &dir.join("b"))?;
-            let table = report::compare(&ra, &rb);
+            let summary_a = run::run(&scenario_a, &run_options(&common, None, None)?)?;
+            let summary_b =
+                run::run(&scenario_b, &run_options(&common, gateway_b.as_ref(), config_b.as_ref())?)?;
+            let dir = output_dir(&common, &format!("{}-compare", scenario_a.name));
+            run::write_report(&summary_a, &dir.join("a"))?;
+            run::write_report(&summary_b, &dir.join("b"))?;
+            let table = report::compare(&summary_a, &summary_b);
             std::fs::write(dir.join("compare.md"), &table).map_err(|e| e.to_string())?;
             println!("{table}");
-            Ok(ra.kept() && rb.kept())
+            Ok(summary_a.rules_kept() && summary_b.rules_kept())
         }
         Command::Sweep { scenario: path, common, times, outage } => {
-            let s = scenario(&path)?;
-            let b = bench(&common, None, None)?;
+            let s = read_scenario(&path)?;
+            let options = run_options(&common, None, None)?;
             let mut rows = vec![];
             let by_outage = !outage.is_empty();
-            let xs = if by_outage { outage } else { times };
-            for x in xs.into_iter().take_while(|_| !run::stopped()) {
+            let values = if by_outage { outage } else { times };
+            for value in values.into_iter().take_while(|_| !run::stopped()) {
                 let mut one = s.clone();
                 if by_outage {
-                    one.faults.iter_mut().for_each(|f| f.span = x);
-                    one.name = format!("{} {x}s", s.name);
+                    one.faults.iter_mut().for_each(|f| f.span = value);
+                    one.name = format!("{} {value}s", s.name);
                 } else {
-                    one.load.rate *= x;
-                    one.name = format!("{} x{x}", s.name);
+                    one.load.rate *= value;
+                    one.name = format!("{} x{value}", s.name);
                 }
                 one.check()?;
-                rows.push((x, run::run(&one, &b)?));
+                rows.push((value, run::run(&one, &options)?));
             }
-            let dir = out(&common, &format!("{}-sweep", s.name));
+            let dir = output_dir(&common, &format!("{}-sweep", s.name));
             let axis = if by_outage { "outage, s" } else { "load, times the scenario's" };
-            for (x, sum) in &rows {
-                run::write(sum, &dir.join(if by_outage { format!("{x}s") } else { format!("x{x}") }))?;
+            for (value, summary) in &rows {
+                run::write_report(
+                    summary,
+                    &dir.join(if by_outage { format!("{value}s") } else { format!("x{value}") }),
+                )?;
             }
             std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
             let table = report::sweep(&rows, axis);
@@ -181,22 +190,22 @@
             lupinledge_testbed::plot::sweep(&rows, axis, &dir.join("sweep.svg"))
                 .map_err(|e| e.to_string())?;
             println!("{table}");
-            Ok(rows.iter().all(|r| r.1.kept()))
+            Ok(rows.iter().all(|r| r.1.rules_kept()))
         }
         Command::Check { scenario: path } => {
-            let s = scenario(&path)?;
-            let terms = LabTerms::parse(include_str!("../../example/config.json"))?;
-            let due = lupinledge_testbed::arrivals::arrivals(&s, &terms)?;
+            let s = read_scenario(&path)?;
+            let settings = GatewaySettings::parse(include_str!("../../example/config.json"))?;
+            let due = lupinledge_testbed::arrivals::arrivals(&s, &settings)?;
             println!(
                 "{}: {} gateways, {} srvs, {} reqs, {} faults",
                 s.name,
                 s.gateways,
-                s.srv_count(),
+                s.server_count(),
                 due.len(),
                 s.faults.len()
             );
             Ok(true)
         }
-        Command::BrokenGateway => lupinledge_testbed::broken::serve().map(|_| true),
+        Command::BrokenGateway => lupinledge_testbed::broken_gateway::serve().map(|_| true),
     }
 }
--- a/testbed/src/quota.rs
+++ b/testbed/src/quota.rs
@@ -3,8 +3,8 @@
 //!
 //! A req takes one unit (the load tool sends `units=1`). A uniqued req answered from a srv's memory takes none.
 
-use crate::record::{End, Record};
-use crate::terms::LabTerms;
+use crate::gateway_settings::GatewaySettings;
+use crate::record::{Outcome, Record};
 use std::collections::BTreeMap;
 
 /// One customer's window.
@@ -30,7 +30,7 @@
 /// A client try takes its units once, however many attempts reached srvs: each req id counts at its first run.
 /// A window's denials count as ones with room when the window used less than `room_below` of what the store
 /// fills with in it (the store's own content may have gone in the window before).
-pub fn windows(record: &Record, terms: &LabTerms, span_s: f64, room_below: f64) -> Vec<Window> {
+pub fn windows(record: &Record, settings: &GatewaySettings, span_s: f64, room_below: f64) -> Vec<Window> {
     let plans = crate::rules::customer_plans(record);
     let slot = |t: f64| (t / span_s).floor().max(0.0) as u64;
     let mut first: BTreeMap<u64, (u32, f64)> = BTreeMap::new();
@@ -38,7 +38,7 @@
         let e = first.entry(a.id).or_insert((a.customer, a.at));
         e.1 = e.1.min(a.at);
     }
-    let plan = |c: &u32| plans.get(c).and_then(|p| terms.plans.get(*p as usize));
+    let plan = |c: &u32| plans.get(c).and_then(|p| settings.plans.get(*p as usize));
     let mut out: BTreeMap<(u32, u64), Window> = BTreeMap::new();
     fn window(
         out: &mut BTreeMap<(u32, u64), Window>,
@@ -57,7 +57,7 @@
             w.used += 1.0;
         }
     }
-    for r in record.reqs.iter().filter(|r| r.end == End::Denied) {
+    for r in record.requests.iter().filter(|r| r.outcome == Outcome::Denied) {
         if let Some(w) = window(&mut out, r.customer, slot(r.sent), allowed(&r.customer), span_s) {
             w.denied_with_room += 1;
         }
--- a/testbed/src/quota/tests.rs
+++ b/testbed/src/quota/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::record::{Arrival, Req};
+use crate::record::{Arrival, ClientRequest};
 
 fn arrival(customer: u32, at: f64) -> Arrival {
     Arrival {
-        srv: 0,
+        server: 0,
         at,
         id: (at * 1e6) as u64 + customer as u64,
         class: 0,
@@ -13,17 +13,17 @@
         running: 0,
         limit: 9,
         cold: false,
-        since_drain: f64::NAN,
+        since_drain_announced: f64::NAN,
         customer_open: vec![],
     }
 }
 
 #[test]
 fn use_over_the_bucket_is_found_and_denials_with_room_are_counted() {
-    let terms = LabTerms::parse(include_str!("../../../example/config.json")).unwrap();
-    let free = terms.plan("free").unwrap() as u8;
-    let allowed = terms.plans[free as usize].allowed(10.0).unwrap();
-    let req = |customer, sent, end| Req {
+    let settings = GatewaySettings::parse(include_str!("../../../example/config.json")).unwrap();
+    let free = settings.plan("free").unwrap() as u8;
+    let allowed = settings.plans[free as usize].allowed(10.0).unwrap();
+    let request = |customer, sent, outcome| ClientRequest {
         id: 1,
         gateway: 0,
         customer,
@@ -32,21 +32,23 @@
         due: sent,
         sent,
         timeout: 1.0,
-        end,
+        outcome,
         ended: sent,
-        again: false,
+        is_retry: false,
+    };
+    let mut r = Record {
+        requests: vec![request(1, 0.0, Outcome::Passed), request(2, 5.0, Outcome::Denied)],
+        ..Record::default()
     };
-    let mut r =
-        Record { reqs: vec![req(1, 0.0, End::Passed), req(2, 5.0, End::Denied)], ..Record::default() };
     let n = (allowed * 1.2).round() as usize;
     r.arrivals = (0..n).map(|i| arrival(1, i as f64 * 9.0 / n as f64)).collect();
     r.arrivals.push(r.arrivals[0].clone());
-    let ws = windows(&r, &terms, 10.0, 0.95);
+    let ws = windows(&r, &settings, 10.0, 0.95);
     assert_eq!(ws.len(), 2);
     assert!((ws[0].over() - (n as f64 / allowed - 1.0)).abs() < 1e-9);
     assert_eq!(ws[1].denied_with_room, 1, "customer 2 had used nothing");
     assert_eq!(ws[0].used, n as f64, "a second attempt of a req is no second unit");
     assert_eq!(worst(&ws, 0.05).1, 1);
     r.arrivals.truncate(allowed as usize);
-    assert_eq!(worst(&windows(&r, &terms, 10.0, 0.95), 0.05), (0.0, 0));
+    assert_eq!(worst(&windows(&r, &settings, 10.0, 0.95), 0.05), (0.0, 0));
 }
--- a/testbed/src/record.rs
+++ b/testbed/src/record.rs
@@ -4,7 +4,7 @@
 
 /// How a req ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum End {
+pub enum Outcome {
     /// 200 with the body a srv made for this req.
     Passed,
     /// 429 or 503: refused, harmless to try again.
@@ -18,28 +18,35 @@
     /// The client gave up early on purpose; no rule is asked of the gateway for it.
     GaveUp,
     /// A 200 whose body no srv made for this req: a stray answer, or one sent after.
-    Foreign,
+    ForeignAnswer,
 }
 
-impl End {
-    pub const ALL: [End; 7] =
-        [End::Passed, End::Denied, End::Failed, End::NoAnswer, End::Late, End::GaveUp, End::Foreign];
+impl Outcome {
+    pub const ALL: [Outcome; 7] = [
+        Outcome::Passed,
+        Outcome::Denied,
+        Outcome::Failed,
+        Outcome::NoAnswer,
+        Outcome::Late,
+        Outcome::GaveUp,
+        Outcome::ForeignAnswer,
+    ];
     pub fn label(self) -> &'static str {
         match self {
-            End::Passed => "passed",
-            End::Denied => "denied",
-            End::Failed => "failed",
-            End::NoAnswer => "no answer",
-            End::Late => "late",
-            End::GaveUp => "gave up",
-            End::Foreign => "foreign",
+            Outcome::Passed => "passed",
+            Outcome::Denied => "denied",
+            Outcome::Failed => "failed",
+            Outcome::NoAnswer => "no answer",
+            Outcome::Late => "late",
+            Outcome::GaveUp => "gave up",
+            Outcome::ForeignAnswer => "foreign",
         }
     }
 }
 
 /// One req as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Req {
+pub struct ClientRequest {
     pub id: u64,
     pub gateway: u16,
     pub customer: u32,
@@ -50,14 +57,14 @@
     pub sent: f64,
     /// The client timeout, s from `sent`.
     pub timeout: f64,
-    pub end: End,
+    pub outcome: Outcome,
     /// When its answer's last byte came (or the client stopped waiting).
     pub ended: f64,
     /// A client's repeat of a denied req.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
-impl Req {
+impl ClientRequest {
     pub fn latency(&self) -> f64 {
         self.ended - self.sent
     }
@@ -66,7 +73,7 @@
 /// One req that reached a srv whole.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    pub srv: u16,
+    pub server: u16,
     pub at: f64,
     /// The `X-Request-Id`, as the number its 16 hex digits give; 0 where none could be read.
     pub id: u64,
@@ -82,7 +89,7 @@
     /// Whether the srv was cold (within a `cold` window) when it came.
     pub cold: bool,
     /// Seconds since discovery told that this srv is leaving; negative or NaN where it was not.
-    pub since_drain: f64,
+    pub since_drain_announced: f64,
     /// The customer's reqs open at all srvs together when it came, this one included, as (srv, req id).
     pub customer_open: Vec<(u16, u64)>,
 }
@@ -90,7 +97,7 @@
 /// All of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    pub reqs: Vec<Req>,
+    pub requests: Vec<ClientRequest>,
     pub arrivals: Vec<Arrival>,
     /// Peak resident memory of each gateway at the end, KiB (`VmHWM`), where it could be read.
     pub gateway_peak_kib: Vec<u64>,
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -1,9 +1,9 @@
 //! A run's summary and its tables: Markdown for people, CSV for tools. Figures are emulated.
 
-use crate::record::{End, Record};
+use crate::gateway_settings::GatewaySettings;
+use crate::record::{Outcome, Record};
 use crate::rules::{self, Rule, Verdict};
 use crate::scenario::Scenario;
-use crate::terms::LabTerms;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -27,10 +27,10 @@
     pub name: String,
     pub seed: u64,
     pub gateways: usize,
-    pub srvs: usize,
+    pub servers: usize,
     pub duration_s: f64,
-    pub counts: BTreeMap<End, usize>,
-    pub reqs: usize,
+    pub counts: BTreeMap<Outcome, usize>,
+    pub requests: usize,
     /// Passed reqs a second of load.
     pub goodput: f64,
     /// Latency of passed reqs, ms.
@@ -60,7 +60,7 @@
 
 /// The error issue 16 states before any test: no customer over 5% above quota in a window, none denied below 95%.
 pub const QUOTA_BOUND: f64 = 0.05;
-pub const ROOM: f64 = 0.95;
+pub const ROOM_SHARE: f64 = 0.95;
 
 /// Latencies are kept in microseconds up to a minute, three significant figures.
 fn histogram() -> Histogram<u64> {
@@ -78,38 +78,38 @@
 impl Summary {
     pub fn of(
         s: &Scenario,
-        terms: &LabTerms,
+        settings: &GatewaySettings,
         record: &Record,
         crashed: Vec<usize>,
         dropped: usize,
     ) -> Summary {
-        let verdict = rules::check(record, terms, s.grace_s);
-        let mut counts: BTreeMap<End, usize> = End::ALL.iter().map(|e| (*e, 0)).collect();
+        let verdict = rules::check(record, settings, s.grace_s);
+        let mut counts: BTreeMap<Outcome, usize> = Outcome::ALL.iter().map(|e| (*e, 0)).collect();
         let (mut all, mut lag) = (histogram(), histogram());
         let buckets = ((s.duration_s + 4.0) / s.bucket_s).ceil() as usize;
         let mut timeline: Vec<(Bucket, Histogram<u64>)> = (0..buckets)
             .map(|i| (Bucket { t: i as f64 * s.bucket_s, ..Bucket::default() }, histogram()))
             .collect();
         let mut missed = 0;
-        for r in &record.reqs {
-            *counts.entry(r.end).or_default() += 1;
+        for r in &record.requests {
+            *counts.entry(r.outcome).or_default() += 1;
             let us = (r.latency() * 1e6).clamp(1.0, 60e6) as u64;
             let _ = lag.record(((r.sent - r.due).max(0.0) * 1e6).clamp(1.0, 60e6) as u64);
-            let slo = terms.classes.get(r.class as usize).map_or(f64::INFINITY, |c| c.slo);
-            let miss = r.end != End::GaveUp && (r.end != End::Passed || r.latency() > slo);
+            let slo = settings.classes.get(r.class as usize).map_or(f64::INFINITY, |c| c.slo);
+            let miss = r.outcome != Outcome::GaveUp && (r.outcome != Outcome::Passed || r.latency() > slo);
             missed += miss as usize;
             let Some((b, h)) = timeline.get_mut(((r.sent / s.bucket_s) as usize).min(buckets - 1)) else {
                 continue;
             };
             b.missed += miss as usize;
-            match r.end {
-                End::Passed => {
+            match r.outcome {
+                Outcome::Passed => {
                     b.passed += 1;
                     let _ = all.record(us);
                     let _ = h.record(us);
                 }
-                End::Denied => b.denied += 1,
-                End::GaveUp => {}
+                Outcome::Denied => b.denied += 1,
+                Outcome::GaveUp => {}
                 _ => b.other += 1,
             }
         }
@@ -120,8 +120,8 @@
                 b
             })
             .collect();
-        let passed = counts[&End::Passed];
-        let windows = crate::quota::windows(record, terms, s.quota_window_s, ROOM);
+        let passed = counts[&Outcome::Passed];
+        let windows = crate::quota::windows(record, settings, s.quota_window_s, ROOM_SHARE);
         let (quota_over, quota_windows_over) = crate::quota::worst(&windows, QUOTA_BOUND);
         Summary {
             quota_over,
@@ -131,9 +131,9 @@
             name: s.name.clone(),
             seed: s.seed,
             gateways: s.gateways,
-            srvs: s.srv_count(),
+            servers: s.server_count(),
             duration_s: s.duration_s,
-            reqs: record.reqs.len(),
+            requests: record.requests.len(),
             goodput: passed as f64 / s.duration_s,
             p50_ms: ms(&all, 0.5),
             p99_ms: ms(&all, 0.99),
@@ -150,18 +150,18 @@
             faults: s
                 .faults
                 .iter()
-                .map(|f| (f.at, f.end(), format!("{} on {}", f.what.label(), f.target)))
+                .map(|f| (f.at, f.end(), format!("{} on {}", f.kind.label(), f.target)))
                 .collect(),
         }
     }
 
-    pub fn kept(&self) -> bool {
-        rules::kept(&self.verdict) && self.crashed.is_empty()
+    pub fn rules_kept(&self) -> bool {
+        rules::no_violations(&self.verdict) && self.crashed.is_empty()
     }
 
     /// Share of reqs not given up that missed their response target.
     pub fn missed_share(&self) -> f64 {
-        let asked = self.reqs - self.counts[&End::GaveUp];
+        let asked = self.requests - self.counts[&Outcome::GaveUp];
         if asked == 0 {
             0.0
         } else {
@@ -172,14 +172,14 @@
     /// The headline figures, by name, in a fixed order: what `compare` and `sweep` set side by side.
     pub fn figures(&self) -> Vec<(&'static str, f64)> {
         let mut f = vec![
-            ("reqs", self.reqs as f64),
+            ("reqs", self.requests as f64),
             ("goodput /s", self.goodput),
             ("missed targets", self.missed_share()),
             ("p50 ms", self.p50_ms),
             ("p99 ms", self.p99_ms),
             ("p99.9 ms", self.p999_ms),
         ];
-        f.extend(End::ALL.iter().map(|e| (e.label(), self.counts[e] as f64)));
+        f.extend(Outcome::ALL.iter().map(|e| (e.label(), self.counts[e] as f64)));
         f.extend(Rule::ALL.iter().map(|r| (r.label(), self.verdict[r].count as f64)));
         f.push(("quota: worst share over", self.quota_over));
         f.push(("quota: windows over 5%", self.quota_windows_over as f64));
@@ -195,10 +195,10 @@
             m,
             "{} gateways, {} srvs, seed {}, {:.0} s of load. Verdict: **{}**.\n",
             self.gateways,
-            self.srvs,
+            self.servers,
             self.seed,
             self.duration_s,
-            if self.kept() { "no rule broken" } else { "RULE BROKEN" }
+            if self.rules_kept() { "no rule broken" } else { "RULE BROKEN" }
         );
         if !self.crashed.is_empty() {
             let _ = writeln!(m, "Gateways that ended by themselves: {:?}.\n", self.crashed);
@@ -279,7 +279,7 @@
          | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
     );
     for (x, s) in rows {
-        let rules = if s.kept() {
+        let rules = if s.rules_kept() {
             "kept".to_string()
         } else {
             format!("{} broken", s.verdict.values().filter(|b| b.count > 0).count())
@@ -287,7 +287,7 @@
         let _ = writeln!(
             m,
             "| {x} | {} | {} | {} | {} | {rules} | {} | {} | {} | {} | {} | {} |",
-            s.reqs,
+            s.requests,
             round(s.goodput),
             round(s.missed_share()),
             round(s.p99_ms),
--- a/testbed/src/rules/tests.rs
+++ b/testbed/src/rules/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use crate::record::{Arrival, Req};
+use crate::record::{Arrival, ClientRequest};
 
-fn terms() -> LabTerms {
-    LabTerms::parse(include_str!("../../../example/config.json")).expect("the example")
+fn settings() -> GatewaySettings {
+    GatewaySettings::parse(include_str!("../../../example/config.json")).expect("the example")
 }
 fn arrival(id: u64, class: u8) -> Arrival {
     Arrival {
-        srv: 0,
+        server: 0,
         at: 1.0,
         id,
         class,
@@ -16,12 +16,12 @@
         running: 0,
         limit: 4,
         cold: false,
-        since_drain: f64::NAN,
+        since_drain_announced: f64::NAN,
         customer_open: vec![(0, id)],
     }
 }
-fn req(end: End) -> Req {
-    Req {
+fn request(outcome: Outcome) -> ClientRequest {
+    ClientRequest {
         id: 9,
         gateway: 0,
         customer: 1,
@@ -30,44 +30,47 @@
         due: 0.0,
         sent: 0.0,
         timeout: 1.0,
-        end,
+        outcome,
         ended: 0.5,
-        again: false,
+        is_retry: false,
     }
 }
 
 #[test]
 fn each_rule_is_found_by_its_own_break() {
-    let t = terms();
+    let t = settings();
     let notice = t.classes.iter().position(|c| c.effect == Effect::Once).unwrap() as u8;
-    let mut r =
-        Record { reqs: vec![req(End::Passed)], arrivals: vec![arrival(5, notice)], ..Record::default() };
-    assert!(kept(&check(&r, &t, 1.0)));
+    let mut r = Record {
+        requests: vec![request(Outcome::Passed)],
+        arrivals: vec![arrival(5, notice)],
+        ..Record::default()
+    };
+    assert!(no_violations(&check(&r, &t, 1.0)));
     r.arrivals.push(arrival(5, notice));
-    r.arrivals.push(Arrival { since_drain: 1.2, ..arrival(6, 0) });
+    r.arrivals.push(Arrival { since_drain_announced: 1.2, ..arrival(6, 0) });
     r.arrivals.push(Arrival { cold: true, running: 4, ..arrival(7, 0) });
     r.arrivals.push(Arrival { customer_open: vec![(0, 1), (0, 2), (1, 3)], ..arrival(8, 0) });
-    r.reqs.push(req(End::Late));
+    r.requests.push(request(Outcome::Late));
     let v = check(&r, &t, 1.0);
     assert!(Rule::ALL.iter().all(|rule| v[rule].count == 1), "{v:?}");
 }
 
 #[test]
 fn what_the_rules_allow_is_not_a_break() {
-    let t = terms();
+    let t = settings();
     let order = t.classes.iter().position(|c| c.effect == Effect::ByKey).unwrap() as u8;
     let r = Record {
-        reqs: vec![req(End::GaveUp), req(End::Denied)],
+        requests: vec![request(Outcome::GaveUp), request(Outcome::Denied)],
         arrivals: vec![
             arrival(5, 0),
             arrival(5, 0),
             arrival(6, order),
             Arrival { repeat_of_key: true, ..arrival(6, order) },
-            Arrival { since_drain: 1.04, ..arrival(7, 0) },
+            Arrival { since_drain_announced: 1.04, ..arrival(7, 0) },
             Arrival { cold: true, running: 3, ..arrival(8, 0) },
             Arrival { customer_open: vec![(0, 1), (0, 2)], ..arrival(9, 0) },
         ],
         ..Record::default()
     };
-    assert!(kept(&check(&r, &t, 1.0)));
+    assert!(no_violations(&check(&r, &t, 1.0)));
 }
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -2,13 +2,13 @@
 //! rules checked, the report written.
 
 use crate::arrivals::arrivals;
-use crate::emu::world::World;
-use crate::fleet::{peak_kib, Build, Fleet};
+use crate::emulator::environment::Environment;
+use crate::fleet::{peak_kib, Fleet, GatewayCommand};
+use crate::gateway_settings::GatewaySettings;
 use crate::load;
 use crate::record::Record;
 use crate::report::Summary;
 use crate::scenario::Scenario;
-use crate::terms::LabTerms;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,31 +22,32 @@
     STOP.load(Ordering::SeqCst)
 }
 
-pub struct Bench {
-    pub build: Build,
-    pub terms: LabTerms,
+pub struct RunOptions {
+    pub build: GatewayCommand,
+    pub settings: GatewaySettings,
     /// Whether a progress bar is drawn (on a terminal, long runs).
     pub progress: bool,
 }
 
 /// Plays a scenario; the error says what could not be started.
-pub fn run(s: &Scenario, b: &Bench) -> Result<Summary, String> {
-    let due = arrivals(s, &b.terms)?;
-    let total = due.len() as u64;
-    let mut world = World::start(s, &b.terms).map_err(|e| format!("the emulator: {e}"))?;
-    let mut fleet = Fleet::start(&b.build, s, &b.terms, &world)?;
-    tracing::info!(scenario = %s.name, gateways = s.gateways, reqs = total, "load begins");
-    let start = world.shared.begin();
-    world.play();
-    let bar = b.progress.then(|| {
+pub fn run(scenario: &Scenario, options: &RunOptions) -> Result<Summary, String> {
+    let schedule = arrivals(scenario, &options.settings)?;
+    let total = schedule.len() as u64;
+    let mut environment =
+        Environment::start(scenario, &options.settings).map_err(|e| format!("the emulator: {e}"))?;
+    let mut fleet = Fleet::start(&options.build, scenario, &options.settings, &environment)?;
+    tracing::info!(scenario = %scenario.name, gateways = scenario.gateways, reqs = total, "load begins");
+    let start = environment.run_state.restart_clock();
+    environment.play_schedule();
+    let bar = options.progress.then(|| {
         let bar = ProgressBar::new(total);
         bar.set_style(
             ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} reqs {elapsed}").expect("fixed"),
         );
-        bar.set_message(s.name.clone());
+        bar.set_message(scenario.name.clone());
         bar
     });
-    let reqs = load::drive(s, &b.terms, due, &fleet.addrs, start, bar.clone());
+    let requests = load::drive(scenario, &options.settings, schedule, &fleet.addrs, start, bar.clone());
     if let Some(bar) = bar {
         bar.finish();
     }
@@ -54,26 +55,30 @@
     for g in &crashed {
         tracing::warn!(gateway = g, log = %fleet.log(*g), "a gateway ended by itself");
     }
-    let peaks = fleet.peaks();
+    let peak_memory_kib = fleet.peak_memory_kib();
     fleet.stop();
-    let shared = world.end();
-    let (arrivals, dropped) = shared.take_arrivals();
-    let record =
-        Record { reqs, arrivals, gateway_peak_kib: peaks, lab_peak_kib: peak_kib("/proc/self/status") };
-    let sum = Summary::of(s, &b.terms, &record, crashed, dropped);
-    tracing::info!(scenario = %s.name, kept = sum.kept(), goodput = sum.goodput, missed = sum.missed, "run ends");
-    Ok(sum)
+    let run_state = environment.end();
+    let (arrivals, dropped) = run_state.take_arrivals();
+    let record = Record {
+        requests,
+        arrivals,
+        gateway_peak_kib: peak_memory_kib,
+        lab_peak_kib: peak_kib("/proc/self/status"),
+    };
+    let summary = Summary::of(scenario, &options.settings, &record, crashed, dropped);
+    tracing::info!(scenario = %scenario.name, kept = summary.rules_kept(), goodput = summary.goodput, missed = summary.missed, "run ends");
+    Ok(summary)
 }
 
 /// Writes `report.md`, `figures.csv`, `timeline.csv` and `timeline.svg` into `dir`.
-pub fn write(sum: &Summary, dir: &Path) -> Result<(), String> {
+pub fn write_report(summary: &Summary, dir: &Path) -> Result<(), String> {
     std::fs::create_dir_all(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
-    let put =
+    let write_file =
         |name: &str, text: String| std::fs::write(dir.join(name), text).map_err(|e| format!("{name}: {e}"));
-    let mut md = sum.markdown();
+    let mut md = summary.markdown();
     md.push_str("\n![timeline](timeline.svg)\n");
-    put("report.md", md)?;
-    put("figures.csv", sum.figures_csv())?;
-    put("timeline.csv", sum.timeline_csv())?;
-    crate::plot::timeline(sum, &dir.join("timeline.svg")).map_err(|e| format!("timeline.svg: {e}"))
+    write_file("report.md", md)?;
+    write_file("figures.csv", summary.figures_csv())?;
+    write_file("timeline.csv", summary.timeline_csv())?;
+    crate::plot::timeline(summary, &dir.join("timeline.svg")).map_err(|e| format!("timeline.svg: {e}"))
 }
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -19,8 +19,8 @@
     pub gateways: usize,
     #[serde(default)]
     pub load: Load,
-    #[serde(default = "default_srvs")]
-    pub srvs: Vec<SrvGroup>,
+    #[serde(rename = "srvs", default = "default_servers")]
+    pub servers: Vec<ServerGroup>,
     #[serde(default)]
     pub faults: Vec<Fault>,
     /// Width of one bucket of the timeline and the plots, s.
@@ -84,7 +84,7 @@
 /// Alike srvs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SrvGroup {
+pub struct ServerGroup {
     #[serde(default = "default_count")]
     pub count: usize,
     #[serde(default = "default_zone")]
@@ -106,13 +106,14 @@
     pub span: f64,
     /// `srv:N` (N from 0 over all groups in order), `counter` or `discovery`.
     pub target: String,
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
 }
 
 /// The faults the emulator can play. Srv faults apply to reqs that arrive within the window.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "kind", deny_unknown_fields)]
-pub enum What {
+pub enum FaultKind {
     /// Serves `ms` later than usual.
     Slow { ms: u64 },
     /// Answers 500: it may have run.
@@ -142,13 +143,16 @@
     /// Discovery: watches get nothing during the window, then all they missed.
     Late,
     /// Discovery: the srv `srv` is told at an address where nothing listens, during the window.
-    Wrong { srv: usize },
+    Wrong {
+        #[serde(rename = "srv")]
+        server: usize,
+    },
 }
 
-impl What {
+impl FaultKind {
     /// Whether it is played by a srv (rather than the counter or discovery).
-    pub fn on_srv(&self) -> bool {
-        use What::*;
+    pub fn applies_to_server(&self) -> bool {
+        use FaultKind::*;
         matches!(
             self,
             Slow { .. }
@@ -161,12 +165,12 @@
                 | Drain
         )
     }
-    pub fn on_counter(&self) -> bool {
-        matches!(self, What::Busy | What::Stall | What::RestartAtZero | What::Split)
+    pub fn applies_to_counter(&self) -> bool {
+        matches!(self, FaultKind::Busy | FaultKind::Stall | FaultKind::RestartAtZero | FaultKind::Split)
     }
     /// Short name for tables and plots.
     pub fn label(&self) -> &'static str {
-        use What::*;
+        use FaultKind::*;
         match self {
             Slow { .. } => "slow",
             Failing => "failing",
@@ -189,7 +193,7 @@
 /// Where a fault lands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    Srv(usize),
+    Server(usize),
     Counter,
     Discovery,
 }
@@ -203,7 +207,7 @@
             t => t
                 .strip_prefix("srv:")
                 .and_then(|n| n.parse().ok())
-                .map(Target::Srv)
+                .map(Target::Server)
                 .ok_or(format!("`target`: `{t}` is none of srv:N, counter, discovery")),
         }
     }
@@ -216,11 +220,11 @@
 pub const CLASSES: [&str; 3] = ["quote", "order", "notice"];
 pub const PLANS: [&str; 3] = ["free", "team", "house"];
 /// Most gateways one run starts: what this machine runs beside the emulator (issue 14 names 20).
-pub const MOST_GATEWAYS: usize = 20;
+pub const MAX_GATEWAYS: usize = 20;
 /// Most srvs, customers and reqs a second: keep threads and records bounded (a req record is some 80 bytes).
-pub const MOST_SRVS: usize = 64;
-pub const MOST_CUSTOMERS: u32 = 10_000;
-pub const MOST_RATE: f64 = 5_000.0;
+pub const MAX_SERVERS: usize = 64;
+pub const MAX_CUSTOMERS: u32 = 10_000;
+pub const MAX_RATE: f64 = 5_000.0;
 
 impl Scenario {
     /// Reads and checks a scenario; the error names the field at fault.
@@ -230,13 +234,13 @@
         Ok(s)
     }
 
-    pub fn srv_count(&self) -> usize {
-        self.srvs.iter().map(|g| g.count).sum()
+    pub fn server_count(&self) -> usize {
+        self.servers.iter().map(|g| g.count).sum()
     }
 
     /// Each srv's group, in the order of `srv:N`.
-    pub fn srv_groups(&self) -> Vec<&SrvGroup> {
-        self.srvs.iter().flat_map(|g| std::iter::repeat_n(g, g.count)).collect()
+    pub fn server_groups(&self) -> Vec<&ServerGroup> {
+        self.servers.iter().flat_map(|g| std::iter::repeat_n(g, g.count)).collect()
     }
 
     pub fn check(&self) -> Result<(), String> {
@@ -248,13 +252,13 @@
             }
         };
         span(self.duration_s, 0.5, 3600.0, "duration_s")?;
-        span(self.gateways as f64, 1.0, MOST_GATEWAYS as f64, "gateways")?;
+        span(self.gateways as f64, 1.0, MAX_GATEWAYS as f64, "gateways")?;
         span(self.bucket_s, 0.05, 60.0, "bucket_s")?;
         span(self.grace_s, 0.0, 10.0, "grace_s")?;
         span(self.quota_window_s, 1.0, 3600.0, "quota_window_s")?;
         let l = &self.load;
-        span(l.rate, 0.0, MOST_RATE, "load.rate")?;
-        span(l.customers as f64, 1.0, MOST_CUSTOMERS as f64, "load.customers")?;
+        span(l.rate, 0.0, MAX_RATE, "load.rate")?;
+        span(l.customers as f64, 1.0, MAX_CUSTOMERS as f64, "load.customers")?;
         span(l.give_up_early, 0.0, 1.0, "load.give_up_early")?;
         span(l.again_too_soon, 0.0, 1.0, "load.again_too_soon")?;
         span(l.clients_per_gateway as f64, 1.0, 512.0, "load.clients_per_gateway")?;
@@ -264,14 +268,14 @@
         for b in &l.bursts {
             span(b.at, 0.0, self.duration_s, "load.bursts.at")?;
             span(b.span, 0.0, self.duration_s, "load.bursts.for")?;
-            span(b.times * l.rate, 0.0, MOST_RATE, "load.bursts.times")?;
+            span(b.times * l.rate, 0.0, MAX_RATE, "load.bursts.times")?;
         }
         shares(&l.classes, &CLASSES, "load.classes")?;
         shares(&l.plans, &PLANS, "load.plans")?;
-        if self.srv_count() == 0 || self.srv_count() > MOST_SRVS {
-            return Err(format!("`srvs`: {} srvs, wants 1 to {MOST_SRVS}", self.srv_count()));
+        if self.server_count() == 0 || self.server_count() > MAX_SERVERS {
+            return Err(format!("`srvs`: {} srvs, wants 1 to {MAX_SERVERS}", self.server_count()));
         }
-        for g in &self.srvs {
+        for g in &self.servers {
             span(g.capacity as f64, 1.0, 4096.0, "srvs.capacity")?;
             span(g.latency_ms as f64, 0.0, 60_000.0, "srvs.latency_ms")?;
         }
@@ -280,17 +284,17 @@
             span(f.span, 0.0, self.duration_s, "faults.for")?;
             let t = f.target()?;
             let fits = match t {
-                Target::Srv(n) => f.what.on_srv() && n < self.srv_count(),
-                Target::Counter => f.what.on_counter(),
+                Target::Server(n) => f.kind.applies_to_server() && n < self.server_count(),
+                Target::Counter => f.kind.applies_to_counter(),
                 Target::Discovery => {
-                    matches!(f.what, What::Late)
-                        || matches!(f.what, What::Wrong { srv } if srv < self.srv_count())
+                    matches!(f.kind, FaultKind::Late)
+                        || matches!(f.kind, FaultKind::Wrong { server } if server < self.server_count())
                 }
             };
             if !fits {
-                return Err(format!("`faults`: {} can't be played on {}", f.what.label(), f.target));
+                return Err(format!("`faults`: {} can't be played on {}", f.kind.label(), f.target));
             }
-            if let What::Cold { cold_from } = f.what {
+            if let FaultKind::Cold { cold_from } = f.kind {
                 span(cold_from, 0.01, 1.0, "faults.cold_from")?;
             }
         }
@@ -356,8 +360,8 @@
 fn default_clients() -> usize {
     64
 }
-fn default_srvs() -> Vec<SrvGroup> {
-    vec![SrvGroup {
+fn default_servers() -> Vec<ServerGroup> {
+    vec![ServerGroup {
         count: 2,
         zone: default_zone(),
         latency_ms: default_latency(),
