--- a/testbed/src/arrivals.rs
+++ b/testbed/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Open-loop arrivals, pure and seeded: the same scenario gives the same reqs at the same points.
+//! Open-loop arrivals, generated from a seed: the same scenario always gives the same requests at the same times.
 
 use crate::gateway_settings::GatewaySettings;
 use crate::scenario::{Scenario, Share};
@@ -6,22 +6,26 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, WeightedIndex};
 
-/// One req due to be sent.
+/// A request and the time at which to send it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledRequest {
+    /// Time to send it, s.
     pub at: f64,
+    /// Index of the gateway to send it to.
     pub gateway: u16,
+    /// Index of the customer.
     pub customer: u32,
-    /// Index in the gateway's classes and plans.
+    /// Index of the class in the settings.
     pub class: u8,
+    /// Index of the plan in the settings.
     pub plan: u8,
     /// Client timeout, scenario.
     pub timeout: f64,
-    /// Where the client gives up on purpose, s after sending; `None` for a patient one.
+    /// When the client gives up on purpose, s after sending; `None` if it waits for its timeout.
     pub give_up: Option<f64>,
 }
 
-/// The rate at `t`, reqs/s: the scenario's rate times the multiple of the bursts that hold then.
+/// The rate at `t`, requests/s: the scenario's rate times the factors of the active bursts.
 pub fn rate_at(scenario: &Scenario, t: f64) -> f64 {
     scenario
         .load
@@ -31,13 +35,14 @@
         .fold(scenario.load.rate, |r, b| r * b.times)
 }
 
-/// Every req of the run in order of time. Customers keep one plan each and spread over all gateways, as the
-/// front does; an error names a class or plan the gateway's settings lack.
+/// All requests of the run, ordered by time. Each customer keeps one plan and sends to all gateways, as the front
+/// tier does. The error names a class or plan that the gateway settings lack.
 pub fn arrivals(scenario: &Scenario, settings: &GatewaySettings) -> Result<Vec<ScheduledRequest>, String> {
     let mut rng = StdRng::seed_from_u64(scenario.seed);
     let index = |list: &[Share], find: &dyn Fn(&str) -> Option<usize>, field: &str| {
-        let ids =
-            list.iter().map(|c| find(&c.name).ok_or(format!("`{field}`: `{}` not in the settings", c.name)));
+        let ids = list
+            .iter()
+            .map(|c| find(&c.name).ok_or(format!("`{field}`: `{}` is not in the gateway settings", c.name)));
         let ids = ids.collect::<Result<Vec<_>, _>>()?;
         let pick = WeightedIndex::new(list.iter().map(|c| c.share)).map_err(|e| format!("`{field}`: {e}"))?;
         Ok::<_, String>((ids, pick))
@@ -52,7 +57,7 @@
     if peak <= 0.0 {
         return Ok(out);
     }
-    // Thinning: draw at the peak rate, keep each point by the rate that holds there.
+    // Thinning: draw arrivals at the peak rate and keep each with the probability `rate_at(t) / peak`.
     let gap = Exp::new(peak).map_err(|e| e.to_string())?;
     let mut t = 0.0;
     loop {
--- a/testbed/src/arrivals/tests.rs
+++ b/testbed/src/arrivals/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_reqs_and_bursts_add_reqs() {
+fn arrivals_depend_only_on_the_seed_and_bursts_raise_the_rate() {
     let settings = GatewaySettings::parse(include_str!("../../../example/config.json")).unwrap();
     let calm = scenario("duration_s = 20\ngateways = 3\n[load]\nrate = 100\n");
     let a = arrivals(&calm, &settings).unwrap();
--- a/testbed/src/broken_gateway.rs
+++ b/testbed/src/broken_gateway.rs
@@ -1,6 +1,6 @@
-//! A deliberately broken gateway, for showing that the lab finds broken rules by itself. It reads the srv list
-//! once (so it sends to drained srvs for ever) and sends every req to two srvs (so a non-replayable req runs
-//! twice). It speaks just enough of the protocol to be started by the lab like the real one.
+//! A deliberately broken gateway, to test that the lab detects rule violations. It reads the server list only once
+//! (so it keeps sending to drained servers) and sends every request to two servers (so a request that must not be
+//! repeated runs twice). It implements just enough of the protocol for the lab to start it like a real gateway.
 
 use lupinledge_example::http::{read_message, Client, Message};
 use std::io::{BufReader, Write};
@@ -10,7 +10,7 @@
 use std::thread::spawn;
 use std::time::Duration;
 
-/// Serves until killed; the error says what of its start failed.
+/// Serves until the process is killed; the error describes why the start failed.
 pub fn serve() -> Result<(), String> {
     let path = std::env::var("EDGE_CONFIG").map_err(|_| "EDGE_CONFIG is not set")?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -28,6 +28,7 @@
     Ok(())
 }
 
+/// Addresses of all servers that discovery lists.
 fn active_servers(discovery: SocketAddr) -> Result<Vec<SocketAddr>, String> {
     let mut c = Client::connect(discovery).map_err(|e| format!("discovery: {e}"))?;
     let m = c.send_request(b"GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n").map_err(|e| e.to_string())?;
@@ -37,6 +38,7 @@
     Ok(rows.iter().filter_map(|r| r["hostPort"].as_str()?.parse().ok()).collect())
 }
 
+/// Serves one connection of a client.
 fn connection(stream: TcpStream, servers: &[SocketAddr], next_server: &AtomicUsize) -> Option<()> {
     let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
     while let Some(request) = read_message(&mut from).ok()? {
@@ -57,6 +59,7 @@
     Some(())
 }
 
+/// Forwards a request; `None` if the server does not respond within 200 ms.
 fn forward(request: &Message, server: SocketAddr) -> Option<Message> {
     let mut text = format!("{}\r\n", request.start_line);
     for (n, v) in &request.headers {
--- a/testbed/src/emulator/environment.rs
+++ b/testbed/src/emulator/environment.rs
@@ -1,5 +1,5 @@
-//! The world round the gateways: discovery, the counter and the srvs, and the thread that plays the schedule on
-//! discovery and the counter (srvs read the schedule themselves, req by req).
+//! The environment of the gateways: discovery, the counter and the servers, and the thread that applies scheduled
+//! faults to discovery and the counter (servers look up the schedule for each request).
 
 use crate::emulator::run_state::RunState;
 use crate::emulator::server::Server;
@@ -14,31 +14,37 @@
 use std::thread::{sleep, spawn, JoinHandle};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+/// The emulated components that the gateways of a run connect to.
 pub struct Environment {
+    /// Clock, schedule and arrivals of the run.
     pub run_state: Arc<RunState>,
+    /// The emulated discovery service.
     pub discovery: Arc<Discovery>,
+    /// The emulated counter.
     pub counter: Arc<Counter>,
-    /// The counter as the far half of the gateways reach it: the same totals, except while split.
+    /// Address of the counter for the second half of the gateways: the same totals, except during a split.
     pub far_counter_addr: SocketAddr,
+    /// The emulated servers, in the order of `srv:N`.
     pub servers: Vec<Server>,
     schedule_thread: Option<JoinHandle<()>>,
 }
 
-fn instance_entry(s: &Server, lifecycle: &str, started_at_ms: u64) -> Value {
-    catalog_entry(&format!("lab-s{}", s.n), s.addr, &s.zone, lifecycle, started_at_ms)
+/// The catalog entry of a server.
+fn instance_entry(server: &Server, lifecycle: &str, started_at_ms: u64) -> Value {
+    catalog_entry(&format!("lab-s{}", server.index), server.addr, &server.zone, lifecycle, started_at_ms)
 }
 
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// An address on loopback where nothing listens: bound for a moment, then let go.
+/// A loopback address where nothing listens: a port that was bound and released again.
 fn unused_addr() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).unwrap_or(([127, 0, 0, 1], 9).into())
 }
 
 impl Environment {
-    /// Starts everything on loopback at addresses of its own; the clock of the run starts here.
+    /// Starts every component on a free loopback port; the clock of the run starts here.
     pub fn start(scenario: &Scenario, settings: &GatewaySettings) -> std::io::Result<Environment> {
         let run_state = Arc::new(RunState::new(scenario.faults.clone(), scenario.grace_s, settings.clone()));
         let discovery = Arc::new(Discovery::start("127.0.0.1:0")?);
@@ -55,7 +61,7 @@
         Ok(Environment { run_state, discovery, counter, far_counter_addr, servers, schedule_thread: None })
     }
 
-    /// Plays the schedule from now on, on a thread of its own, until the run ends.
+    /// Applies the fault schedule on a separate thread until the run ends.
     pub fn play_schedule(&mut self) {
         let (run_state, discovery, counter) =
             (self.run_state.clone(), self.discovery.clone(), self.counter.clone());
@@ -72,8 +78,8 @@
                             .min(Duration::from_secs_f64((at - run_state.now()).max(0.0))),
                     );
                 }
-                let f = &run_state.faults[i];
-                match (f.target(), f.kind, begins) {
+                let fault = &run_state.faults[i];
+                match (fault.target(), fault.kind, begins) {
                     (Ok(Target::Server(n)), FaultKind::Drain, true) => {
                         discovery.update_entries(vec![instance_entry(server(n), "leaving", 0)])
                     }
@@ -87,8 +93,8 @@
                     (_, FaultKind::Stall, true) => counter.set_behaviour(Behaviour::Silent),
                     (_, FaultKind::Busy | FaultKind::Stall, false) => counter.set_behaviour(Behaviour::Reply),
                     (_, FaultKind::RestartAtZero, true) => counter.reset_totals(),
-                    (_, FaultKind::Split, b) => counter.set_split(b),
-                    (_, FaultKind::Late, b) => discovery.set_muted(b),
+                    (_, FaultKind::Split, begins) => counter.set_split(begins),
+                    (_, FaultKind::Late, begins) => discovery.set_muted(begins),
                     (_, FaultKind::Wrong { server: n }, true) => {
                         let s = server(n);
                         discovery.update_entries(vec![catalog_entry(
@@ -104,18 +110,18 @@
                     }
                     _ => {}
                 }
-                tracing::debug!(at, fault = f.kind.label(), begins, "schedule");
+                tracing::debug!(at, fault = fault.kind.label(), begins, "schedule");
             }
         }));
     }
 
-    /// Ends the run: srvs stop taking connections and silent ones let go.
+    /// Ends the run: servers stop accepting connections, and requests without a response are released.
     pub fn end(mut self) -> Arc<RunState> {
         self.run_state.end();
         self.counter.set_behaviour(Behaviour::Reply);
         self.discovery.set_muted(false);
-        if let Some(p) = self.schedule_thread.take() {
-            let _ = p.join();
+        if let Some(thread) = self.schedule_thread.take() {
+            let _ = thread.join();
         }
         self.run_state
     }
--- a/testbed/src/emulator/mod.rs
+++ b/testbed/src/emulator/mod.rs
@@ -1,4 +1,4 @@
-//! The emulator: stand-ins for srvs, the counter and discovery on loopback, with the scenario's faults.
+//! The emulator: servers, the counter and discovery on loopback, with the faults of the scenario.
 
 pub mod environment;
 pub mod run_state;
--- a/testbed/src/emulator/run_state.rs
+++ b/testbed/src/emulator/run_state.rs
@@ -1,4 +1,4 @@
-//! What all parts of the emulator share in one run: its clock, its schedule and its record of arrivals.
+//! State shared by all parts of the emulator during a run: the clock, the fault schedule and the arrivals.
 
 use crate::gateway_settings::GatewaySettings;
 use crate::record::Arrival;
@@ -8,22 +8,27 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// Most arrivals kept a run; beyond it they are counted only (some 100 bytes each: 400 MB at the most).
+/// Maximum number of arrivals recorded per run (about 100 bytes each, so 400 MB); more are only counted.
 pub const MAX_ARRIVALS: usize = 4_000_000;
 
+/// State of one run, shared by the threads of the emulator.
 pub struct RunState {
     start: Mutex<Instant>,
+    /// The fault schedule.
     pub faults: Vec<Fault>,
+    /// How long a draining server accepts new requests, s.
     pub grace_s: f64,
+    /// Classes and plans of the gateways.
     pub settings: GatewaySettings,
     over: AtomicBool,
     arrivals: Mutex<Vec<Arrival>>,
     dropped: Mutex<usize>,
-    /// Reqs of each customer open at all srvs together, as (srv, req id).
+    /// Open requests of each customer over all servers, as (server, request id).
     open_requests: Mutex<BTreeMap<u32, Vec<(u16, u64)>>>,
 }
 
 impl RunState {
+    /// Creates the state; the clock starts now.
     pub fn new(faults: Vec<Fault>, grace_s: f64, settings: GatewaySettings) -> RunState {
         RunState {
             start: Mutex::new(Instant::now()),
@@ -40,34 +45,37 @@
     pub fn now(&self) -> f64 {
         self.start.lock().unwrap().elapsed().as_secs_f64()
     }
-    /// Begins the run's clock anew: once the gateways are up, the schedule and the load count from here.
+    /// Restarts the clock of the run once the gateways are ready: the schedule and the load use this start time.
     pub fn restart_clock(&self) -> Instant {
         let now = Instant::now();
         *self.start.lock().unwrap() = now;
         now
     }
+    /// Whether the run has ended.
     pub fn is_over(&self) -> bool {
         self.over.load(Ordering::SeqCst)
     }
+    /// Ends the run.
     pub fn end(&self) {
         self.over.store(true, Ordering::SeqCst)
     }
-    pub fn record_arrival(&self, a: Arrival) {
+    /// Records the arrival, or counts it as dropped above `MAX_ARRIVALS`.
+    pub fn record_arrival(&self, arrival: Arrival) {
         let mut all = self.arrivals.lock().unwrap();
         if all.len() < MAX_ARRIVALS {
-            all.push(a);
+            all.push(arrival);
         } else {
             *self.dropped.lock().unwrap() += 1;
         }
     }
-    /// Notes a req of the customer open at a srv; gives all of the customer's open ones, this one included.
+    /// Adds an open request of the customer at a server; returns all open requests of the customer, including it.
     pub fn request_opened(&self, customer: u32, server: u16, id: u64) -> Vec<(u16, u64)> {
         let mut open_requests = self.open_requests.lock().unwrap();
         let all = open_requests.entry(customer).or_default();
         all.push((server, id));
         all.clone()
     }
-    /// Notes that one is no longer open.
+    /// Removes a request from the open requests of the customer.
     pub fn request_closed(&self, customer: u32, server: u16, id: u64) {
         let mut open_requests = self.open_requests.lock().unwrap();
         let all = open_requests.entry(customer).or_default();
@@ -75,6 +83,7 @@
             all.swap_remove(i);
         }
     }
+    /// Takes the recorded arrivals and the number of dropped ones.
     pub fn take_arrivals(&self) -> (Vec<Arrival>, usize) {
         (std::mem::take(&mut *self.arrivals.lock().unwrap()), *self.dropped.lock().unwrap())
     }
--- a/testbed/src/emulator/server.rs
+++ b/testbed/src/emulator/server.rs
@@ -1,5 +1,5 @@
-//! An emulated srv: serves reqs as the protocol page says, plays the faults the schedule gives it, and records
-//! every req that reaches it whole with what the rules need to know.
+//! An emulated server: serves requests as the protocol page describes, applies the scheduled faults, and records
+//! every fully received request with the data that the rule checks need.
 
 use crate::emulator::run_state::RunState;
 use crate::record::Arrival;
@@ -15,30 +15,37 @@
 use std::thread::spawn;
 use std::time::Duration;
 
-/// Most connections one srv holds; further ones are reset, as a real srv's machine does when full.
+/// Maximum number of connections of a server; more are reset, as by the machine of a real server at its limit.
 pub const MAX_CONNECTIONS: usize = 256;
 
+/// Address and identity of an emulated server.
 #[derive(Clone)]
 pub struct Server {
-    pub n: usize,
+    /// Index over all groups, N of `srv:N`.
+    pub index: usize,
+    /// Address it listens on.
     pub addr: SocketAddr,
+    /// The zone that discovery reports.
     pub zone: String,
 }
 
+/// State shared by the connections of one server.
 struct ServerState {
-    n: usize,
+    index: usize,
     latency: Duration,
     capacity: usize,
     run_state: Arc<RunState>,
     running: AtomicUsize,
     connections: AtomicUsize,
-    /// Keys of uniqued reqs that ran here; a repeat is answered from memory. Bounded by the reqs of a run.
+    /// Idempotency keys of requests that ran here; a repeated key gets the stored answer. Bounded by the number of
+    /// requests in a run.
     keys: Mutex<BTreeSet<String>>,
 }
 
 impl Server {
+    /// Starts a server on a free loopback port, with one thread per connection.
     pub fn start(
-        n: usize,
+        index: usize,
         zone: &str,
         latency_ms: u64,
         capacity: usize,
@@ -47,7 +54,7 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
         let inner = Arc::new(ServerState {
-            n,
+            index,
             latency: Duration::from_millis(latency_ms),
             capacity,
             run_state,
@@ -72,15 +79,16 @@
                 });
             }
         });
-        Ok(Server { n, addr, zone: zone.to_string() })
+        Ok(Server { index, addr, zone: zone.to_string() })
     }
 }
 
-/// The id a client wrote, as a number; 0 for none or a bad one.
+/// The `X-Request-Id` as a number; 0 if it is missing or malformed.
 fn id_of(m: &Message) -> u64 {
     m.header("x-request-id").and_then(|i| u64::from_str_radix(i, 16).ok()).unwrap_or(0)
 }
 
+/// The customer in the `client` query parameter; 0 if it is missing or malformed.
 fn customer_of(m: &Message) -> u32 {
     let target = m.start_line.split(' ').nth(1).unwrap_or_default();
     let query = target.split_once('?').map_or("", |q| q.1);
@@ -88,6 +96,7 @@
     hex.and_then(|h| u64::from_str_radix(h, 16).ok()).unwrap_or(0) as u32
 }
 
+/// Index of the class in the first path segment; `u8::MAX` if it is unknown.
 fn class_of(m: &Message, run_state: &RunState) -> u8 {
     let target = m.start_line.split(' ').nth(1).unwrap_or_default();
     let first = target.trim_start_matches('/').split(['/', '?']).next().unwrap_or_default();
@@ -104,7 +113,7 @@
         Some(())
     }
 
-    /// Serves one req; `None` where the connection is to end.
+    /// Serves one request; `None` if the connection must end.
     fn serve_request(
         &self,
         request: &Message,
@@ -113,9 +122,9 @@
     ) -> Option<()> {
         let state = &self.run_state;
         let t = state.now();
-        let (limit, cold) = schedule::server_limit(&state.faults, self.n, self.capacity, t);
+        let (limit, cold) = schedule::server_limit(&state.faults, self.index, self.capacity, t);
         let since_drain_announced =
-            schedule::drain_announced_at(&state.faults, self.n, t).map_or(f64::NAN, |d| t - d);
+            schedule::drain_announced_at(&state.faults, self.index, t).map_or(f64::NAN, |d| t - d);
         let customer = customer_of(request);
         let key = request.header("idempotency-key").map(str::to_string);
         let repeat_of_key = key.as_ref().is_some_and(|k| self.keys.lock().unwrap().contains(k));
@@ -123,9 +132,9 @@
         let past_grace = since_drain_announced > state.grace_s;
         let ran = running < limit && !past_grace && !repeat_of_key;
         let id = id_of(request);
-        let open = state.request_opened(customer, self.n as u16, id);
+        let open = state.request_opened(customer, self.index as u16, id);
         state.record_arrival(Arrival {
-            server: self.n as u16,
+            server: self.index as u16,
             at: t,
             id,
             class: class_of(request, state),
@@ -140,7 +149,7 @@
         });
         let body = format!("made for {}\n", request.header("x-request-id").unwrap_or("nobody"));
         if repeat_of_key || !ran {
-            state.request_closed(customer, self.n as u16, id);
+            state.request_closed(customer, self.index as u16, id);
             let (status, headers) =
                 if repeat_of_key { ("200 OK", "") } else { ("503 Service Unavailable", "X-Not-Run: 1\r\n") };
             return write_response(to, status, headers, &body);
@@ -150,12 +159,12 @@
         }
         self.running.fetch_add(1, Ordering::SeqCst);
         let open_request = OpenRequest { server: self, customer, id, open: std::cell::Cell::new(true) };
-        let fault = schedule::active_fault(&state.faults, Target::Server(self.n), t).map(|f| f.kind);
+        let fault = schedule::active_fault(&state.faults, Target::Server(self.index), t).map(|f| f.kind);
         self.respond(fault, to, from, &body, &open_request)
     }
 
-    /// Waits `span` or till the gateway ends the connection (then `false`), or the run ends. A connection carries
-    /// one req at a time, so nothing but its end can come while a req runs.
+    /// Waits for `span`, or until the gateway closes the connection (then `false`) or the run ends. A connection
+    /// carries one request at a time, so only its end can be read while a request runs.
     fn wait_while_connected(&self, from: &mut BufReader<TcpStream>, span: Option<Duration>) -> bool {
         let until = span.map(|s| std::time::Instant::now() + s);
         let mut byte = [0u8; 1];
@@ -178,6 +187,7 @@
         }
     }
 
+    /// Responds as the active fault demands; `None` if the connection must end.
     fn respond(
         &self,
         fault: Option<FaultKind>,
@@ -195,7 +205,7 @@
             open_request.close();
             return None;
         }
-        // The attempt is out until its answer is written: closed just before the last write.
+        // The request stays open until its response is written: it is closed just before the last write.
         let (status, headers) = match fault {
             Some(FaultKind::ResetMidAnswer) => {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\nmade", body.len());
@@ -217,10 +227,10 @@
     }
 }
 
-/// How often a running req looks whether its connection has ended.
+/// Interval at which a running request checks whether its connection has ended.
 const POLL: Duration = Duration::from_millis(20);
 
-/// A req that runs: counted in its srv and its customer until `close`, which may be called more than once.
+/// A running request: counted for its server and its customer until `close`, which may be called repeatedly.
 struct OpenRequest<'a> {
     server: &'a ServerState,
     customer: u32,
@@ -232,7 +242,7 @@
     fn close(&self) {
         if self.open.replace(false) {
             self.server.running.fetch_sub(1, Ordering::SeqCst);
-            self.server.run_state.request_closed(self.customer, self.server.n as u16, self.id);
+            self.server.run_state.request_closed(self.customer, self.server.index as u16, self.id);
         }
     }
 }
@@ -243,6 +253,7 @@
     }
 }
 
+/// Writes a response with a `Content-Length`.
 fn write_response(to: &mut TcpStream, status: &str, headers: &str, body: &str) -> Option<()> {
     let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len());
     to.write_all(text.as_bytes()).ok()
--- a/testbed/src/fleet.rs
+++ b/testbed/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The gateways under test: N processes of one build, each with a configuration file of its own made from the
-//! gateway configuration the lab was given, pointed at the emulator.
+//! The gateways under test: processes of one program, each with a configuration file derived from the given
+//! gateway configuration and pointing at the emulator.
 
 use crate::emulator::environment::Environment;
 use crate::gateway_settings::GatewaySettings;
@@ -15,15 +15,17 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// A build to start: a program and the words before its own.
+/// The command that starts a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayCommand {
+    /// Path of the executable.
     pub program: PathBuf,
+    /// Its arguments.
     pub args: Vec<String>,
 }
 
 impl GatewayCommand {
-    /// `lupinledge` beside the running program, as cargo lays out a target folder.
+    /// `lupinledge` in the folder of the running program, the layout of a cargo target folder.
     pub fn next_to_this_program() -> GatewayCommand {
         let me = std::env::current_exe().unwrap_or_default();
         let mut dir = me.parent().map(PathBuf::from).unwrap_or_default();
@@ -34,21 +36,23 @@
     }
 }
 
-/// Lines of each gateway's log kept for a report of why it failed.
+/// Number of the last log lines kept per gateway, to report why it failed.
 const MAX_LOG_LINES: usize = 200;
-/// How long a gateway may take to listen and be ready: a release build takes some 50 ms, a debug one under 1 s.
+/// Time limit for a gateway to listen and be ready: a release build takes about 50 ms, a debug build under 1 s.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// The running gateway processes; dropping the fleet ends them.
 pub struct Fleet {
     children: Vec<Child>,
+    /// Address of each gateway.
     pub addrs: Vec<SocketAddr>,
     files: Vec<PathBuf>,
     logs: Vec<Arc<Mutex<VecDeque<String>>>>,
 }
 
 impl Fleet {
-    /// Starts `scenario.gateways` gateways and waits till each answers `GET /_health` with 200. The error names the
-    /// gateway and ends with the last lines of its log.
+    /// Starts all gateways and waits until each responds to `GET /_health` with 200. The error names the gateway
+    /// and ends with the last lines of its log.
     pub fn start(
         build: &GatewayCommand,
         scenario: &Scenario,
@@ -61,7 +65,7 @@
             conf["name"] = json!(format!("lab-g{i}"));
             conf["listen"] = json!("127.0.0.1:0");
             conf["discovery"] = json!(environment.discovery.addr.to_string());
-            // The second half of the gateways reach the counter by its far door: one side of a split.
+            // The second half of the gateways uses the far address of the counter: one side of a split.
             let counter = if 2 * i >= scenario.gateways && scenario.gateways > 1 {
                 environment.far_counter_addr
             } else {
@@ -111,6 +115,7 @@
         Ok(fleet)
     }
 
+    /// Waits until the gateway is ready; returns its address.
     fn ready(&mut self, i: usize) -> Result<SocketAddr, String> {
         let start = Instant::now();
         let listens = |log: &VecDeque<String>| {
@@ -129,25 +134,26 @@
         Err(format!("gateway {i} not ready within {READY_TIMEOUT:?}:\n{}", self.log(i)))
     }
 
+    /// The last log lines of a gateway.
     pub fn log(&self, i: usize) -> String {
         self.logs[i].lock().unwrap().iter().cloned().collect::<Vec<_>>().join("\n")
     }
 
-    /// Each gateway's peak resident memory, KiB, from `/proc`; 0 where it can't be read.
+    /// Peak resident memory of each gateway from `/proc`, KiB; 0 if it can't be read.
     pub fn peak_memory_kib(&self) -> Vec<u64> {
         self.children.iter().map(|c| peak_kib(&format!("/proc/{}/status", c.id()))).collect()
     }
 
-    /// Whether every gateway still runs: one that ended by itself crashed.
+    /// Indexes of the gateways that have crashed, that is, ended by themselves.
     pub fn crashed(&mut self) -> Vec<usize> {
         (0..self.children.len()).filter(|i| matches!(self.children[*i].try_wait(), Ok(Some(_)))).collect()
     }
 
-    /// Ends the gateways this fleet started and removes their files.
+    /// Ends the gateways of this fleet and removes their configuration files.
     pub fn stop(self) {}
 }
 
-/// Guards against gateways left running when a run fails or a test panics half way: each is ended by its id.
+/// Ends each gateway by its process id, so that none keeps running after a failed run or a panic in a test.
 impl Drop for Fleet {
     fn drop(&mut self) {
         for c in &mut self.children {
@@ -160,19 +166,21 @@
     }
 }
 
-/// `VmHWM` of a status file of `/proc`, KiB; 0 where there is none.
+/// `VmHWM` from a status file in `/proc`, KiB; 0 if it is missing.
 pub fn peak_kib(path: &str) -> u64 {
     let text = std::fs::read_to_string(path).unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with("VmHWM:"));
     line.and_then(|l| l.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
 }
 
+/// A number that makes file names unique within this process.
 fn next_file_number() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static N: AtomicU64 = AtomicU64::new(0);
     N.fetch_add(1, Ordering::Relaxed)
 }
 
+/// The status of `GET /_health`; `None` if the gateway can't be reached.
 fn health(addr: SocketAddr) -> Option<u16> {
     let mut c = Client::connect_with_timeout(addr, Duration::from_millis(500)).ok()?;
     let m = c.send_request(b"GET /_health HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").ok()??;
--- a/testbed/src/gateway_settings.rs
+++ b/testbed/src/gateway_settings.rs
@@ -1,50 +1,61 @@
-//! What the lab must know of the gateway's settings to judge it: classes and plans, read from the same JSON
-//! file the gateways are started with, so that no figure of them is written twice.
+//! The gateway settings that the rule checks need: classes and plans, parsed from the same JSON file that the
+//! gateways are started with, so that no value is stated twice.
 
 use serde::Deserialize;
 
+/// Whether a request of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// May run any number of times.
     Repeatable,
-    /// Uniqued: safe again under its `Idempotency-Key`.
+    /// May be repeated under the same `Idempotency-Key`: the server runs it once.
     ByKey,
-    /// Non-replayable: must never run twice.
+    /// Must never run twice.
     Once,
 }
 
+/// A request class.
 #[derive(Clone, Debug)]
 pub struct Class {
+    /// First path segment of its requests.
     pub name: String,
+    /// Whether its requests may run more than once.
     pub effect: Effect,
-    /// Response target and deadline, s.
+    /// Target for the response time, s.
     pub slo: f64,
+    /// Deadline, s.
     pub deadline: f64,
 }
 
+/// The plan of a customer.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Value of the `Plan` header.
     pub name: String,
-    /// Most reqs of one customer open at once over all gateways; 0 for none.
+    /// Maximum number of concurrent requests of one customer over all gateways; 0 for no limit.
     pub at_once: usize,
-    /// The quota's store: it fills at `units_per_s` up to `store_size` units; 0 for a plan without a rate.
+    /// Refill rate of the token bucket; 0 for a plan without a rate limit.
     pub units_per_s: f64,
+    /// Capacity of the token bucket, units.
     pub store_size: f64,
 }
 
 impl Plan {
-    /// Most units a customer may use in any span of `span_s` seconds: a full store and what fills meanwhile.
-    /// `None` for a plan without a rate.
+    /// Maximum units a customer may use in any `span_s` seconds: a full token bucket and its refill in that time.
+    /// `None` for a plan without a rate limit.
     pub fn allowed(&self, span_s: f64) -> Option<f64> {
         (self.units_per_s > 0.0).then_some(self.store_size + self.units_per_s * span_s)
     }
 }
 
+/// Classes and plans of the gateways under test.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
+    /// Classes, in the order of the file.
     pub classes: Vec<Class>,
+    /// Plans, in the order of the file.
     pub plans: Vec<Plan>,
-    /// The gateway's configuration as read, to be started with.
+    /// The whole configuration, from which the file of each gateway is made.
     pub raw_config: serde_json::Value,
 }
 
@@ -67,10 +78,10 @@
 }
 
 impl GatewaySettings {
-    /// Reads a gateway configuration (the format of `example/config.json`); the error names the field.
+    /// Parses a gateway configuration (the format of `example/config.json`); the error names the invalid field.
     pub fn parse(text: &str) -> Result<GatewaySettings, String> {
         let raw_config: serde_json::Value =
-            serde_json::from_str(text).map_err(|e| format!("no JSON: {e}"))?;
+            serde_json::from_str(text).map_err(|e| format!("invalid JSON: {e}"))?;
         let section = raw_config.get("settings").ok_or("`settings`: missing")?;
         let classes: Vec<WireClass> = serde_json::from_value(section["classes"].clone())
             .map_err(|e| format!("`settings.classes`: {e}"))?;
@@ -83,7 +94,7 @@
                     "repeatable" => Effect::Repeatable,
                     "by_key" => Effect::ByKey,
                     "once" => Effect::Once,
-                    e => return Err(format!("`settings.classes.effect`: `{e}`")),
+                    e => return Err(format!("`settings.classes.effect`: unknown value `{e}`")),
                 };
                 Ok(Class { name: c.name, effect, slo: c.slo, deadline: c.deadline })
             })
@@ -100,9 +111,11 @@
         Ok(GatewaySettings { classes, plans, raw_config })
     }
 
+    /// Index of a class.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.name == name)
     }
+    /// Index of a plan.
     pub fn plan(&self, name: &str) -> Option<usize> {
         self.plans.iter().position(|p| p.name == name)
     }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,3 +1,6 @@
+//! The testbed: runs gateways against emulated servers, counter and discovery with scheduled faults, generates load,
+//! checks the rules and writes reports. The program is `lupinledge-lab`.
+
 pub mod arrivals;
 pub mod broken_gateway;
 pub mod emulator;
--- a/testbed/src/load.rs
+++ b/testbed/src/load.rs
@@ -1,5 +1,6 @@
-//! The load tool: clients that send the arrivals to the gateways on time, open loop, and note how each req
-//! ended. A gateway has a fixed set of client threads, each keeping one connection, as the front does.
+//! The load generator: clients send requests to the gateways at the scheduled times (open loop) and record how each
+//! one ended. Each gateway has a fixed number of client threads with one persistent connection each, as in the
+//! front tier.
 
 use crate::arrivals::ScheduledRequest;
 use crate::gateway_settings::{Effect, GatewaySettings};
@@ -18,11 +19,12 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// Most repeats a client makes of one denied req when it comes again too soon.
+/// Maximum number of immediate retries of a denied request.
 const MAX_IMMEDIATE_RETRIES: usize = 3;
-/// Waits for a connection to come up, s: a loopback connect that takes longer is a gateway out of descriptors.
+/// Connect timeout, s: a loopback connect takes longer only if the gateway has run out of file descriptors.
 const CONNECT_TIMEOUT_S: f64 = 0.25;
 
+/// State shared by all client threads of a run.
 struct LoadContext {
     addrs: Vec<SocketAddr>,
     settings: GatewaySettings,
@@ -34,7 +36,7 @@
     progress: Option<ProgressBar>,
 }
 
-/// Sends every arrival, from `start` on, and gives back each req as its client saw it, in no set order.
+/// Sends every scheduled request, relative to `start`; returns each as its client saw it, in no particular order.
 pub fn drive(
     scenario: &Scenario,
     settings: &GatewaySettings,
@@ -53,7 +55,7 @@
         start,
         gateways: scenario.gateways,
         again_too_soon: scenario.load.again_too_soon,
-        // Ids of this run: 16 hex digits, a base from the seed so that two runs' ids differ.
+        // Request ids have 16 hex digits; the base depends on the seed so that ids of different runs differ.
         next_id: AtomicU64::new((scenario.seed.wrapping_mul(0x2545_f491_4f6c_dd1d) & 0xffff_ffff) << 20),
         finished: Mutex::default(),
         progress,
@@ -72,6 +74,7 @@
     finished
 }
 
+/// One client thread: sends the requests of its gateway's queue one after the other.
 fn client(context: &LoadContext, gateway: usize, queue: &Mutex<VecDeque<ScheduledRequest>>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut kept_connection: Option<BufReader<TcpStream>> = None;
@@ -97,6 +100,7 @@
     }
 }
 
+/// The bytes of a request.
 fn request_text(context: &LoadContext, due: &ScheduledRequest, id: u64, is_retry: bool) -> String {
     let class = &context.settings.classes[due.class as usize];
     let plan_name = &context.settings.plans[due.plan as usize].name;
@@ -118,7 +122,7 @@
     }
 }
 
-/// One try of a client: sends, waits for its answer or its own timeout, and says how it ended.
+/// Sends a request once and waits for its response or the client timeout; returns how it ended.
 fn send_once(
     context: &LoadContext,
     gateway: usize,
@@ -143,8 +147,8 @@
         ended: sent,
         is_retry,
     };
-    // A kept connection that the gateway closed between reqs is met by the write or an empty read: the req is
-    // then sent once more on a new connection, as the protocol page allows.
+    // If the gateway has closed the persistent connection between requests, the write fails or the read returns
+    // nothing. The request is then sent again on a new connection, as the protocol page allows.
     let mut fresh = kept_connection.is_none();
     let answer = loop {
         if kept_connection.is_none() {
@@ -158,7 +162,7 @@
             *kept_connection = Some(BufReader::new(stream));
             fresh = true;
         }
-        let connection = kept_connection.as_mut().expect("just made");
+        let connection = kept_connection.as_mut().expect("connected above");
         let left = wait - (context.start.elapsed().as_secs_f64() - sent);
         let _ = connection.get_ref().set_read_timeout(Some(Duration::from_secs_f64(left.max(0.001))));
         let got = connection
@@ -194,6 +198,7 @@
     request
 }
 
+/// The outcome of a request that got a response.
 fn classify_response(response: &Message, id: u64, latency: f64, timeout: f64) -> Outcome {
     if latency > timeout + SLACK_S {
         return Outcome::Late;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `lupinledge-lab`: plays scenarios against real gateways behind emulated srvs, counter and discovery.
+//! `lupinledge-lab`: runs scenarios against real gateways with emulated servers, counter and discovery.
 
 use clap::{Parser, Subcommand};
 use lupinledge_testbed::fleet::GatewayCommand;
@@ -14,7 +14,7 @@
 #[command(
     name = "lupinledge-lab",
     version,
-    about = "The lab of lupinledge: emulated srvs, counter and discovery, load, rule checks, reports"
+    about = "Test lab of lupinledge: emulated servers, counter and discovery, load generation, rule checks, reports"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -23,42 +23,42 @@
 
 #[derive(clap::Args, Clone)]
 struct Common {
-    /// The gateway program to start; default: `lupinledge` beside this program.
+    /// The gateway program to start; default: `lupinledge` in the folder of this program.
     #[arg(long)]
     gateway: Option<PathBuf>,
-    /// Start the deliberately broken gateway of the lab instead (to see the rule checks find it).
+    /// Start the deliberately broken gateway of the lab instead, to see the rule checks detect it.
     #[arg(long, conflicts_with = "gateway")]
     broken: bool,
-    /// The gateway configuration to start from (JSON, as `example/config.json`); default: the example's.
+    /// Base gateway configuration (JSON, as `example/config.json`); default: that of the example.
     #[arg(long)]
     config: Option<PathBuf>,
-    /// Folder for the report; default `lab-out/NAME`.
+    /// Folder for the report; default: `lab-out/NAME`.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays one scenario and writes its report; exits 1 when a rule broke.
+    /// Runs one scenario and writes its report; exits with 1 if a rule was violated.
     Run {
         scenario: PathBuf,
         #[command(flatten)]
         common: Common,
     },
-    /// Plays two scenarios (or one twice, with `--gateway-b` or `--config-b`) and sets them side by side.
+    /// Runs two scenarios (or one twice, with `--gateway-b` or `--config-b`) and compares their figures.
     Compare {
         a: PathBuf,
         b: Option<PathBuf>,
         #[command(flatten)]
         common: Common,
-        /// The second run's gateway program.
+        /// The gateway program of the second run.
         #[arg(long)]
         gateway_b: Option<PathBuf>,
-        /// The second run's gateway configuration.
+        /// The gateway configuration of the second run.
         #[arg(long)]
         config_b: Option<PathBuf>,
     },
-    /// Plays a scenario at several multiples of its load.
+    /// Runs a scenario at several multiples of its load.
     Sweep {
         scenario: PathBuf,
         #[command(flatten)]
@@ -69,18 +69,20 @@
         #[arg(long, value_delimiter = ',', conflicts_with = "times")]
         outage: Vec<f64>,
     },
-    /// Checks a scenario file and says what it would play.
+    /// Validates a scenario file and prints what it would run.
     Check { scenario: PathBuf },
-    /// Serves as the deliberately broken gateway (started by the lab itself).
+    /// Serves as the deliberately broken gateway (started by the lab).
     #[command(hide = true)]
     BrokenGateway,
 }
 
+/// Reads and validates a scenario file.
 fn read_scenario(path: &PathBuf) -> Result<Scenario, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     Scenario::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
+/// The options of a run; `gateway` and `config` take precedence over the common ones.
 fn run_options(
     c: &Common,
     gateway: Option<&PathBuf>,
@@ -103,6 +105,7 @@
     Ok(RunOptions { build, settings, progress: std::io::stderr().is_terminal() })
 }
 
+/// The folder for the report.
 fn output_dir(c: &Common, name: &str) -> PathBuf {
     c.out.clone().unwrap_or_else(|| PathBuf::from("lab-out").join(name))
 }
@@ -115,7 +118,7 @@
         )
         .init();
     if let Err(e) = ctrlc::set_handler(|| run::STOP.store(true, std::sync::atomic::Ordering::SeqCst)) {
-        tracing::warn!("no handler for SIGINT and SIGTERM: {e}");
+        tracing::warn!("failed to install the handler for SIGINT and SIGTERM: {e}");
     }
     match execute(Cli::parse().command) {
         _ if run::stopped() => ExitCode::from(130),
@@ -128,7 +131,7 @@
     }
 }
 
-/// Does what was asked; `Ok(false)` where a rule broke.
+/// Executes a command; `Ok(false)` if a rule was violated.
 fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Run { scenario: path, common } => {
@@ -197,7 +200,7 @@
             let settings = GatewaySettings::parse(include_str!("../../example/config.json"))?;
             let due = lupinledge_testbed::arrivals::arrivals(&s, &settings)?;
             println!(
-                "{}: {} gateways, {} srvs, {} reqs, {} faults",
+                "{}: {} gateways, {} servers, {} requests, {} faults",
                 s.name,
                 s.gateways,
                 s.server_count(),
--- a/testbed/src/plot.rs
+++ b/testbed/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of a run (SVG, `plotters`): goodput and latency over time with the fault windows shaded, and a sweep.
+//! SVG plots: goodput and latency of a run over time with shaded fault windows, and the results of a sweep.
 
 use crate::report::Summary;
 use plotters::coord::types::RangedCoordf64;
@@ -8,7 +8,7 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, plotters::coord::Shift>;
 type Panel<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
 
-/// A panel with its caption and mesh, x from 0 to `x`, y from 0 to `y`.
+/// Draws a panel with caption and mesh; the axes range from 0 to `x` and from 0 to `y`.
 fn panel<'a, 'b>(
     area: &'a Area<'b>,
     caption: &str,
@@ -26,7 +26,7 @@
     Ok(c)
 }
 
-/// Two panels: passed and other reqs a second above, p50 and p99 of passed reqs below; faults shaded.
+/// Plots a run in two panels: requests per second by outcome, and p50 and p99 latency of passed requests.
 pub fn timeline(s: &Summary, path: &std::path::Path) -> Result<(), Failed> {
     let root = SVGBackend::new(path, (960, 640)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// A line with its key in the legend.
+/// Draws a line and its legend entry.
 fn series(
     c: &mut Panel<'_, '_>,
     points: Vec<(f64, f64)>,
@@ -69,6 +69,7 @@
     Ok(())
 }
 
+/// Shades the fault windows.
 fn shade(c: &mut Panel<'_, '_>, s: &Summary, top: f64) -> Result<(), Failed> {
     let boxes = s.faults.iter().map(|(a, b, _)| {
         Rectangle::new([(*a, 0.0), (b.max(a + 0.05), top)], RGBColor(255, 160, 0).mix(0.2).filled())
@@ -77,7 +78,7 @@
     Ok(())
 }
 
-/// Goodput and missed share against the load multiple.
+/// Plots goodput, share of missed targets and quota overshoot against the swept variable.
 pub fn sweep(rows: &[(f64, Summary)], axis: &str, path: &std::path::Path) -> Result<(), Failed> {
     let root = SVGBackend::new(path, (1200, 400)).into_drawing_area();
     root.fill(&WHITE)?;
--- a/testbed/src/quota/tests.rs
+++ b/testbed/src/quota/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn use_over_the_bucket_is_found_and_denials_with_room_are_counted() {
+fn detects_usage_above_the_allowance_and_counts_denials_with_room() {
     let settings = GatewaySettings::parse(include_str!("../../../example/config.json")).unwrap();
     let free = settings.plan("free").unwrap() as u8;
     let allowed = settings.plans[free as usize].allowed(10.0).unwrap();
@@ -46,8 +46,8 @@
     let ws = windows(&r, &settings, 10.0, 0.95);
     assert_eq!(ws.len(), 2);
     assert!((ws[0].over() - (n as f64 / allowed - 1.0)).abs() < 1e-9);
-    assert_eq!(ws[1].denied_with_room, 1, "customer 2 had used nothing");
-    assert_eq!(ws[0].used, n as f64, "a second attempt of a req is no second unit");
+    assert_eq!(ws[1].denied_with_room, 1, "customer 2 had not used any units");
+    assert_eq!(ws[0].used, n as f64, "a second attempt of a request uses no second unit");
     assert_eq!(worst(&ws, 0.05).1, 1);
     r.arrivals.truncate(allowed as usize);
     assert_eq!(worst(&windows(&r, &settings, 10.0, 0.95), 0.05), (0.0, 0));
--- a/testbed/src/record.rs
+++ b/testbed/src/record.rs
@@ -1,27 +1,28 @@
-//! What a run saw, from both ends: each req as its client saw it, and each arrival at a srv as the srv saw it.
+//! The record of a run from both ends: each request as its client saw it, and each arrival as the server saw it.
 //!
 //! Times are seconds from the start of the run.
 
-/// How a req ended for its client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Outcome {
-    /// 200 with the body a srv made for this req.
+    /// 200 with the body that a server made for this request.
     Passed,
-    /// 429 or 503: refused, harmless to try again.
+    /// 429 or 503: rejected, safe to retry.
     Denied,
     /// Any other status.
     Failed,
-    /// The gateway ended the connection without a whole answer.
+    /// The gateway closed the connection without a complete response.
     NoAnswer,
-    /// Nothing came before the client timeout (and the 50 ms the bench adds).
+    /// No response within the client timeout plus `SLACK_S`.
     Late,
-    /// The client gave up early on purpose; no rule is asked of the gateway for it.
+    /// The client gave up early on purpose; no rule applies to this request.
     GaveUp,
-    /// A 200 whose body no srv made for this req: a stray answer, or one sent after.
+    /// A 200 whose body no server made for this request: the response to another request.
     ForeignAnswer,
 }
 
 impl Outcome {
+    /// Every outcome, in the order of reports.
     pub const ALL: [Outcome; 7] = [
         Outcome::Passed,
         Outcome::Denied,
@@ -31,6 +32,7 @@
         Outcome::GaveUp,
         Outcome::ForeignAnswer,
     ];
+    /// Name in reports.
     pub fn label(self) -> &'static str {
         match self {
             Outcome::Passed => "passed",
@@ -44,62 +46,77 @@
     }
 }
 
-/// One req as its client saw it.
+/// One request as its client saw it.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
+    /// The `X-Request-Id`.
     pub id: u64,
+    /// Index of the gateway it was sent to.
     pub gateway: u16,
+    /// Index of the customer.
     pub customer: u32,
+    /// Index of the class in the settings.
     pub class: u8,
+    /// Index of the plan in the settings.
     pub plan: u8,
-    /// When it was due by the arrivals; `sent` minus this is the tool's own lag.
+    /// Scheduled time; `sent` minus this is the lag of the load generator.
     pub due: f64,
+    /// When it was sent.
     pub sent: f64,
     /// The client timeout, s from `sent`.
     pub timeout: f64,
+    /// How it ended.
     pub outcome: Outcome,
-    /// When its answer's last byte came (or the client stopped waiting).
+    /// When the last byte of its response arrived, or the client stopped waiting.
     pub ended: f64,
-    /// A client's repeat of a denied req.
+    /// Whether it is a retry of a denied request.
     pub is_retry: bool,
 }
 
 impl ClientRequest {
+    /// Time from sending to the end, s.
     pub fn latency(&self) -> f64 {
         self.ended - self.sent
     }
 }
 
-/// One req that reached a srv whole.
+/// One request that a server received completely.
 #[derive(Clone, Debug)]
 pub struct Arrival {
+    /// Index of the server.
     pub server: u16,
+    /// Time of the arrival.
     pub at: f64,
-    /// The `X-Request-Id`, as the number its 16 hex digits give; 0 where none could be read.
+    /// The `X-Request-Id` as a number; 0 if it is missing or malformed.
     pub id: u64,
+    /// Index of the class in the settings.
     pub class: u8,
+    /// Index of the customer.
     pub customer: u32,
-    /// Whether it began to run (rather than being turned away unrun).
+    /// Whether it began to run (rather than being rejected).
     pub ran: bool,
-    /// A by-key req whose key had run already: answered from memory, not run again.
+    /// Whether its idempotency key had run before: it got the stored answer and did not run again.
     pub repeat_of_key: bool,
-    /// Reqs running on this srv when it came, and what the srv could take then.
+    /// Number of requests running on this server at the arrival.
     pub running: usize,
+    /// Number of requests that the server could run concurrently at that time.
     pub limit: usize,
-    /// Whether the srv was cold (within a `cold` window) when it came.
+    /// Whether the server was in a `cold` window at the arrival.
     pub cold: bool,
-    /// Seconds since discovery told that this srv is leaving; negative or NaN where it was not.
+    /// Seconds since discovery announced the drain of this server; NaN if it had not.
     pub since_drain_announced: f64,
-    /// The customer's reqs open at all srvs together when it came, this one included, as (srv, req id).
+    /// Open requests of the customer over all servers at the arrival, this one included, as (server, request id).
     pub customer_open: Vec<(u16, u64)>,
 }
 
-/// All of a run.
+/// Everything recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
+    /// Requests as the clients saw them.
     pub requests: Vec<ClientRequest>,
+    /// Arrivals as the servers saw them.
     pub arrivals: Vec<Arrival>,
-    /// Peak resident memory of each gateway at the end, KiB (`VmHWM`), where it could be read.
+    /// Peak resident memory of each gateway at the end of the run, KiB (`VmHWM`); 0 if it could not be read.
     pub gateway_peak_kib: Vec<u64>,
     /// Peak resident memory of the lab itself, KiB.
     pub lab_peak_kib: u64,
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! A run's summary and its tables: Markdown for people, CSV for tools. Figures are emulated.
+//! The summary of a run and its tables: Markdown for people, CSV for tools. All values come from the emulation.
 
 use crate::gateway_settings::GatewaySettings;
 use crate::record::{Outcome, Record};
@@ -8,65 +8,91 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// One bucket of the timeline.
+/// Requests sent in one bucket of the timeline.
 #[derive(Clone, Debug, Default)]
 pub struct Bucket {
     /// Start of the bucket, s.
     pub t: f64,
+    /// Requests that passed.
     pub passed: usize,
+    /// Requests that were denied.
     pub denied: usize,
-    /// Failed, unanswered, late or foreign.
+    /// Requests that failed, got no answer or a late or foreign one.
     pub other: usize,
+    /// Requests that missed the response target of their class.
     pub missed: usize,
+    /// Median latency of passed requests, ms.
     pub p50_ms: f64,
+    /// 99th percentile of the latency of passed requests, ms.
     pub p99_ms: f64,
 }
 
+/// The results of a run.
 #[derive(Clone, Debug)]
 pub struct Summary {
+    /// Name of the scenario.
     pub name: String,
+    /// Seed of the scenario.
     pub seed: u64,
+    /// Number of gateways.
     pub gateways: usize,
+    /// Number of servers.
     pub servers: usize,
+    /// Duration of the load, s.
     pub duration_s: f64,
+    /// Number of requests by outcome.
     pub counts: BTreeMap<Outcome, usize>,
+    /// Number of requests.
     pub requests: usize,
-    /// Passed reqs a second of load.
+    /// Passed requests per second of load.
     pub goodput: f64,
-    /// Latency of passed reqs, ms.
+    /// Median latency of passed requests, ms.
     pub p50_ms: f64,
+    /// 99th percentile of the latency of passed requests, ms.
     pub p99_ms: f64,
+    /// 99.9th percentile of the latency of passed requests, ms.
     pub p999_ms: f64,
-    /// Reqs not given up that did not pass within their class's response target.
+    /// Requests that did not pass within the response target of their class, without those given up.
     pub missed: usize,
-    /// How late the load tool sent, p99, ms: above a few ms the tool, not the gateway, is the limit.
+    /// 99th percentile of the delay between schedule and sending, ms: if it exceeds a few ms, the load generator and
+    /// not the gateway is the limit.
     pub lag_p99_ms: f64,
+    /// Violations of each rule.
     pub verdict: Verdict,
+    /// Requests by time of sending.
     pub timeline: Vec<Bucket>,
-    /// Largest peak resident memory of one gateway, and the lab's own, KiB.
+    /// Largest peak resident memory of a gateway, KiB.
     pub gateway_peak_kib: u64,
+    /// Peak resident memory of the lab, KiB.
     pub lab_peak_kib: u64,
+    /// Indexes of the gateways that crashed.
     pub crashed: Vec<usize>,
+    /// Arrivals that were counted but not recorded.
     pub dropped_arrivals: usize,
-    /// Quotas: the worst use over the allowance in one customer's window (0.05 is 5% over), the windows more than
-    /// `QUOTA_BOUND` over, all rated windows, and denials of customers below `ROOM` of theirs.
+    /// Largest overshoot of a customer's quota in a window (0.05 is 5% over).
     pub quota_over: f64,
+    /// Number of windows more than `QUOTA_BOUND` over the quota.
     pub quota_windows_over: usize,
+    /// Number of windows of customers with a quota.
     pub quota_windows: usize,
+    /// Denials of customers below the share `ROOM_SHARE` of their quota.
     pub denied_with_room: usize,
     /// Fault windows: start, end, label.
     pub faults: Vec<(f64, f64, String)>,
 }
 
-/// The error issue 16 states before any test: no customer over 5% above quota in a window, none denied below 95%.
+/// Largest acceptable overshoot of a quota: issue 16 requires that no customer exceeds its quota by more than 5% in
+/// a window.
 pub const QUOTA_BOUND: f64 = 0.05;
+/// Usage below which a denial is an error: issue 16 requires that no customer is denied below 95% of its quota.
 pub const ROOM_SHARE: f64 = 0.95;
 
-/// Latencies are kept in microseconds up to a minute, three significant figures.
+/// A histogram of latencies in microseconds, up to one minute, with three significant figures.
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 60_000_000, 3).expect("fixed bounds")
+    Histogram::new_with_bounds(1, 60_000_000, 3).expect("constant bounds are valid")
 }
 
+/// A quantile in milliseconds; 0 for an empty histogram.
 fn ms(h: &Histogram<u64>, q: f64) -> f64 {
     if h.is_empty() {
         0.0
@@ -76,6 +102,7 @@
 }
 
 impl Summary {
+    /// Evaluates the record of a run.
     pub fn of(
         s: &Scenario,
         settings: &GatewaySettings,
@@ -85,7 +112,7 @@
     ) -> Summary {
         let verdict = rules::check(record, settings, s.grace_s);
         let mut counts: BTreeMap<Outcome, usize> = Outcome::ALL.iter().map(|e| (*e, 0)).collect();
-        let (mut all, mut lag) = (histogram(), histogram());
+        let (mut all_latencies, mut lags) = (histogram(), histogram());
         let buckets = ((s.duration_s + 4.0) / s.bucket_s).ceil() as usize;
         let mut timeline: Vec<(Bucket, Histogram<u64>)> = (0..buckets)
             .map(|i| (Bucket { t: i as f64 * s.bucket_s, ..Bucket::default() }, histogram()))
@@ -94,23 +121,25 @@
         for r in &record.requests {
             *counts.entry(r.outcome).or_default() += 1;
             let us = (r.latency() * 1e6).clamp(1.0, 60e6) as u64;
-            let _ = lag.record(((r.sent - r.due).max(0.0) * 1e6).clamp(1.0, 60e6) as u64);
+            let _ = lags.record(((r.sent - r.due).max(0.0) * 1e6).clamp(1.0, 60e6) as u64);
             let slo = settings.classes.get(r.class as usize).map_or(f64::INFINITY, |c| c.slo);
             let miss = r.outcome != Outcome::GaveUp && (r.outcome != Outcome::Passed || r.latency() > slo);
             missed += miss as usize;
-            let Some((b, h)) = timeline.get_mut(((r.sent / s.bucket_s) as usize).min(buckets - 1)) else {
+            let Some((bucket, latencies)) =
+                timeline.get_mut(((r.sent / s.bucket_s) as usize).min(buckets - 1))
+            else {
                 continue;
             };
-            b.missed += miss as usize;
+            bucket.missed += miss as usize;
             match r.outcome {
                 Outcome::Passed => {
-                    b.passed += 1;
-                    let _ = all.record(us);
-                    let _ = h.record(us);
+                    bucket.passed += 1;
+                    let _ = all_latencies.record(us);
+                    let _ = latencies.record(us);
                 }
-                Outcome::Denied => b.denied += 1,
+                Outcome::Denied => bucket.denied += 1,
                 Outcome::GaveUp => {}
-                _ => b.other += 1,
+                _ => bucket.other += 1,
             }
         }
         let timeline = timeline
@@ -135,11 +164,11 @@
             duration_s: s.duration_s,
             requests: record.requests.len(),
             goodput: passed as f64 / s.duration_s,
-            p50_ms: ms(&all, 0.5),
-            p99_ms: ms(&all, 0.99),
-            p999_ms: ms(&all, 0.999),
+            p50_ms: ms(&all_latencies, 0.5),
+            p99_ms: ms(&all_latencies, 0.99),
+            p999_ms: ms(&all_latencies, 0.999),
             missed,
-            lag_p99_ms: ms(&lag, 0.99),
+            lag_p99_ms: ms(&lags, 0.99),
             counts,
             verdict,
             timeline,
@@ -155,23 +184,24 @@
         }
     }
 
+    /// Whether no rule was violated and no gateway crashed.
     pub fn rules_kept(&self) -> bool {
         rules::no_violations(&self.verdict) && self.crashed.is_empty()
     }
 
-    /// Share of reqs not given up that missed their response target.
+    /// Share of requests that missed their response target, without those given up.
     pub fn missed_share(&self) -> f64 {
-        let asked = self.requests - self.counts[&Outcome::GaveUp];
-        if asked == 0 {
+        let counted = self.requests - self.counts[&Outcome::GaveUp];
+        if counted == 0 {
             0.0
         } else {
-            self.missed as f64 / asked as f64
+            self.missed as f64 / counted as f64
         }
     }
 
-    /// The headline figures, by name, in a fixed order: what `compare` and `sweep` set side by side.
+    /// The main figures by name, in a fixed order, as `compare` and `figures_csv` list them.
     pub fn figures(&self) -> Vec<(&'static str, f64)> {
-        let mut f = vec![
+        let mut figures = vec![
             ("reqs", self.requests as f64),
             ("goodput /s", self.goodput),
             ("missed targets", self.missed_share()),
@@ -179,15 +209,16 @@
             ("p99 ms", self.p99_ms),
             ("p99.9 ms", self.p999_ms),
         ];
-        f.extend(Outcome::ALL.iter().map(|e| (e.label(), self.counts[e] as f64)));
-        f.extend(Rule::ALL.iter().map(|r| (r.label(), self.verdict[r].count as f64)));
-        f.push(("quota: worst share over", self.quota_over));
-        f.push(("quota: windows over 5%", self.quota_windows_over as f64));
-        f.push(("quota: denied with room", self.denied_with_room as f64));
-        f.push(("gateway peak MiB", self.gateway_peak_kib as f64 / 1024.0));
-        f
+        figures.extend(Outcome::ALL.iter().map(|e| (e.label(), self.counts[e] as f64)));
+        figures.extend(Rule::ALL.iter().map(|r| (r.label(), self.verdict[r].count as f64)));
+        figures.push(("quota: worst share over", self.quota_over));
+        figures.push(("quota: windows over 5%", self.quota_windows_over as f64));
+        figures.push(("quota: denied with room", self.denied_with_room as f64));
+        figures.push(("gateway peak MiB", self.gateway_peak_kib as f64 / 1024.0));
+        figures
     }
 
+    /// The report as Markdown.
     pub fn markdown(&self) -> String {
         let mut m = String::new();
         let _ = writeln!(m, "# Lab run `{}` (emulated)\n", self.name);
@@ -222,7 +253,7 @@
         m
     }
 
-    /// The timeline, a row a bucket.
+    /// The timeline as CSV, one row per bucket.
     pub fn timeline_csv(&self) -> String {
         let mut c = String::from("t_s,passed,denied,other,missed,p50_ms,p99_ms\n");
         for b in &self.timeline {
@@ -235,6 +266,7 @@
         c
     }
 
+    /// The figures as CSV.
     pub fn figures_csv(&self) -> String {
         let mut c = String::from("figure,value\n");
         for (name, v) in self.figures() {
@@ -244,7 +276,8 @@
     }
 }
 
-/// Three significant figures, at most four decimals: enough for emulated figures that vary by more.
+/// Formats a figure: integers as they are, values from 100 with one decimal, others with up to four. Emulated
+/// figures vary by more than this precision.
 pub fn round(v: f64) -> String {
     if v == v.trunc() && v.abs() < 1e12 {
         format!("{v:.0}")
@@ -255,7 +288,7 @@
     }
 }
 
-/// Two runs side by side: figure, A, B, B/A.
+/// A Markdown table that compares two runs: figure, A, B, B/A.
 pub fn compare(a: &Summary, b: &Summary) -> String {
     let mut m = format!("| figure | {} | {} | B/A |\n| --- | --- | --- | --- |\n", a.name, b.name);
     for ((name, x), (_, y)) in a.figures().into_iter().zip(b.figures()) {
@@ -271,7 +304,7 @@
     m
 }
 
-/// A sweep: one row a load multiple.
+/// A Markdown table of a sweep, one row per value of the swept variable.
 pub fn sweep(rows: &[(f64, Summary)], axis: &str) -> String {
     let mut m = format!(
         "| {axis} | reqs | goodput /s | missed targets | p99 ms | rules | quota: worst over | windows over 5% | \
--- a/testbed/src/report/tests.rs
+++ b/testbed/src/report/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::ClientRequest;
 
 #[test]
-fn a_summary_counts_and_buckets_its_reqs() {
+fn summary_counts_requests_by_outcome_and_time() {
     let s = Scenario::parse("name = \"t\"\nduration_s = 2\nbucket_s = 1\n").unwrap();
     let settings = GatewaySettings::parse(include_str!("../../../example/config.json")).unwrap();
     let request = |sent: f64, outcome, latency: f64| ClientRequest {
@@ -29,7 +29,7 @@
     };
     let sum = Summary::of(&s, &settings, &r, vec![], 0);
     assert_eq!((sum.counts[&Outcome::Passed], sum.counts[&Outcome::Denied], sum.requests), (2, 1, 4));
-    assert_eq!(sum.missed, 2, "the slow pass and the denial");
+    assert_eq!(sum.missed, 2, "the slow response and the denial");
     assert!((sum.missed_share() - 2.0 / 3.0).abs() < 1e-9);
     assert_eq!((sum.timeline[0].passed, sum.timeline[1].denied, sum.timeline[1].other), (2, 1, 0));
     assert!(sum.rules_kept());
--- a/testbed/src/rules/tests.rs
+++ b/testbed/src/rules/tests.rs
@@ -2,7 +2,8 @@
 use crate::record::{Arrival, ClientRequest};
 
 fn settings() -> GatewaySettings {
-    GatewaySettings::parse(include_str!("../../../example/config.json")).expect("the example")
+    GatewaySettings::parse(include_str!("../../../example/config.json"))
+        .expect("the example configuration is valid")
 }
 fn arrival(id: u64, class: u8) -> Arrival {
     Arrival {
@@ -37,28 +38,28 @@
 }
 
 #[test]
-fn each_rule_is_found_by_its_own_break() {
-    let t = settings();
-    let notice = t.classes.iter().position(|c| c.effect == Effect::Once).unwrap() as u8;
+fn each_violation_is_attributed_to_its_rule() {
+    let settings = settings();
+    let notice = settings.classes.iter().position(|c| c.effect == Effect::Once).unwrap() as u8;
     let mut r = Record {
         requests: vec![request(Outcome::Passed)],
         arrivals: vec![arrival(5, notice)],
         ..Record::default()
     };
-    assert!(no_violations(&check(&r, &t, 1.0)));
+    assert!(no_violations(&check(&r, &settings, 1.0)));
     r.arrivals.push(arrival(5, notice));
     r.arrivals.push(Arrival { since_drain_announced: 1.2, ..arrival(6, 0) });
     r.arrivals.push(Arrival { cold: true, running: 4, ..arrival(7, 0) });
     r.arrivals.push(Arrival { customer_open: vec![(0, 1), (0, 2), (1, 3)], ..arrival(8, 0) });
     r.requests.push(request(Outcome::Late));
-    let v = check(&r, &t, 1.0);
+    let v = check(&r, &settings, 1.0);
     assert!(Rule::ALL.iter().all(|rule| v[rule].count == 1), "{v:?}");
 }
 
 #[test]
-fn what_the_rules_allow_is_not_a_break() {
-    let t = settings();
-    let order = t.classes.iter().position(|c| c.effect == Effect::ByKey).unwrap() as u8;
+fn permitted_behaviour_is_no_violation() {
+    let settings = settings();
+    let order = settings.classes.iter().position(|c| c.effect == Effect::ByKey).unwrap() as u8;
     let r = Record {
         requests: vec![request(Outcome::GaveUp), request(Outcome::Denied)],
         arrivals: vec![
@@ -72,5 +73,5 @@
         ],
         ..Record::default()
     };
-    assert!(no_violations(&check(&r, &t, 1.0)));
+    assert!(no_violations(&check(&r, &settings, 1.0)));
 }
--- a/testbed/src/run.rs
+++ b/testbed/src/run.rs
@@ -1,5 +1,5 @@
-//! One run: the emulator up, the gateways up and ready, the schedule and the load from one point of time, the
-//! rules checked, the report written.
+//! One run: starts the emulator and the gateways, runs the fault schedule and the load from a common start time,
+//! checks the rules and writes the report.
 
 use crate::arrivals::arrivals;
 use crate::emulator::environment::Environment;
@@ -13,28 +13,31 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Set on SIGINT or SIGTERM: clients send nothing more, the run ends as usual and its gateways are ended with it,
-/// rather than left running when the lab is stopped half way.
+/// Set on SIGINT or SIGTERM: clients stop sending, and the run ends in the normal way, which also ends its gateways.
+/// Without this they would keep running after the lab is stopped.
 pub static STOP: AtomicBool = AtomicBool::new(false);
 
-/// Whether the lab was asked to stop.
+/// Whether the lab received SIGINT or SIGTERM.
 pub fn stopped() -> bool {
     STOP.load(Ordering::SeqCst)
 }
 
+/// How to run scenarios.
 pub struct RunOptions {
+    /// The command that starts a gateway.
     pub build: GatewayCommand,
+    /// The gateway settings.
     pub settings: GatewaySettings,
-    /// Whether a progress bar is drawn (on a terminal, long runs).
+    /// Whether to draw a progress bar.
     pub progress: bool,
 }
 
-/// Plays a scenario; the error says what could not be started.
+/// Runs a scenario; the error describes what could not be started.
 pub fn run(scenario: &Scenario, options: &RunOptions) -> Result<Summary, String> {
     let schedule = arrivals(scenario, &options.settings)?;
     let total = schedule.len() as u64;
-    let mut environment =
-        Environment::start(scenario, &options.settings).map_err(|e| format!("the emulator: {e}"))?;
+    let mut environment = Environment::start(scenario, &options.settings)
+        .map_err(|e| format!("failed to start the emulator: {e}"))?;
     let mut fleet = Fleet::start(&options.build, scenario, &options.settings, &environment)?;
     tracing::info!(scenario = %scenario.name, gateways = scenario.gateways, reqs = total, "load begins");
     let start = environment.run_state.restart_clock();
@@ -42,7 +45,8 @@
     let bar = options.progress.then(|| {
         let bar = ProgressBar::new(total);
         bar.set_style(
-            ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} reqs {elapsed}").expect("fixed"),
+            ProgressStyle::with_template("{msg} {bar:40} {pos}/{len} reqs {elapsed}")
+                .expect("a constant template is valid"),
         );
         bar.set_message(scenario.name.clone());
         bar
@@ -53,7 +57,7 @@
     }
     let crashed = fleet.crashed();
     for g in &crashed {
-        tracing::warn!(gateway = g, log = %fleet.log(*g), "a gateway ended by itself");
+        tracing::warn!(gateway = g, log = %fleet.log(*g), "a gateway crashed");
     }
     let peak_memory_kib = fleet.peak_memory_kib();
     fleet.stop();
@@ -66,7 +70,13 @@
         lab_peak_kib: peak_kib("/proc/self/status"),
     };
     let summary = Summary::of(scenario, &options.settings, &record, crashed, dropped);
-    tracing::info!(scenario = %scenario.name, kept = summary.rules_kept(), goodput = summary.goodput, missed = summary.missed, "run ends");
+    tracing::info!(
+        scenario = %scenario.name,
+        kept = summary.rules_kept(),
+        goodput = summary.goodput,
+        missed = summary.missed,
+        "run ends"
+    );
     Ok(summary)
 }
 
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -1,79 +1,92 @@
-//! A scenario: the world, the load and the fault schedule of one run, read from TOML (serde) and checked once.
+//! A scenario: the environment, the load and the fault schedule of one run, parsed from TOML and validated once.
 //!
-//! Times are seconds from the start of the run (`f64`); rates are reqs per second over all gateways.
+//! Times are seconds from the start of the run (`f64`); rates are requests per second, summed over all gateways.
 
 use serde::Deserialize;
 
-/// One run as written in its file. Every field but `name` has a default, so a scenario says only what it changes.
+/// One run as its file describes it. Every field but `name` has a default, so a file lists only what it changes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// Names the run in reports and the default output folder.
     pub name: String,
-    /// Seeds the arrivals, the customers and the gateways' own seeds.
+    /// Seed of the arrivals and the customers; each gateway's own seed is derived from it.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Length of the load, s; the run then waits for the last client timeout.
+    /// Duration of the load, s; the run then waits for the last client timeout.
     #[serde(default = "default_duration")]
     pub duration_s: f64,
+    /// Number of gateway processes.
     #[serde(default = "default_gateways")]
     pub gateways: usize,
+    /// The load that clients generate.
     #[serde(default)]
     pub load: Load,
+    /// The emulated servers.
     #[serde(rename = "srvs", default = "default_servers")]
     pub servers: Vec<ServerGroup>,
+    /// The fault schedule.
     #[serde(default)]
     pub faults: Vec<Fault>,
     /// Width of one bucket of the timeline and the plots, s.
     #[serde(default = "default_bucket")]
     pub bucket_s: f64,
-    /// Time a drained srv may still be sent to after discovery has told of it, s (the bench's drain grace).
+    /// How long a draining server may still receive requests after discovery announced the drain, s (the
+    /// drain grace period of the bench).
     #[serde(default = "default_grace")]
     pub grace_s: f64,
-    /// Span over which each customer's use is set against its quota, s (issue 16 states its bound per minute).
+    /// Window in which each customer's usage is compared with its quota, s (issue 16 states the bound per minute).
     #[serde(default = "default_quota_window")]
     pub quota_window_s: f64,
 }
 
-/// The open-loop arrivals.
+/// The open-loop load: clients send at the scheduled times, whether or not earlier requests have ended.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Mean rate, reqs/s, Poisson.
+    /// Mean rate of the Poisson arrivals, requests/s.
     #[serde(default = "default_rate")]
     pub rate: f64,
+    /// Time ranges with a higher rate.
     #[serde(default)]
     pub bursts: Vec<Burst>,
-    /// Customers, each with one plan drawn by `plans` shares.
+    /// Number of customers; the plan of each is drawn by the shares in `plans`.
     #[serde(default = "default_customers")]
     pub customers: u32,
+    /// Request classes and their shares of the load.
     #[serde(default = "default_classes")]
     pub classes: Vec<Share>,
+    /// Plans and their shares of the customers.
     #[serde(default = "default_plans")]
     pub plans: Vec<Share>,
-    /// Share of reqs whose client gives up at a random point before its timeout.
+    /// Share of requests whose client gives up at a random time before its timeout.
     #[serde(default)]
     pub give_up_early: f64,
-    /// Share of denied reqs that the client sends again at once, ignoring `Retry-After`.
+    /// Share of denied requests that the client retries immediately, ignoring `Retry-After`.
     #[serde(default)]
     pub again_too_soon: f64,
-    /// Client timeout as a share of the class's deadline, drawn uniformly from this span.
+    /// Range from which the client timeout is drawn uniformly, as a share of the class's deadline.
     #[serde(default = "default_timeout_share")]
     pub timeout_share: [f64; 2],
-    /// Client threads a gateway; an arrival waits for a free one (its lag is reported).
+    /// Client threads per gateway; an arrival waits until one is free, and reports show that lag.
     #[serde(default = "default_clients")]
     pub clients_per_gateway: usize,
 }
 
+/// A time range with a higher rate.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
+    /// Start, s.
     pub at: f64,
+    /// Duration, s.
     #[serde(rename = "for")]
     pub span: f64,
-    /// Rate multiple during the burst.
+    /// Factor on the rate during the burst.
     pub times: f64,
 }
 
+/// The relative weight of a class or a plan.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
@@ -81,76 +94,83 @@
     pub share: f64,
 }
 
-/// Alike srvs.
+/// Servers with the same properties.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerGroup {
+    /// Number of servers.
     #[serde(default = "default_count")]
     pub count: usize,
+    /// The zone that discovery reports.
     #[serde(default = "default_zone")]
     pub zone: String,
-    /// Time to serve a req, ms.
+    /// Service time of a request, ms.
     #[serde(default = "default_latency")]
     pub latency_ms: u64,
-    /// Reqs it runs at once when warm; further ones are turned away (503, `X-Not-Run: 1`).
+    /// Requests a warm server runs concurrently; it rejects more (503, `X-Not-Run: 1`).
     #[serde(default = "default_capacity")]
     pub capacity: usize,
 }
 
-/// One entry of the schedule: `what` happens to `target` from `at` for `for` seconds.
+/// One entry of the fault schedule: the fault `what` applies to `target` from `at` for `for` seconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// Start, s.
     pub at: f64,
+    /// Duration, s.
     #[serde(rename = "for", default)]
     pub span: f64,
-    /// `srv:N` (N from 0 over all groups in order), `counter` or `discovery`.
+    /// `srv:N` (N counts from 0 over all groups in order), `counter` or `discovery`.
     pub target: String,
+    /// The fault to emulate.
     #[serde(rename = "what")]
     pub kind: FaultKind,
 }
 
-/// The faults the emulator can play. Srv faults apply to reqs that arrive within the window.
+/// The faults that the emulator supports. Server faults apply to requests that arrive within the window.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case", tag = "kind", deny_unknown_fields)]
 pub enum FaultKind {
-    /// Serves `ms` later than usual.
+    /// Server: responds `ms` later than usual.
     Slow { ms: u64 },
-    /// Answers 500: it may have run.
+    /// Server: responds with 500; the request may have run.
     Failing,
-    /// Reads the req and says nothing.
+    /// Server: reads the request and never responds.
     Silent,
-    /// Writes part of its answer, then resets.
+    /// Server: writes part of its response, then resets the connection.
     ResetMidAnswer,
-    /// A `100 Continue` in front of a good answer.
+    /// Server: sends `100 Continue` before a correct response.
     Informational,
-    /// A good answer whose `Billed-Units` is no number.
+    /// Server: sends a correct response whose `Billed-Units` is not a number.
     SpoiltBilled,
-    /// Restarts cold: discovery tells a fresh start; its capacity is `cold_from` of the whole, growing to all over
-    /// the window.
+    /// Server: restarts cold. Discovery reports a new start time, and the capacity grows linearly over the window
+    /// from the share `cold_from` to its full value.
     Cold { cold_from: f64 },
-    /// Discovery tells `leaving` at `at`; it takes new reqs till the grace ends and leaves at the end of the window.
+    /// Server: discovery reports `leaving` at `at`. The server accepts new requests until the grace period ends and
+    /// is reported as `left` at the end of the window.
     Drain,
-    /// Counter: every call turned away with `-BUSY`.
+    /// Counter: rejects every call with `-BUSY`.
     Busy,
-    /// Counter: calls are answered only when the window ends.
+    /// Counter: replies to calls only after the window ends.
     Stall,
-    /// Counter: all totals forgotten at `at`, as a fresh counter starts.
+    /// Counter: loses all totals at `at`, as a newly started counter.
     RestartAtZero,
-    /// Counter: the second half of the gateways reach another side that goes on from the totals at `at` on its
-    /// own; at the end the sides heal and the far side's adds are added to the near side's totals.
+    /// Counter: the second half of the gateways reaches a separate side that continues from the totals at `at`. At
+    /// the end of the window the amounts added on the far side are merged into the totals of the near side.
     Split,
-    /// Discovery: watches get nothing during the window, then all they missed.
+    /// Discovery: watches receive nothing during the window, then all updates they missed.
     Late,
-    /// Discovery: the srv `srv` is told at an address where nothing listens, during the window.
+    /// Discovery: reports one server at an address where nothing listens, during the window.
     Wrong {
+        /// Index of that server.
         #[serde(rename = "srv")]
         server: usize,
     },
 }
 
 impl FaultKind {
-    /// Whether it is played by a srv (rather than the counter or discovery).
+    /// Whether the fault applies to a server (rather than the counter or discovery).
     pub fn applies_to_server(&self) -> bool {
         use FaultKind::*;
         matches!(
@@ -165,6 +185,7 @@
                 | Drain
         )
     }
+    /// Whether the fault applies to the counter.
     pub fn applies_to_counter(&self) -> bool {
         matches!(self, FaultKind::Busy | FaultKind::Stall | FaultKind::RestartAtZero | FaultKind::Split)
     }
@@ -190,7 +211,7 @@
     }
 }
 
-/// Where a fault lands.
+/// The component that a fault applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     Server(usize),
@@ -199,7 +220,7 @@
 }
 
 impl Fault {
-    /// The target; an error names it.
+    /// Parses the target; the error quotes it.
     pub fn target(&self) -> Result<Target, String> {
         match self.target.as_str() {
             "counter" => Ok(Target::Counter),
@@ -208,47 +229,53 @@
                 .strip_prefix("srv:")
                 .and_then(|n| n.parse().ok())
                 .map(Target::Server)
-                .ok_or(format!("`target`: `{t}` is none of srv:N, counter, discovery")),
+                .ok_or(format!("`target`: `{t}` is not one of srv:N, counter, discovery")),
         }
     }
+    /// End of the fault, s.
     pub fn end(&self) -> f64 {
         self.at + self.span
     }
 }
 
-/// Classes and plans that the example configuration of the gateway names; a scenario may use only these.
+/// Classes of the example gateway configuration; a scenario may use only these.
 pub const CLASSES: [&str; 3] = ["quote", "order", "notice"];
+/// Plans of the example gateway configuration; a scenario may use only these.
 pub const PLANS: [&str; 3] = ["free", "team", "house"];
-/// Most gateways one run starts: what this machine runs beside the emulator (issue 14 names 20).
+/// Maximum number of gateways in a run: what one machine runs beside the emulator (issue 14 requires 20).
 pub const MAX_GATEWAYS: usize = 20;
-/// Most srvs, customers and reqs a second: keep threads and records bounded (a req record is some 80 bytes).
+/// Maximum number of servers; bounds the threads.
 pub const MAX_SERVERS: usize = 64;
+/// Maximum number of customers; bounds memory.
 pub const MAX_CUSTOMERS: u32 = 10_000;
+/// Maximum rate, requests/s; bounds memory, as a request record has about 80 bytes.
 pub const MAX_RATE: f64 = 5_000.0;
 
 impl Scenario {
-    /// Reads and checks a scenario; the error names the field at fault.
+    /// Parses and validates a scenario; the error names the invalid field.
     pub fn parse(text: &str) -> Result<Scenario, String> {
         let s: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
         s.check()?;
         Ok(s)
     }
 
+    /// Number of servers over all groups.
     pub fn server_count(&self) -> usize {
         self.servers.iter().map(|g| g.count).sum()
     }
 
-    /// Each srv's group, in the order of `srv:N`.
+    /// The group of each server, in the order of `srv:N`.
     pub fn server_groups(&self) -> Vec<&ServerGroup> {
         self.servers.iter().flat_map(|g| std::iter::repeat_n(g, g.count)).collect()
     }
 
+    /// Validates all values; the error names the invalid field.
     pub fn check(&self) -> Result<(), String> {
         let span = |v: f64, lo: f64, hi: f64, field: &str| {
             if v.is_finite() && (lo..=hi).contains(&v) {
                 Ok(())
             } else {
-                Err(format!("`{field}`: {v} is not within {lo} to {hi}"))
+                Err(format!("`{field}`: {v} is not between {lo} and {hi}"))
             }
         };
         span(self.duration_s, 0.5, 3600.0, "duration_s")?;
@@ -273,7 +300,7 @@
         shares(&l.classes, &CLASSES, "load.classes")?;
         shares(&l.plans, &PLANS, "load.plans")?;
         if self.server_count() == 0 || self.server_count() > MAX_SERVERS {
-            return Err(format!("`srvs`: {} srvs, wants 1 to {MAX_SERVERS}", self.server_count()));
+            return Err(format!("`srvs`: {} servers, must be 1 to {MAX_SERVERS}", self.server_count()));
         }
         for g in &self.servers {
             span(g.capacity as f64, 1.0, 4096.0, "srvs.capacity")?;
@@ -292,7 +319,7 @@
                 }
             };
             if !fits {
-                return Err(format!("`faults`: {} can't be played on {}", f.kind.label(), f.target));
+                return Err(format!("`faults`: {} does not apply to {}", f.kind.label(), f.target));
             }
             if let FaultKind::Cold { cold_from } = f.kind {
                 span(cold_from, 0.01, 1.0, "faults.cold_from")?;
@@ -302,16 +329,17 @@
     }
 }
 
+/// Checks that the list is not empty, uses only known names and has positive shares.
 fn shares(list: &[Share], known: &[&str], field: &str) -> Result<(), String> {
     if list.is_empty() {
         return Err(format!("`{field}`: empty"));
     }
     for s in list {
         if !known.contains(&s.name.as_str()) {
-            return Err(format!("`{field}`: `{}` is none of {known:?}", s.name));
+            return Err(format!("`{field}`: `{}` is not one of {known:?}", s.name));
         }
         if !(s.share.is_finite() && s.share > 0.0) {
-            return Err(format!("`{field}`: share of `{}` is not above 0", s.name));
+            return Err(format!("`{field}`: the share of `{}` must be above 0", s.name));
         }
     }
     Ok(())
@@ -353,7 +381,7 @@
 fn default_plans() -> Vec<Share> {
     vec![Share { name: "house".into(), share: 1.0 }]
 }
-/// Clients of the bench give a try from about half of its class's deadline to all of it.
+/// Clients of the bench set the timeout of a try to between about half of its class's deadline and all of it.
 fn default_timeout_share() -> [f64; 2] {
     [0.5, 1.0]
 }
@@ -377,7 +405,7 @@
 fn default_latency() -> u64 {
     20
 }
-/// Enough that calm load never fills a srv: faults, not the srv's size, are what a scenario plays.
+/// Enough that load without faults never fills a server: scenarios test faults, not the size of servers.
 fn default_capacity() -> usize {
     64
 }
--- a/testbed/src/schedule.rs
+++ b/testbed/src/schedule.rs
@@ -1,8 +1,8 @@
-//! The fault schedule as a pure function of time: which fault holds for a target at a point of the run.
+//! The fault schedule as pure functions of time: which fault is active for a target at a given time.
 
 use crate::scenario::{Fault, FaultKind, Target};
 
-/// The fault that holds for `target` at `t`, s; of overlapping ones the one that began last.
+/// The fault active for `target` at `t`, s; of overlapping faults the one that began last.
 pub fn active_fault(faults: &[Fault], target: Target, t: f64) -> Option<&Fault> {
     faults
         .iter()
@@ -10,8 +10,8 @@
         .max_by(|a, b| a.at.total_cmp(&b.at))
 }
 
-/// What a srv can run at once at `t`, given its warm `capacity`: a cold start climbs linearly from `cold_from`
-/// of it to all of it over the window, and never below one.
+/// The number of requests that a server runs concurrently at `t`, and whether it is cold. During a cold start the
+/// limit grows linearly from the share `cold_from` of `capacity` to all of it, and is at least 1.
 pub fn server_limit(faults: &[Fault], server: usize, capacity: usize, t: f64) -> (usize, bool) {
     match active_fault(faults, Target::Server(server), t) {
         Some(f @ Fault { kind: FaultKind::Cold { cold_from }, .. }) => {
@@ -22,7 +22,7 @@
     }
 }
 
-/// When discovery was told that `srv` leaves, where it was by `t`: the start of its last drain window begun by then.
+/// When discovery announced the drain of `server`: the start of its last drain window that began by `t`.
 pub fn drain_announced_at(faults: &[Fault], server: usize, t: f64) -> Option<f64> {
     faults
         .iter()
@@ -33,12 +33,12 @@
         .max_by(f64::total_cmp)
 }
 
-/// The points of the run at which the emulator has something to change, sorted: each fault's start and end.
+/// Start and end of each fault, sorted by time, as (time, index of the fault, whether it begins).
 pub fn transitions(faults: &[Fault]) -> Vec<(f64, usize, bool)> {
-    let mut m: Vec<(f64, usize, bool)> =
+    let mut transitions_by_time: Vec<(f64, usize, bool)> =
         faults.iter().enumerate().flat_map(|(i, f)| [(f.at, i, true), (f.end(), i, false)]).collect();
-    m.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.2.cmp(&b.2)));
-    m
+    transitions_by_time.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.2.cmp(&b.2)));
+    transitions_by_time
 }
 
 #[cfg(test)]
--- a/testbed/src/schedule/tests.rs
+++ b/testbed/src/schedule/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_cold_srv_climbs_to_its_capacity() {
+fn limit_of_a_cold_server_grows_to_its_capacity() {
     let f = [fault(2.0, 10.0, "srv:1", FaultKind::Cold { cold_from: 0.3 })];
     assert_eq!(server_limit(&f, 1, 10, 1.0), (10, false));
     assert_eq!(server_limit(&f, 1, 10, 2.0), (3, true));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_later_of_two_faults_holds_and_drains_are_remembered() {
+fn later_fault_takes_precedence_and_drains_are_remembered() {
     let f = [
         fault(1.0, 5.0, "srv:0", FaultKind::Failing),
         fault(2.0, 1.0, "srv:0", FaultKind::Silent),
--- a/testbed/tests/rule_detection.rs
+++ b/testbed/tests/rule_detection.rs
@@ -1,5 +1,5 @@
-//! The lab finds broken rules by itself: a deliberately broken gateway is caught, the real one is not, and the
-//! same seed gives the same verdict.
+//! The rule checks of the lab detect a deliberately broken gateway on every run, and report no violation by the real
+//! gateway under the same faults.
 
 use lupinledge_testbed::fleet::GatewayCommand;
 use lupinledge_testbed::gateway_settings::GatewaySettings;
@@ -16,7 +16,7 @@
 }
 
 fn ci_scenario() -> Scenario {
-    Scenario::parse(include_str!("../scenarios/ci-small.toml")).expect("the CI scenario")
+    Scenario::parse(include_str!("../scenarios/ci-small.toml")).expect("the CI scenario is valid")
 }
 
 fn broken_gateway() -> GatewayCommand {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_broken_gateway_is_named_by_the_rules_it_breaks_every_time() {
+fn every_run_of_a_broken_gateway_reports_the_violated_rules() {
     for _ in 0..2 {
         let summary = run(&ci_scenario(), &run_options(broken_gateway())).expect("a run");
         assert!(!summary.rules_kept());
