--- a/example/src/counter.rs
+++ b/example/src/counter.rs
@@ -1,4 +1,4 @@
-//! The counter: RESP2, numbers by name that are forgotten after their life.
+//! The counter: a RESP2 service that adds up totals by name; each total expires after its lifetime.
 
 use crate::listener::Listener;
 use crate::scheduling_delay::TrackedThreads;
@@ -9,15 +9,18 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
+/// How the counter treats calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
+    /// Replies to every call.
     Reply,
+    /// Rejects every call with `-BUSY`.
     Busy,
-    /// Answers nothing for now: each call has its answer in its turn, however late.
+    /// Delays replies until another behaviour is set; then every call is handled in order, however late.
     Silent,
-    /// Adds, and answers without a number; nothing on that connection is answered after it.
+    /// Adds, and replies with text instead of a number; later calls on that connection get no reply.
     MalformedReply,
-    /// Answers, and once more right behind it with another total.
+    /// Replies, and sends a second reply with another total right after.
     DuplicateReply,
 }
 
@@ -26,15 +29,15 @@
 #[derive(Default)]
 struct Record {
     totals: Totals,
-    /// While split: the totals at the split, and those the far side has added to since.
+    /// During a split: the totals at its start, and the totals of the far side.
     split: Option<(Totals, Totals)>,
     calls: usize,
-    /// Those of them that came to the present address, which is the nth.
+    /// Calls received at the current address, the one numbered `address_number`.
     calls_at_current_address: usize,
-    nth: usize,
+    address_number: usize,
     connections: usize,
-    /// Those of them that are not ended.
-    open: usize,
+    /// Connections that have not ended.
+    open_connections: usize,
 }
 
 #[derive(Clone)]
@@ -44,80 +47,86 @@
     threads: TrackedThreads,
 }
 
+/// A counter service.
 pub struct Counter {
+    /// The current address.
     pub addr: SocketAddr,
-    door: Listener,
+    listener: Listener,
     shared: Shared,
-    far: Vec<Listener>,
+    far_listeners: Vec<Listener>,
 }
 
 impl Counter {
+    /// Starts a counter without totals.
     pub fn start(addr: &str, behaviour: Behaviour) -> io::Result<Counter> {
         let behaviour = Arc::new(Mutex::new(behaviour));
         let shared = Shared { behaviour, record: Arc::default(), threads: TrackedThreads::default() };
-        let door = shared.door(addr, Some(0))?;
-        Ok(Counter { addr: door.addr, door, shared, far: vec![] })
+        let listener = shared.listen(addr, Some(0))?;
+        Ok(Counter { addr: listener.addr, listener, shared, far_listeners: vec![] })
     }
 
-    /// Another address of the same counter, on the far side of a split: it shares all totals except while split.
+    /// Adds an address of the same counter, on the far side of a split: it shares all totals except during a split.
     pub fn add_far_address(&mut self) -> io::Result<SocketAddr> {
-        let door = self.shared.door("127.0.0.1:0", None)?;
-        let addr = door.addr;
-        self.far.push(door);
+        let listener = self.shared.listen("127.0.0.1:0", None)?;
+        let addr = listener.addr;
+        self.far_listeners.push(listener);
         Ok(addr)
     }
 
-    /// Splits the counter in two (each side goes on from the totals at the split), or heals it: what the far side
-    /// added meanwhile is then added to the near side's totals.
+    /// Splits the counter into two sides that both continue from the current totals, or ends the split: the amounts
+    /// added on the far side are then merged into the totals of the near side.
     pub fn set_split(&self, split: bool) {
         let mut record = self.shared.record.lock().unwrap();
         match (split, record.split.take()) {
             (true, None) => record.split = Some((record.totals.clone(), record.totals.clone())),
             (false, Some((base, far))) => {
-                for (name, (total, until)) in far {
-                    let added = total - base.get(&name).map_or(0.0, |b| b.0);
-                    record.totals.entry(name).or_insert((0.0, until)).0 += added;
+                for (name, (total, expires)) in far {
+                    let added = total - base.get(&name).map_or(0.0, |base_total| base_total.0);
+                    record.totals.entry(name).or_insert((0.0, expires)).0 += added;
                 }
             }
             (_, was) => record.split = was,
         }
     }
 
-    /// Goes to another address with all its totals; what is open at the old one ends after a time.
+    /// Moves to another address and keeps the totals; connections to the old address are closed after the given time.
     pub fn move_to(&mut self, addr: &str, after: Duration) -> io::Result<()> {
-        let nth = {
+        let address_number = {
             let mut record = self.shared.record.lock().unwrap();
-            (record.nth, record.calls_at_current_address) = (record.nth + 1, 0);
-            record.nth
+            (record.address_number, record.calls_at_current_address) = (record.address_number + 1, 0);
+            record.address_number
         };
-        let old = std::mem::replace(&mut self.door, self.shared.door(addr, Some(nth))?);
-        self.addr = self.door.addr;
+        let old = std::mem::replace(&mut self.listener, self.shared.listen(addr, Some(address_number))?);
+        self.addr = self.listener.addr;
         old.close(after);
         Ok(())
     }
 
+    /// Sets the behaviour from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.shared.behaviour.lock().unwrap() = behaviour;
     }
+    /// Number of valid calls received so far.
     pub fn calls(&self) -> usize {
         self.shared.record.lock().unwrap().calls
     }
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.shared.record.lock().unwrap().connections
     }
-    /// Calls that came to the present address.
+    /// Number of valid calls received at the current address.
     pub fn calls_at_current_address(&self) -> usize {
         self.shared.record.lock().unwrap().calls_at_current_address
     }
-    /// Connections that are not ended: what was written to the others is all read.
+    /// Number of connections that have not ended; on the others, everything written to the counter has been read.
     pub fn open_connections(&self) -> usize {
-        self.shared.record.lock().unwrap().open
+        self.shared.record.lock().unwrap().open_connections
     }
-    /// For how long its threads.total for a processor.
+    /// How long its threads waited for a processor, in total.
     pub fn scheduling_delay(&self) -> Duration {
         self.shared.threads.total()
     }
-    /// Forgets every total, as a fresh counter that has taken the old one's place.
+    /// Deletes all totals, as if a newly started counter had replaced this one.
     pub fn reset_totals(&self) {
         let mut record = self.shared.record.lock().unwrap();
         record.totals.clear();
@@ -126,7 +135,7 @@
             far.clear();
         }
     }
-    /// The sum over all names that are not forgotten.
+    /// The sum of all totals that have not expired.
     pub fn sum(&self) -> f64 {
         let now = Instant::now();
         self.shared.record.lock().unwrap().totals.values().filter(|t| t.1 > now).map(|t| t.0).sum()
@@ -134,46 +143,52 @@
 }
 
 impl Shared {
-    /// The nth address, or with none that on the far side.
-    fn door(&self, addr: &str, nth: Option<usize>) -> io::Result<Listener> {
-        let me = self.clone();
+    /// Listens on the address with the given number, or on the far side if it is `None`.
+    fn listen(&self, addr: &str, address_number: Option<usize>) -> io::Result<Listener> {
+        let this = self.clone();
         Listener::start(addr, move |stream| {
-            me.counted(|r| (r.connections, r.open) = (r.connections + 1, r.open + 1));
-            me.threads.run(|| me.serve(stream, nth));
-            me.counted(|r| r.open -= 1);
+            this.update_record(|r| {
+                (r.connections, r.open_connections) = (r.connections + 1, r.open_connections + 1)
+            });
+            this.threads.run(|| this.serve(stream, address_number));
+            this.update_record(|r| r.open_connections -= 1);
         })
     }
 
-    fn counted(&self, change: impl FnOnce(&mut Record)) {
+    /// Changes the record under its lock.
+    fn update_record(&self, change: impl FnOnce(&mut Record)) {
         change(&mut self.record.lock().unwrap());
     }
 
-    fn serve(&self, stream: TcpStream, nth: Option<usize>) -> Option<()> {
-        let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-        while let Some(words) = read_call(&mut from).ok()? {
+    fn serve(&self, stream: TcpStream, address_number: Option<usize>) -> Option<()> {
+        let (mut reader, mut writer) = (BufReader::new(stream.try_clone().ok()?), stream);
+        while let Some(words) = read_call(&mut reader).ok()? {
             let mut behaviour = *self.behaviour.lock().unwrap();
             while behaviour == Behaviour::Silent {
                 sleep(Duration::from_millis(5));
                 behaviour = *self.behaviour.lock().unwrap();
             }
             if behaviour == Behaviour::MalformedReply {
-                self.answer(&words, nth);
-                to.write_all(b"$5\r\nwhat?\r\n").ok()?;
-                while let Some(words) = read_call(&mut from).ok()? {
-                    self.answer(&words, nth);
+                self.execute(&words, address_number);
+                writer.write_all(b"$5\r\nwhat?\r\n").ok()?;
+                while let Some(words) = read_call(&mut reader).ok()? {
+                    self.execute(&words, address_number);
                 }
             } else if behaviour == Behaviour::DuplicateReply {
-                to.write_all((self.answer(&words, nth) + "$6\r\n999999\r\n").as_bytes()).ok()?;
+                writer
+                    .write_all((self.execute(&words, address_number) + "$6\r\n999999\r\n").as_bytes())
+                    .ok()?;
             } else if behaviour == Behaviour::Busy {
-                to.write_all(b"-BUSY try later\r\n").ok()?;
+                writer.write_all(b"-BUSY try later\r\n").ok()?;
             } else {
-                to.write_all(self.answer(&words, nth).as_bytes()).ok()?;
+                writer.write_all(self.execute(&words, address_number).as_bytes()).ok()?;
             }
         }
         Some(())
     }
 
-    fn answer(&self, words: &[String], nth: Option<usize>) -> String {
+    /// Executes a call and returns the reply.
+    fn execute(&self, words: &[String], address_number: Option<usize>) -> String {
         let mut guard = self.record.lock().unwrap();
         let record = &mut *guard;
         let verb = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
@@ -182,13 +197,13 @@
         match (verb.as_str(), words.len(), numbers) {
             ("PING", 1, _) => "+PONG\r\n".into(),
             ("CLIENT" | "SELECT", ..) => "+OK\r\n".into(),
-            ("CNT.ADD", 4, (Some(add), Some(Ok(life @ 1..)))) if words[1].len() <= 64 => {
+            ("CNT.ADD", 4, (Some(add), Some(Ok(lifetime_ms @ 1..)))) if words[1].len() <= 64 => {
                 let now = Instant::now();
                 record.calls += 1;
-                record.calls_at_current_address += (nth == Some(record.nth)) as usize;
-                let fresh = (0.0, now + Duration::from_millis(life.min(60_000)));
+                record.calls_at_current_address += (address_number == Some(record.address_number)) as usize;
+                let fresh = (0.0, now + Duration::from_millis(lifetime_ms.min(60_000)));
                 let totals = match &mut record.split {
-                    Some((_, far_side)) if nth.is_none() => far_side,
+                    Some((_, far_side)) if address_number.is_none() => far_side,
                     _ => &mut record.totals,
                 };
                 let total = totals.entry(words[1].clone()).or_insert(fresh);
@@ -204,10 +219,11 @@
     }
 }
 
-fn read_call(from: &mut impl BufRead) -> io::Result<Option<Vec<String>>> {
+/// Reads a RESP2 array of bulk strings; `None` if the connection ends before it.
+fn read_call(reader: &mut impl BufRead) -> io::Result<Option<Vec<String>>> {
     let mut number = |kind: char| -> io::Result<Option<usize>> {
         let mut line = String::new();
-        if from.read_line(&mut line)? == 0 {
+        if reader.read_line(&mut line)? == 0 {
             return Ok(None);
         }
         let n = line.trim_end().strip_prefix(kind).and_then(|n| n.parse().ok());
@@ -217,10 +233,10 @@
     let mut words = Vec::new();
     for _ in 0..n {
         let mut length = String::new();
-        from.read_line(&mut length)?;
+        reader.read_line(&mut length)?;
         let length = length.trim_end().strip_prefix('$').and_then(|n| n.parse::<usize>().ok());
         let mut word = vec![0; length.filter(|l| *l <= 4096).ok_or(io::ErrorKind::InvalidData)? + 2];
-        from.read_exact(&mut word)?;
+        reader.read_exact(&mut word)?;
         word.truncate(word.len() - 2);
         words.push(String::from_utf8_lossy(&word).into_owned());
     }
--- a/example/src/discovery.rs
+++ b/example/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of srvs and watches on it.
+//! Discovery: the catalog of servers, and watches on it.
 
 use crate::http::read_message;
 use crate::listener::Listener;
@@ -11,7 +11,7 @@
 
 #[derive(Default)]
 struct State {
-    /// Each srv's entry, and the generation of its last change.
+    /// The entry of each server by its id, with the generation of its last change.
     entries: BTreeMap<String, (u64, Value)>,
     generation: u64,
     muted: bool,
@@ -20,41 +20,44 @@
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
 
+/// A discovery service.
 pub struct Discovery {
+    /// The current address.
     pub addr: SocketAddr,
-    door: Listener,
+    listener: Listener,
     state: Shared,
 }
 
-/// An entry of the list; `born` is the last start in Unix milliseconds, 0 for long ago.
-pub fn catalog_entry(id: &str, addr: SocketAddr, zone: &str, lifecycle: &str, born: u64) -> Value {
+/// A catalog entry; `started_at_ms` is the last start in Unix milliseconds, 0 for one long ago.
+pub fn catalog_entry(id: &str, addr: SocketAddr, zone: &str, lifecycle: &str, started_at_ms: u64) -> Value {
     json!({"instanceId": id, "hostPort": addr.to_string(), "zone": zone, "machineType": "toy", "cell": 0,
-        "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": born})
+        "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": started_at_ms})
 }
 
 impl Discovery {
+    /// Starts a service with an empty catalog.
     pub fn start(addr: &str) -> io::Result<Discovery> {
         let state = Arc::default();
-        let door = Discovery::door(&state, addr)?;
-        Ok(Discovery { addr: door.addr, door, state })
+        let listener = Discovery::listen(&state, addr)?;
+        Ok(Discovery { addr: listener.addr, listener, state })
     }
 
-    fn door(state: &Shared, addr: &str) -> io::Result<Listener> {
+    fn listen(state: &Shared, addr: &str) -> io::Result<Listener> {
         let state = state.clone();
         Listener::start(addr, move |stream| {
             serve(&state, stream);
         })
     }
 
-    /// Goes to another address with all that it knows; what is open at the old one ends after a time.
+    /// Moves to another address and keeps the catalog; connections to the old one are closed after the given time.
     pub fn move_to(&mut self, addr: &str, after: Duration) -> io::Result<()> {
-        let old = std::mem::replace(&mut self.door, Discovery::door(&self.state, addr)?);
-        self.addr = self.door.addr;
+        let old = std::mem::replace(&mut self.listener, Discovery::listen(&self.state, addr)?);
+        self.addr = self.listener.addr;
         old.close(after);
         Ok(())
     }
 
-    /// A new version of the list with these entries changed.
+    /// Adds or replaces entries, as one new generation of the catalog.
     pub fn update_entries(&self, entries: Vec<Value>) {
         let mut state = self.state.0.lock().unwrap();
         state.generation += 1;
@@ -65,51 +68,52 @@
         }
         self.state.1.notify_all();
     }
-    /// Whether watches stay silent, the empty lines included.
+    /// Sets whether watches receive nothing, not even the empty keep-alive lines.
     pub fn set_muted(&self, muted: bool) {
         self.state.0.lock().unwrap().muted = muted;
         self.state.1.notify_all();
     }
-    /// Watches opened so far.
+    /// Number of watches opened so far.
     pub fn watches_opened(&self) -> usize {
         self.state.0.lock().unwrap().watches
     }
 }
 
 fn serve(state: &Shared, stream: TcpStream) -> Option<()> {
-    let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-    while let Some(req) = read_message(&mut from).ok()? {
-        let target = req.start_line.split(' ').nth(1)?.to_string();
+    let (mut reader, mut writer) = (BufReader::new(stream.try_clone().ok()?), stream);
+    while let Some(request) = read_message(&mut reader).ok()? {
+        let target = request.start_line.split(' ').nth(1)?.to_string();
         let (path, query) = target.split_once('?').unwrap_or((&target, ""));
         let from = query.split('&').find_map(|p| p.strip_prefix("from=")?.parse::<u64>().ok());
         if path != "/catalog/members" {
-            to.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").ok()?;
+            writer.write_all(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").ok()?;
         } else if query.split('&').any(|p| p == "watch=1") {
-            to.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
+            writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
             state.0.lock().unwrap().watches += 1;
-            return watch(state, to, from);
+            return watch(state, writer, from);
         } else {
-            let list = news(&state.0.lock().unwrap(), None);
+            let list = catalog_json(&state.0.lock().unwrap(), None);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
-            to.write_all((head + &list).as_bytes()).ok()?;
+            writer.write_all((head + &list).as_bytes()).ok()?;
         }
     }
     Some(())
 }
 
-fn watch(shared: &Shared, mut to: TcpStream, mut from: Option<u64>) -> Option<()> {
+/// Serves a watch: sends changes as chunks, and an empty line after 2 s without one.
+fn watch(shared: &Shared, mut writer: TcpStream, mut from: Option<u64>) -> Option<()> {
     let mut first = true;
     loop {
         let mut state = shared.0.lock().unwrap();
         if !first && (state.muted || from == Some(state.generation)) {
-            let (now, waited) = shared.1.wait_timeout(state, Duration::from_secs(2)).unwrap();
+            let (now, wait_result) = shared.1.wait_timeout(state, Duration::from_secs(2)).unwrap();
             state = now;
             if state.muted {
                 continue;
             }
-            if waited.timed_out() && from == Some(state.generation) {
+            if wait_result.timed_out() && from == Some(state.generation) {
                 drop(state);
-                chunk(&mut to, "\n")?;
+                write_chunk(&mut writer, "\n")?;
                 continue;
             }
         }
@@ -118,23 +122,24 @@
             continue;
         }
         if first || from != Some(state.generation) {
-            let line = news(&state, from.filter(|f| *f <= state.generation)) + "\n";
+            let line = catalog_json(&state, from.filter(|f| *f <= state.generation)) + "\n";
             from = Some(state.generation);
             drop(state);
-            chunk(&mut to, &line)?;
+            write_chunk(&mut writer, &line)?;
             first = false;
         }
     }
 }
 
-fn chunk(to: &mut TcpStream, text: &str) -> Option<()> {
-    to.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).ok()
+/// Writes a chunk of the chunked transfer encoding.
+fn write_chunk(writer: &mut TcpStream, text: &str) -> Option<()> {
+    writer.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).ok()
 }
 
-/// What changed after a version, or the whole list.
-fn news(state: &State, after: Option<u64>) -> String {
+/// The entries changed after a generation, or the whole catalog, as JSON.
+fn catalog_json(state: &State, after: Option<u64>) -> String {
     let changed = state.entries.values().filter(|e| after.is_none_or(|a| e.0 > a)).map(|e| &e.1);
-    let whole = after.is_none();
-    let there = changed.filter(|e| !whole || e["lifecycle"] != "left").collect::<Vec<_>>();
-    json!({"generation": state.generation, "reset": whole, "instances": there}).to_string()
+    let is_whole = after.is_none();
+    let instances = changed.filter(|e| !is_whole || e["lifecycle"] != "left").collect::<Vec<_>>();
+    json!({"generation": state.generation, "reset": is_whole, "instances": instances}).to_string()
 }
--- a/example/src/lib.rs
+++ b/example/src/lib.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what is round a gateway: srvs, discovery and the counter, written from their public pages.
-//! They serve the toy server and the gateway's tests. Plain threads: they end with the process.
+//! Test doubles of the components around a gateway: servers, discovery and the counter, implemented from their public
+//! pages. The toy environment and the tests of the gateways use them. They run on plain threads, which end with the
+//! process.
 
 pub mod counter;
 pub mod discovery;
--- a/example/src/listener.rs
+++ b/example/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listening address that can be left, as a party does that moves to another one.
+//! A listening address that can be closed, for a component that moves to another address.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,44 +7,47 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
+/// A listening socket and its open connections.
 #[derive(Clone)]
 pub struct Listener {
+    /// The address it listens on.
     pub addr: SocketAddr,
-    left: Arc<AtomicBool>,
-    open: Arc<Mutex<Vec<TcpStream>>>,
+    closed: Arc<AtomicBool>,
+    connections: Arc<Mutex<Vec<TcpStream>>>,
 }
 
 impl Listener {
-    /// Serves each connection in a thread of its own.
+    /// Listens on `addr` and calls `serve` for each connection on a separate thread.
     pub fn start(addr: &str, serve: impl Fn(TcpStream) + Send + Clone + 'static) -> io::Result<Listener> {
         let socket = TcpListener::bind(addr)?;
-        let listener = Listener { addr: socket.local_addr()?, left: Arc::default(), open: Arc::default() };
-        let me = listener.clone();
+        let listener =
+            Listener { addr: socket.local_addr()?, closed: Arc::default(), connections: Arc::default() };
+        let accepting = listener.clone();
         spawn(move || {
             for stream in socket.incoming().flatten() {
-                if me.left.load(Ordering::SeqCst) {
+                if accepting.closed.load(Ordering::SeqCst) {
                     return;
                 }
-                let Ok(held) = stream.try_clone() else { continue };
-                me.open.lock().unwrap().extend(stream.try_clone());
+                let Ok(for_shutdown) = stream.try_clone() else { continue };
+                accepting.connections.lock().unwrap().extend(stream.try_clone());
                 let serve = serve.clone();
                 spawn(move || {
                     serve(stream);
-                    held.shutdown(Shutdown::Both)
+                    for_shutdown.shutdown(Shutdown::Both)
                 });
             }
         });
         Ok(listener)
     }
 
-    /// Takes no new connection; the open ones are ended after a time.
+    /// Stops accepting connections, and closes the open ones after the given time.
     pub fn close(&self, after: Duration) {
-        self.left.store(true, Ordering::SeqCst);
+        self.closed.store(true, Ordering::SeqCst);
         let _ = TcpStream::connect(self.addr);
-        let open = self.open.clone();
+        let connections = self.connections.clone();
         spawn(move || {
             sleep(after);
-            open.lock().unwrap().drain(..).for_each(|s| drop(s.shutdown(Shutdown::Both)));
+            connections.lock().unwrap().drain(..).for_each(|s| drop(s.shutdown(Shutdown::Both)));
         });
     }
 }
--- a/example/src/scheduling_delay.rs
+++ b/example/src/scheduling_delay.rs
@@ -1,5 +1,5 @@
-//! For how long threads waited for a processor while they could have run, by the machine's own count: what a busy
-//! machine adds to each span, and what a check of a span leaves out. Nothing where the machine keeps no count.
+//! How long runnable threads waited for a processor, as accounted by the kernel. A busy machine adds this delay to
+//! every measured duration, and checks of durations subtract it. The delay is 0 if the kernel does not account it.
 
 use std::collections::BTreeSet;
 use std::fs::{read_link, read_to_string};
@@ -7,34 +7,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Of one thread, by its directory below `/proc`.
+/// The delay of a thread, given its directory below `/proc`.
 pub fn of_thread(thread: &Path) -> Duration {
     let text = read_to_string(thread.join("schedstat")).unwrap_or_default();
     Duration::from_nanos(text.split(' ').nth(1).and_then(|ns| ns.parse().ok()).unwrap_or(0))
 }
 
-/// Of this thread.
+/// The delay of the current thread.
 pub fn of_current_thread() -> Duration {
     of_thread(Path::new("/proc/thread-self"))
 }
 
-/// The threads of one stand-in.
+/// The threads of one test double, for their total delay.
 #[derive(Clone, Default)]
 pub struct TrackedThreads(Arc<Mutex<(BTreeSet<PathBuf>, Duration)>>);
 
 impl TrackedThreads {
-    /// Runs this as one of them.
+    /// Runs `work` on the current thread and counts this thread.
     pub fn run<T>(&self, work: impl FnOnce() -> T) -> T {
-        let me = read_link("/proc/thread-self").map(|t| Path::new("/proc").join(t)).unwrap_or_default();
-        self.0.lock().unwrap().0.insert(me.clone());
-        let done = work();
+        let thread_dir =
+            read_link("/proc/thread-self").map(|t| Path::new("/proc").join(t)).unwrap_or_default();
+        self.0.lock().unwrap().0.insert(thread_dir.clone());
+        let result = work();
         let mut threads = self.0.lock().unwrap();
-        threads.0.remove(&me);
+        threads.0.remove(&thread_dir);
         threads.1 += of_current_thread();
-        done
+        result
     }
 
-    /// Of all of them so far, also of those that have ended.
+    /// The total delay of all these threads so far, including those that have ended.
     pub fn total(&self) -> Duration {
         let threads = self.0.lock().unwrap();
         threads.0.iter().map(|t| of_thread(t)).sum::<Duration>() + threads.1
--- a/example/src/server.rs
+++ b/example/src/server.rs
@@ -1,4 +1,4 @@
-//! A srv: records each req whose last byte came, and treats it as it was told to.
+//! A server that records each request it received completely and responds with a configurable behaviour.
 
 use crate::http::{read_message, Message};
 use crate::scheduling_delay::TrackedThreads;
@@ -10,33 +10,37 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
+/// How a server treats requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// Answers after a time.
+    /// Responds after the given time.
     Respond(Duration),
-    /// Answers nothing for now: each req has its answer once the behaviour is another one.
+    /// Delays responses until another behaviour is set, then responds to each request as that demands.
     Hold,
-    /// Answers, a byte at a time; in one go what is left after `TRICKLE`.
+    /// Responds one byte at a time; what is left after `TRICKLE_DURATION` is sent at once.
     Trickle,
+    /// Responds with 503 and `X-Not-Run: 1`.
     Overloaded,
+    /// Responds with 500.
     InternalError,
-    /// Resets the connection once the req is whole: it may have run.
+    /// Resets the connection after the complete request arrived: the request may have run.
     ResetAfterRequest,
-    /// Breaks off within its answer.
+    /// Closes the connection within the response.
     PartialResponse,
-    /// Resets each connection before it reads from it.
+    /// Resets each connection before reading from it.
     ResetOnAccept,
+    /// Never responds.
     Silent,
-    /// Writes this in place of an answer and leaves the connection open.
+    /// Writes the given text instead of a response and keeps the connection open.
     Malformed(&'static str),
-    /// Claims 3 GB and keeps sending.
+    /// Announces a body of 3 GiB and keeps sending.
     OversizedBody,
-    /// A good answer with something in front of it, among its headers, and right behind it.
+    /// A correct response with the given text before it, among its headers, and right after it.
     ResponseWithExtraBytes(&'static str, &'static str, &'static str),
 }
 
-/// A trickled answer is there whole soon after that, however busy the machine is.
-const TRICKLE: Duration = Duration::from_millis(100);
+/// Limits the duration of a trickled response, so that it completes soon even on a busy machine.
+const TRICKLE_DURATION: Duration = Duration::from_millis(100);
 
 #[derive(Default)]
 struct Record {
@@ -44,8 +48,10 @@
     connections: usize,
 }
 
+/// A running server; clones share its state.
 #[derive(Clone)]
 pub struct Server {
+    /// The address it listens on.
     pub addr: SocketAddr,
     behaviour: Arc<Mutex<Behaviour>>,
     record: Arc<Mutex<Record>>,
@@ -53,30 +59,32 @@
 }
 
 impl Server {
+    /// Starts a server.
     pub fn start(addr: &str, behaviour: Behaviour) -> io::Result<Server> {
         let listener = TcpListener::bind(addr)?;
-        let srv = Server::of(listener.local_addr()?, behaviour);
-        let me = srv.clone();
-        spawn(move || me.accept(listener));
-        Ok(srv)
+        let server = Server::new(listener.local_addr()?, behaviour);
+        let this = server.clone();
+        spawn(move || this.accept(listener));
+        Ok(server)
     }
 
-    /// One to which connections come up only once it is told to: its queue is full until then.
+    /// Starts a server whose accept backlog is full, so that connections are established only after a send on the
+    /// returned channel.
     pub fn start_with_full_backlog(addr: &str) -> io::Result<(Server, Sender<()>)> {
         let listener = TcpListener::bind(addr)?;
-        let srv = Server::of(listener.local_addr()?, Behaviour::Respond(Duration::ZERO));
+        let server = Server::new(listener.local_addr()?, Behaviour::Respond(Duration::ZERO));
         SockRef::from(&listener).listen(0)?;
-        let fill = TcpStream::connect(srv.addr)?;
-        let (me, (open, opened)) = (srv.clone(), channel());
+        let backlog_filler = TcpStream::connect(server.addr)?;
+        let (this, (open, opened)) = (server.clone(), channel());
         spawn(move || {
             let _ = opened.recv();
-            drop(fill);
-            me.accept(listener)
+            drop(backlog_filler);
+            this.accept(listener)
         });
-        Ok((srv, open))
+        Ok((server, open))
     }
 
-    fn of(addr: SocketAddr, behaviour: Behaviour) -> Server {
+    fn new(addr: SocketAddr, behaviour: Behaviour) -> Server {
         Server {
             addr,
             behaviour: Arc::new(Mutex::new(behaviour)),
@@ -85,17 +93,19 @@
         }
     }
 
+    /// Sets the behaviour from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *self.behaviour.lock().unwrap() = behaviour;
     }
-    /// The reqs that came whole.
+    /// The requests received completely.
     pub fn received(&self) -> Vec<Message> {
         self.record.lock().unwrap().received.clone()
     }
+    /// Number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.record.lock().unwrap().connections
     }
-    /// For how long its threads.total for a processor.
+    /// How long its threads waited for a processor, in total.
     pub fn scheduling_delay(&self) -> Duration {
         self.threads.total()
     }
@@ -103,8 +113,8 @@
     fn accept(self, listener: TcpListener) {
         for stream in listener.incoming().flatten() {
             self.record.lock().unwrap().connections += 1;
-            let me = self.clone();
-            spawn(move || me.threads.clone().run(|| me.serve(stream)));
+            let this = self.clone();
+            spawn(move || this.threads.clone().run(|| this.serve(stream)));
         }
     }
 
@@ -114,10 +124,10 @@
         if *self.behaviour.lock().unwrap() == Behaviour::ResetOnAccept {
             return reset(&stream);
         }
-        let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-        while let Some(req) = read_message(&mut from).ok()? {
-            let body = format!("made for {}\n", req.header("x-request-id").unwrap_or("nobody"));
-            self.record.lock().unwrap().received.push(req);
+        let (mut reader, mut writer) = (BufReader::new(stream.try_clone().ok()?), stream);
+        while let Some(request) = read_message(&mut reader).ok()? {
+            let body = format!("made for {}\n", request.header("x-request-id").unwrap_or("nobody"));
+            self.record.lock().unwrap().received.push(request);
             let mut behaviour = *self.behaviour.lock().unwrap();
             while behaviour == Behaviour::Hold {
                 sleep(Duration::from_millis(5));
@@ -125,39 +135,39 @@
             }
             let head = |status| format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n", body.len());
             match behaviour {
-                Behaviour::Respond(after) => {
-                    sleep(after);
-                    to.write_all(format!("{}\r\n{body}", head("200 OK")).as_bytes()).ok()?;
+                Behaviour::Respond(delay) => {
+                    sleep(delay);
+                    writer.write_all(format!("{}\r\n{body}", head("200 OK")).as_bytes()).ok()?;
                 }
                 Behaviour::Trickle => {
                     let (answer, start) = (format!("{}\r\n{body}", head("200 OK")), Instant::now());
-                    let mut left = answer.as_bytes();
-                    while start.elapsed() < TRICKLE && !left.is_empty() {
-                        to.write_all(&left[..1]).ok()?;
-                        left = &left[1..];
+                    let mut remaining = answer.as_bytes();
+                    while start.elapsed() < TRICKLE_DURATION && !remaining.is_empty() {
+                        writer.write_all(&remaining[..1]).ok()?;
+                        remaining = &remaining[1..];
                         sleep(Duration::from_micros(300));
                     }
-                    to.write_all(left).ok()?;
+                    writer.write_all(remaining).ok()?;
                 }
                 Behaviour::Overloaded => {
                     let head = head("503 Service Unavailable");
-                    to.write_all(format!("{head}X-Not-Run: 1\r\n\r\n{body}").as_bytes()).ok()?;
+                    writer.write_all(format!("{head}X-Not-Run: 1\r\n\r\n{body}").as_bytes()).ok()?;
                 }
-                Behaviour::InternalError => to
+                Behaviour::InternalError => writer
                     .write_all(format!("{}\r\n{body}", head("500 Internal Server Error")).as_bytes())
                     .ok()?,
                 Behaviour::PartialResponse => {
-                    to.write_all(format!("{}\r\nmade", head("200 OK")).as_bytes()).ok()?;
+                    writer.write_all(format!("{}\r\nmade", head("200 OK")).as_bytes()).ok()?;
                     return Some(());
                 }
-                Behaviour::ResetAfterRequest | Behaviour::ResetOnAccept => return reset(&to),
+                Behaviour::ResetAfterRequest | Behaviour::ResetOnAccept => return reset(&writer),
                 Behaviour::Silent | Behaviour::Hold => {}
-                Behaviour::Malformed(bytes) => to.write_all(bytes.as_bytes()).ok()?,
+                Behaviour::Malformed(bytes) => writer.write_all(bytes.as_bytes()).ok()?,
                 Behaviour::OversizedBody => {
-                    to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n").ok()?;
-                    while to.write_all(&[b'x'; 4096]).is_ok() {}
+                    writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n").ok()?;
+                    while writer.write_all(&[b'x'; 4096]).is_ok() {}
                 }
-                Behaviour::ResponseWithExtraBytes(front, headers, behind) => to
+                Behaviour::ResponseWithExtraBytes(front, headers, behind) => writer
                     .write_all(format!("{front}{}{headers}\r\n{body}{behind}", head("200 OK")).as_bytes())
                     .ok()?,
             }
--- a/testbed/src/quota.rs
+++ b/testbed/src/quota.rs
@@ -46,15 +46,15 @@
     let mut out: BTreeMap<(u32, u64), Window> = BTreeMap::new();
     fn window_at(
         out: &mut BTreeMap<(u32, u64), Window>,
-        customer: u32,
+        customer_id: u32,
         index: u64,
         allowed: Option<f64>,
         span_s: f64,
     ) -> Option<&mut Window> {
         let allowed = allowed?;
         let t = index as f64 * span_s;
-        Some(out.entry((customer, index)).or_insert(Window {
-            customer,
+        Some(out.entry((customer_id, index)).or_insert(Window {
+            customer: customer_id,
             t,
             used: 0.0,
             allowed,
