--- a/testbed/src/rules.rs
+++ b/testbed/src/rules.rs
@@ -72,25 +72,23 @@
 pub fn check(record: &Record, settings: &GatewaySettings, grace_s: f64) -> Verdict {
     let mut verdict: Verdict = Rule::ALL.iter().map(|r| (*r, Violations::default())).collect();
     let final_answer = verdict.get_mut(&Rule::OneFinalAnswer).expect("all rules");
-    for r in &record.requests {
-        match r.outcome {
-            Outcome::NoAnswer => {
-                final_answer.add(|| format!("request {:016x}: connection closed without a response", r.id))
-            }
-            Outcome::Late => {
-                final_answer.add(|| format!("request {:016x}: no response within {:.3} s", r.id, r.timeout))
-            }
+    for request in &record.requests {
+        match request.outcome {
+            Outcome::NoAnswer => final_answer
+                .add(|| format!("request {:016x}: connection closed without a response", request.id)),
+            Outcome::Late => final_answer
+                .add(|| format!("request {:016x}: no response within {:.3} s", request.id, request.timeout)),
             Outcome::ForeignAnswer => final_answer
-                .add(|| format!("request {:016x}: received the response to another request", r.id)),
+                .add(|| format!("request {:016x}: received the response to another request", request.id)),
             _ => {}
         }
     }
     // Counts the runs of each request that must not be repeated. Requests with an idempotency key are not counted:
     // the server recognizes their repeats.
     let mut runs: BTreeMap<u64, usize> = BTreeMap::new();
-    for a in record.arrivals.iter().filter(|a| a.ran && !a.repeat_of_key) {
-        if settings.classes.get(a.class as usize).is_some_and(|c| c.effect == Effect::Once) {
-            *runs.entry(a.id).or_default() += 1;
+    for arrival in record.arrivals.iter().filter(|a| a.ran && !a.repeat_of_key) {
+        if settings.classes.get(arrival.class as usize).is_some_and(|c| c.effect == Effect::Once) {
+            *runs.entry(arrival.id).or_default() += 1;
         }
     }
     let repeated = verdict.get_mut(&Rule::NoDuplicateEffect).expect("all rules");
@@ -98,33 +96,41 @@
         repeated.add(|| format!("request {id:016x} ran {n} times"));
     }
     let drained = verdict.get_mut(&Rule::NothingToDrainedServer).expect("all rules");
-    for a in record.arrivals.iter().filter(|a| a.since_drain_announced > grace_s + SLACK_S) {
+    for arrival in record.arrivals.iter().filter(|a| a.since_drain_announced > grace_s + SLACK_S) {
         drained.add(|| {
             format!(
                 "server {} received request {:016x} {:.3} s after its drain was announced",
-                a.server, a.id, a.since_drain_announced
+                arrival.server, arrival.id, arrival.since_drain_announced
             )
         });
     }
     let cold_server = verdict.get_mut(&Rule::ColdServerNotOverloaded).expect("all rules");
-    for a in record.arrivals.iter().filter(|a| a.cold && a.running >= a.limit) {
+    for arrival in record.arrivals.iter().filter(|a| a.cold && a.running >= a.limit) {
         cold_server.add(|| {
-            format!("cold server {} at {:.2} s: {} running, limit {}", a.server, a.at, a.running + 1, a.limit)
+            format!(
+                "cold server {} at {:.2} s: {} running, limit {}",
+                arrival.server,
+                arrival.at,
+                arrival.running + 1,
+                arrival.limit
+            )
         });
     }
     let concurrency = verdict.get_mut(&Rule::ConcurrencyLimitAcrossGateways).expect("all rules");
     let plans = customer_plans(record);
-    for a in &record.arrivals {
-        let at_once =
-            plans.get(&a.customer).and_then(|p| settings.plans.get(*p as usize)).map_or(0, |p| p.at_once);
-        if at_once > 0 && a.customer_open.len() > at_once {
+    for arrival in &record.arrivals {
+        let at_once = plans
+            .get(&arrival.customer)
+            .and_then(|p| settings.plans.get(*p as usize))
+            .map_or(0, |p| p.at_once);
+        if at_once > 0 && arrival.customer_open.len() > at_once {
             concurrency.add(|| {
                 let open: Vec<String> =
-                    a.customer_open.iter().map(|(s, i)| format!("{i:x}@server{s}")).collect();
+                    arrival.customer_open.iter().map(|(s, i)| format!("{i:x}@server{s}")).collect();
                 format!(
                     "customer {} at {:.2} s: open requests {}, limit of the plan {at_once}",
-                    a.customer,
-                    a.at,
+                    arrival.customer,
+                    arrival.at,
                     open.join(" ")
                 )
             });
--- a/testbed/src/scenario.rs
+++ b/testbed/src/scenario.rs
@@ -254,9 +254,9 @@
 impl Scenario {
     /// Parses and validates a scenario; the error names the invalid field.
     pub fn parse(text: &str) -> Result<Scenario, String> {
-        let s: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
-        s.check()?;
-        Ok(s)
+        let scenario: Scenario = toml::from_str(text).map_err(|e| e.to_string())?;
+        scenario.check()?;
+        Ok(scenario)
     }
 
     /// Number of servers over all groups.
@@ -271,58 +271,58 @@
 
     /// Validates all values; the error names the invalid field.
     pub fn check(&self) -> Result<(), String> {
-        let span = |v: f64, lo: f64, hi: f64, field: &str| {
+        let check_range = |v: f64, lo: f64, hi: f64, field: &str| {
             if v.is_finite() && (lo..=hi).contains(&v) {
                 Ok(())
             } else {
                 Err(format!("`{field}`: {v} is not between {lo} and {hi}"))
             }
         };
-        span(self.duration_s, 0.5, 3600.0, "duration_s")?;
-        span(self.gateways as f64, 1.0, MAX_GATEWAYS as f64, "gateways")?;
-        span(self.bucket_s, 0.05, 60.0, "bucket_s")?;
-        span(self.grace_s, 0.0, 10.0, "grace_s")?;
-        span(self.quota_window_s, 1.0, 3600.0, "quota_window_s")?;
-        let l = &self.load;
-        span(l.rate, 0.0, MAX_RATE, "load.rate")?;
-        span(l.customers as f64, 1.0, MAX_CUSTOMERS as f64, "load.customers")?;
-        span(l.give_up_early, 0.0, 1.0, "load.give_up_early")?;
-        span(l.again_too_soon, 0.0, 1.0, "load.again_too_soon")?;
-        span(l.clients_per_gateway as f64, 1.0, 512.0, "load.clients_per_gateway")?;
-        let [lo, hi] = l.timeout_share;
-        span(lo, 0.05, 1.0, "load.timeout_share")?;
-        span(hi, lo, 1.0, "load.timeout_share")?;
-        for b in &l.bursts {
-            span(b.at, 0.0, self.duration_s, "load.bursts.at")?;
-            span(b.span, 0.0, self.duration_s, "load.bursts.for")?;
-            span(b.times * l.rate, 0.0, MAX_RATE, "load.bursts.times")?;
+        check_range(self.duration_s, 0.5, 3600.0, "duration_s")?;
+        check_range(self.gateways as f64, 1.0, MAX_GATEWAYS as f64, "gateways")?;
+        check_range(self.bucket_s, 0.05, 60.0, "bucket_s")?;
+        check_range(self.grace_s, 0.0, 10.0, "grace_s")?;
+        check_range(self.quota_window_s, 1.0, 3600.0, "quota_window_s")?;
+        let load = &self.load;
+        check_range(load.rate, 0.0, MAX_RATE, "load.rate")?;
+        check_range(load.customers as f64, 1.0, MAX_CUSTOMERS as f64, "load.customers")?;
+        check_range(load.give_up_early, 0.0, 1.0, "load.give_up_early")?;
+        check_range(load.again_too_soon, 0.0, 1.0, "load.again_too_soon")?;
+        check_range(load.clients_per_gateway as f64, 1.0, 512.0, "load.clients_per_gateway")?;
+        let [lo, hi] = load.timeout_share;
+        check_range(lo, 0.05, 1.0, "load.timeout_share")?;
+        check_range(hi, lo, 1.0, "load.timeout_share")?;
+        for burst in &load.bursts {
+            check_range(burst.at, 0.0, self.duration_s, "load.bursts.at")?;
+            check_range(burst.span, 0.0, self.duration_s, "load.bursts.for")?;
+            check_range(burst.times * load.rate, 0.0, MAX_RATE, "load.bursts.times")?;
         }
-        shares(&l.classes, &CLASSES, "load.classes")?;
-        shares(&l.plans, &PLANS, "load.plans")?;
+        check_shares(&load.classes, &CLASSES, "load.classes")?;
+        check_shares(&load.plans, &PLANS, "load.plans")?;
         if self.server_count() == 0 || self.server_count() > MAX_SERVERS {
             return Err(format!("`srvs`: {} servers, must be 1 to {MAX_SERVERS}", self.server_count()));
         }
-        for g in &self.servers {
-            span(g.capacity as f64, 1.0, 4096.0, "srvs.capacity")?;
-            span(g.latency_ms as f64, 0.0, 60_000.0, "srvs.latency_ms")?;
+        for group in &self.servers {
+            check_range(group.capacity as f64, 1.0, 4096.0, "srvs.capacity")?;
+            check_range(group.latency_ms as f64, 0.0, 60_000.0, "srvs.latency_ms")?;
         }
-        for f in &self.faults {
-            span(f.at, 0.0, self.duration_s, "faults.at")?;
-            span(f.span, 0.0, self.duration_s, "faults.for")?;
-            let t = f.target()?;
-            let fits = match t {
-                Target::Server(n) => f.kind.applies_to_server() && n < self.server_count(),
-                Target::Counter => f.kind.applies_to_counter(),
+        for fault in &self.faults {
+            check_range(fault.at, 0.0, self.duration_s, "faults.at")?;
+            check_range(fault.span, 0.0, self.duration_s, "faults.for")?;
+            let target = fault.target()?;
+            let fits = match target {
+                Target::Server(n) => fault.kind.applies_to_server() && n < self.server_count(),
+                Target::Counter => fault.kind.applies_to_counter(),
                 Target::Discovery => {
-                    matches!(f.kind, FaultKind::Late)
-                        || matches!(f.kind, FaultKind::Wrong { server } if server < self.server_count())
+                    matches!(fault.kind, FaultKind::Late)
+                        || matches!(fault.kind, FaultKind::Wrong { server } if server < self.server_count())
                 }
             };
             if !fits {
-                return Err(format!("`faults`: {} does not apply to {}", f.kind.label(), f.target));
+                return Err(format!("`faults`: {} does not apply to {}", fault.kind.label(), fault.target));
             }
-            if let FaultKind::Cold { cold_from } = f.kind {
-                span(cold_from, 0.01, 1.0, "faults.cold_from")?;
+            if let FaultKind::Cold { cold_from } = fault.kind {
+                check_range(cold_from, 0.01, 1.0, "faults.cold_from")?;
             }
         }
         Ok(())
@@ -330,7 +330,7 @@
 }
 
 /// Checks that the list is not empty, uses only known names and has positive shares.
-fn shares(list: &[Share], known: &[&str], field: &str) -> Result<(), String> {
+fn check_shares(list: &[Share], known: &[&str], field: &str) -> Result<(), String> {
     if list.is_empty() {
         return Err(format!("`{field}`: empty"));
     }
