--- a/testbed/src/broken_gateway.rs
+++ b/testbed/src/broken_gateway.rs
@@ -17,7 +17,7 @@
     let config: serde_json::Value = serde_json::from_str(&text).map_err(|e| format!("{path}: {e}"))?;
     let addr =
         |k: &str| config[k].as_str().and_then(|a| a.parse::<SocketAddr>().ok()).ok_or(format!("`{k}`"));
-    let servers = Arc::new(active_servers(addr("discovery")?)?);
+    let servers = Arc::new(listed_servers(addr("discovery")?)?);
     let listener = TcpListener::bind(addr("listen")?).map_err(|e| e.to_string())?;
     eprintln!("broken listens on {}", listener.local_addr().map_err(|e| e.to_string())?);
     let next_server = Arc::new(AtomicUsize::new(0));
@@ -29,32 +29,37 @@
 }
 
 /// Addresses of all servers that discovery lists.
-fn active_servers(discovery: SocketAddr) -> Result<Vec<SocketAddr>, String> {
-    let mut c = Client::connect(discovery).map_err(|e| format!("discovery: {e}"))?;
-    let m = c.send_request(b"GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n").map_err(|e| e.to_string())?;
+fn listed_servers(discovery: SocketAddr) -> Result<Vec<SocketAddr>, String> {
+    let mut client = Client::connect(discovery).map_err(|e| format!("discovery: {e}"))?;
+    let response = client
+        .send_request(b"GET /catalog/members HTTP/1.1\r\nHost: d\r\n\r\n")
+        .map_err(|e| e.to_string())?;
     let list: serde_json::Value =
-        serde_json::from_slice(&m.ok_or("discovery: no answer")?.body).map_err(|e| e.to_string())?;
-    let rows = list["instances"].as_array().ok_or("discovery: no instances")?;
-    Ok(rows.iter().filter_map(|r| r["hostPort"].as_str()?.parse().ok()).collect())
+        serde_json::from_slice(&response.ok_or("discovery: no answer")?.body).map_err(|e| e.to_string())?;
+    let instances = list["instances"].as_array().ok_or("discovery: no instances")?;
+    Ok(instances.iter().filter_map(|r| r["hostPort"].as_str()?.parse().ok()).collect())
 }
 
 /// Serves one connection of a client.
 fn connection(stream: TcpStream, servers: &[SocketAddr], next_server: &AtomicUsize) -> Option<()> {
-    let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-    while let Some(request) = read_message(&mut from).ok()? {
+    let (mut reader, mut writer) = (BufReader::new(stream.try_clone().ok()?), stream);
+    while let Some(request) = read_message(&mut reader).ok()? {
         if request.start_line.starts_with("GET /_health") {
-            to.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").ok()?;
+            writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").ok()?;
             continue;
         }
         let n = next_server.fetch_add(1, Ordering::Relaxed);
         let first = forward(&request, servers[n % servers.len()]);
         let _second = forward(&request, servers[(n + 1) % servers.len()]);
-        let (status, body) = first.map_or(("502 Bad Gateway".to_string(), vec![]), |m| {
-            (m.start_line.split_once(' ').map_or("502 Bad Gateway", |s| s.1).to_string(), m.body)
+        let (status, body) = first.map_or(("502 Bad Gateway".to_string(), vec![]), |response| {
+            (
+                response.start_line.split_once(' ').map_or("502 Bad Gateway", |s| s.1).to_string(),
+                response.body,
+            )
         });
         let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len());
-        to.write_all(head.as_bytes()).ok()?;
-        to.write_all(&body).ok()?;
+        writer.write_all(head.as_bytes()).ok()?;
+        writer.write_all(&body).ok()?;
     }
     Some(())
 }
--- a/testbed/src/emulator/server.rs
+++ b/testbed/src/emulator/server.rs
@@ -72,10 +72,10 @@
                     let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                     continue;
                 }
-                let me = inner.clone();
+                let this = inner.clone();
                 spawn(move || {
-                    me.serve(stream);
-                    me.connections.fetch_sub(1, Ordering::SeqCst);
+                    this.serve(stream);
+                    this.connections.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
@@ -84,21 +84,21 @@
 }
 
 /// The `X-Request-Id` as a number; 0 if it is missing or malformed.
-fn id_of(m: &Message) -> u64 {
-    m.header("x-request-id").and_then(|i| u64::from_str_radix(i, 16).ok()).unwrap_or(0)
+fn id_of(message: &Message) -> u64 {
+    message.header("x-request-id").and_then(|i| u64::from_str_radix(i, 16).ok()).unwrap_or(0)
 }
 
 /// The customer in the `client` query parameter; 0 if it is missing or malformed.
-fn customer_of(m: &Message) -> u32 {
-    let target = m.start_line.split(' ').nth(1).unwrap_or_default();
+fn customer_of(message: &Message) -> u32 {
+    let target = message.start_line.split(' ').nth(1).unwrap_or_default();
     let query = target.split_once('?').map_or("", |q| q.1);
     let hex = query.split('&').find_map(|p| p.strip_prefix("client="));
     hex.and_then(|h| u64::from_str_radix(h, 16).ok()).unwrap_or(0) as u32
 }
 
 /// Index of the class in the first path segment; `u8::MAX` if it is unknown.
-fn class_of(m: &Message, run_state: &RunState) -> u8 {
-    let target = m.start_line.split(' ').nth(1).unwrap_or_default();
+fn class_of(message: &Message, run_state: &RunState) -> u8 {
+    let target = message.start_line.split(' ').nth(1).unwrap_or_default();
     let first = target.trim_start_matches('/').split(['/', '?']).next().unwrap_or_default();
     run_state.settings.class(first).unwrap_or(u8::MAX as usize) as u8
 }
@@ -106,9 +106,9 @@
 impl ServerState {
     fn serve(&self, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
-        let (mut from, mut to) = (BufReader::new(stream.try_clone().ok()?), stream);
-        while let Some(request) = read_message(&mut from).ok()? {
-            self.serve_request(&request, &mut to, &mut from)?;
+        let (mut reader, mut writer) = (BufReader::new(stream.try_clone().ok()?), stream);
+        while let Some(request) = read_message(&mut reader).ok()? {
+            self.serve_request(&request, &mut writer, &mut reader)?;
         }
         Some(())
     }
@@ -117,8 +117,8 @@
     fn serve_request(
         &self,
         request: &Message,
-        to: &mut TcpStream,
-        from: &mut BufReader<TcpStream>,
+        writer: &mut TcpStream,
+        reader: &mut BufReader<TcpStream>,
     ) -> Option<()> {
         let state = &self.run_state;
         let t = state.now();
@@ -152,7 +152,7 @@
             state.request_closed(customer, self.index as u16, id);
             let (status, headers) =
                 if repeat_of_key { ("200 OK", "") } else { ("503 Service Unavailable", "X-Not-Run: 1\r\n") };
-            return write_response(to, status, headers, &body);
+            return write_response(writer, status, headers, &body);
         }
         if let Some(k) = key {
             self.keys.lock().unwrap().insert(k);
@@ -160,12 +160,12 @@
         self.running.fetch_add(1, Ordering::SeqCst);
         let open_request = OpenRequest { server: self, customer, id, open: std::cell::Cell::new(true) };
         let fault = schedule::active_fault(&state.faults, Target::Server(self.index), t).map(|f| f.kind);
-        self.respond(fault, to, from, &body, &open_request)
+        self.respond(fault, writer, reader, &body, &open_request)
     }
 
     /// Waits for `span`, or until the gateway closes the connection (then `false`) or the run ends. A connection
     /// carries one request at a time, so only its end can be read while a request runs.
-    fn wait_while_connected(&self, from: &mut BufReader<TcpStream>, span: Option<Duration>) -> bool {
+    fn wait_while_connected(&self, reader: &mut BufReader<TcpStream>, span: Option<Duration>) -> bool {
         let until = span.map(|s| std::time::Instant::now() + s);
         let mut byte = [0u8; 1];
         loop {
@@ -174,10 +174,10 @@
             if left.is_zero() || self.run_state.is_over() {
                 return until.is_some();
             }
-            if from.get_ref().set_read_timeout(Some(left)).is_err() {
+            if reader.get_ref().set_read_timeout(Some(left)).is_err() {
                 return false;
             }
-            match from.read(&mut byte) {
+            match reader.read(&mut byte) {
                 Ok(0) => return false,
                 Ok(_) => {}
                 Err(e)
@@ -191,8 +191,8 @@
     fn respond(
         &self,
         fault: Option<FaultKind>,
-        to: &mut TcpStream,
-        from: &mut BufReader<TcpStream>,
+        writer: &mut TcpStream,
+        reader: &mut BufReader<TcpStream>,
         body: &str,
         open_request: &OpenRequest,
     ) -> Option<()> {
@@ -201,7 +201,7 @@
             Some(FaultKind::Silent) => None,
             _ => Some(self.latency),
         };
-        if !self.wait_while_connected(from, span) {
+        if !self.wait_while_connected(reader, span) {
             open_request.close();
             return None;
         }
@@ -209,13 +209,13 @@
         let (status, headers) = match fault {
             Some(FaultKind::ResetMidAnswer) => {
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\nmade", body.len());
-                to.write_all(head.as_bytes()).ok()?;
-                SockRef::from(&*to).set_linger(Some(Duration::ZERO)).ok()?;
+                writer.write_all(head.as_bytes()).ok()?;
+                SockRef::from(&*writer).set_linger(Some(Duration::ZERO)).ok()?;
                 open_request.close();
                 return None;
             }
             Some(FaultKind::Informational) => {
-                to.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").ok()?;
+                writer.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").ok()?;
                 ("200 OK", "")
             }
             Some(FaultKind::Failing) => ("500 Internal Server Error", ""),
@@ -223,7 +223,7 @@
             _ => ("200 OK", ""),
         };
         open_request.close();
-        write_response(to, status, headers, body)
+        write_response(writer, status, headers, body)
     }
 }
 
@@ -254,7 +254,7 @@
 }
 
 /// Writes a response with a `Content-Length`.
-fn write_response(to: &mut TcpStream, status: &str, headers: &str, body: &str) -> Option<()> {
+fn write_response(writer: &mut TcpStream, status: &str, headers: &str, body: &str) -> Option<()> {
     let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len());
-    to.write_all(text.as_bytes()).ok()
+    writer.write_all(text.as_bytes()).ok()
 }
--- a/testbed/src/quota.rs
+++ b/testbed/src/quota.rs
@@ -63,15 +63,15 @@
     }
     let allowed = |c: &u32| plan(c).and_then(|p| p.allowed(span_s));
     for (c, at) in first_runs.values() {
-        if let Some(window) = window_at(&mut out, *c, window_index(*at), allowed(c), span_s) {
-            window.used += 1.0;
+        if let Some(customer_window) = window_at(&mut out, *c, window_index(*at), allowed(c), span_s) {
+            customer_window.used += 1.0;
         }
     }
     for r in record.requests.iter().filter(|r| r.outcome == Outcome::Denied) {
-        if let Some(window) =
+        if let Some(customer_window) =
             window_at(&mut out, r.customer, window_index(r.sent), allowed(&r.customer), span_s)
         {
-            window.denied_with_room += 1;
+            customer_window.denied_with_room += 1;
         }
     }
     for w in out.values_mut() {
--- a/testbed/src/report.rs
+++ b/testbed/src/report.rs
@@ -201,7 +201,7 @@
 
     /// The main figures by name, in a fixed order, as `compare` and `figures_csv` list them.
     pub fn figures(&self) -> Vec<(&'static str, f64)> {
-        let mut figures = vec![
+        let mut list = vec![
             ("reqs", self.requests as f64),
             ("goodput /s", self.goodput),
             ("missed targets", self.missed_share()),
@@ -209,13 +209,13 @@
             ("p99 ms", self.p99_ms),
             ("p99.9 ms", self.p999_ms),
         ];
-        figures.extend(Outcome::ALL.iter().map(|e| (e.label(), self.counts[e] as f64)));
-        figures.extend(Rule::ALL.iter().map(|r| (r.label(), self.verdict[r].count as f64)));
-        figures.push(("quota: worst share over", self.quota_over));
-        figures.push(("quota: windows over 5%", self.quota_windows_over as f64));
-        figures.push(("quota: denied with room", self.denied_with_room as f64));
-        figures.push(("gateway peak MiB", self.gateway_peak_kib as f64 / 1024.0));
-        figures
+        list.extend(Outcome::ALL.iter().map(|e| (e.label(), self.counts[e] as f64)));
+        list.extend(Rule::ALL.iter().map(|r| (r.label(), self.verdict[r].count as f64)));
+        list.push(("quota: worst share over", self.quota_over));
+        list.push(("quota: windows over 5%", self.quota_windows_over as f64));
+        list.push(("quota: denied with room", self.denied_with_room as f64));
+        list.push(("gateway peak MiB", self.gateway_peak_kib as f64 / 1024.0));
+        list
     }
 
     /// The report as Markdown.
