--- a/control-plane/tests/common/mod.rs
+++ b/control-plane/tests/common/mod.rs
@@ -173,7 +173,7 @@
     fn wait_until_listening(&mut self, i: usize) -> bool {
         let at = self.control_address(i);
         wait_for("the process to listen or end", || {
-            let listening = Client::to(at).is_ok();
+            let listening = Client::connect(at).is_ok();
             (listening || !self.is_running(i)).then_some(listening)
         })
     }
@@ -187,8 +187,8 @@
         time_limit: Duration,
     ) -> Option<Message> {
         let head = format!("{method} {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n", body.len());
-        let mut client = Client::within(at, time_limit).ok()?;
-        client.ask(&[head.as_bytes(), body].concat()).ok()?
+        let mut client = Client::connect_with_timeout(at, time_limit).ok()?;
+        client.send_request(&[head.as_bytes(), body].concat()).ok()?
     }
 
     /// Sends a request and follows up to two redirects; returns the status, the body and the member that answered.
--- a/control-plane/tests/isolated_member.rs
+++ b/control-plane/tests/isolated_member.rs
@@ -96,7 +96,7 @@
                 assert!(target.iter().any(|target| answer.header("location") == Some(target)));
                 true
             }
-            _ => panic!("{method} {path}: {}", answer.start),
+            _ => panic!("{method} {path}: {}", answer.start_line),
         }
     };
     let round = || {
--- a/control-plane/tests/list_pages.rs
+++ b/control-plane/tests/list_pages.rs
@@ -37,8 +37,8 @@
             let second_page_requests = requests.clone();
             spawn(move || {
                 let mut from = BufReader::new(stream);
-                while let Ok(Some(request)) = http::read(&mut from) {
-                    let second = request.start.contains("page_token");
+                while let Ok(Some(request)) = http::read_message(&mut from) {
+                    let second = request.start_line.contains("page_token");
                     // a late duplicate of the first page is sent ahead of the second page
                     let duplicated =
                         second && second_page_requests.fetch_add(1, Ordering::Relaxed) < DUPLICATED_READS;
--- a/control-plane/tests/operations.rs
+++ b/control-plane/tests/operations.rs
@@ -230,7 +230,7 @@
     fs::create_dir_all(&unreadable).unwrap();
     core.start(newcomer, false);
     core.wait_for_log(newcomer, "event=journal_unread");
-    wait_for("the newcomer to listen", || Client::to(core.control_address(newcomer)).ok());
+    wait_for("the newcomer to listen", || Client::connect(core.control_address(newcomer)).ok());
     assert!(!core.data_dir(newcomer).join("snapshot").exists());
     assert!(!log_text(&core, newcomer).contains("event=started"));
     fs::remove_dir(&unreadable).unwrap();
--- a/control-plane/tests/operator_requests.rs
+++ b/control-plane/tests/operator_requests.rs
@@ -26,7 +26,7 @@
             let count = count.clone();
             spawn(move || {
                 let mut from = BufReader::new(stream);
-                while let Ok(Some(_)) = http::read(&mut from) {
+                while let Ok(Some(_)) = http::read_message(&mut from) {
                     count.fetch_add(1, Ordering::Relaxed);
                     let row = json!({"id": "i-1", "service": "huvo11a", "address": "127.0.0.1:9", "slots": 3,
                                      "zone": "harju-kadaka", "state": "ready"});
@@ -140,11 +140,11 @@
     let malformed: [&[u8]; 5] =
         [b"\0\x01\xff\r\n\r\n", b"GET\r\n\r\n", b"GET / HTTP/9\r\nx\r\n\r\n", &long, huge.as_bytes()];
     for (i, bytes) in (0..3).flat_map(|i| malformed.map(|bytes| (i, bytes))) {
-        let mut client = Client::within(core.control_address(i), WAIT_LIMIT).unwrap();
+        let mut client = Client::connect_with_timeout(core.control_address(i), WAIT_LIMIT).unwrap();
         // the answer may come before all bytes are written
         let _ = client.write(bytes);
-        let answer = client.answer().unwrap().expect("an answer");
-        assert!((400..500).contains(&answer.status()), "{}", answer.start);
+        let answer = client.read_response().unwrap().expect("an answer");
+        assert!((400..500).contains(&answer.status()), "{}", answer.start_line);
     }
     let stranger = Ipv4Addr::from(u32::from(core.ips[2]) + 1);
     let udp = UdpSocket::bind((stranger, core.peer_port)).unwrap();
@@ -152,7 +152,7 @@
         let at = (core.ips[i], core.peer_port);
         for bytes in malformed {
             let _ = udp.send_to(bytes, at);
-            let _ = Client::to(at.into()).and_then(|mut c| c.write(bytes));
+            let _ = Client::connect(at.into()).and_then(|mut c| c.write(bytes));
         }
     }
     assert_eq!(core.settled_answer(0, "GET", CONFIG_PATH, b"").1, config_8);
@@ -246,7 +246,7 @@
         assert_eq!(core.put((leader + 1) % 3, &newest), 200);
         // these requests wait in its sockets, and are the first that it reads after the pause
         let send_early = |method: &str, body: &[u8]| {
-            let mut client = Client::within(core.control_address(leader), WAIT_LIMIT).unwrap();
+            let mut client = Client::connect_with_timeout(core.control_address(leader), WAIT_LIMIT).unwrap();
             let head = format!(
                 "{method} {CONFIG_PATH} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n",
                 body.len()
@@ -257,10 +257,10 @@
         let conflicting = config::numbered(base + 2, base);
         let calls = [send_early("GET", b""), send_early("PUT", &conflicting), send_early("PUT", &newest)];
         core.signal(leader, "-CONT");
-        let [read, put, repeated] = calls.map(|mut c| c.answer().unwrap().expect("an answer"));
+        let [read, put, repeated] = calls.map(|mut c| c.read_response().unwrap().expect("an answer"));
         assert!(read.status() != 200 || read.body == newest, "{}", read.text());
-        assert!([307, 412, 503].contains(&put.status()), "{}", put.start);
-        assert!([200, 307, 503].contains(&repeated.status()), "{}", repeated.start);
+        assert!([307, 412, 503].contains(&put.status()), "{}", put.start_line);
+        assert!([200, 307, 503].contains(&repeated.status()), "{}", repeated.start_line);
         assert_eq!(core.settled_answer(leader, "GET", CONFIG_PATH, b"").1, newest);
     }
     assert_eq!(core.settled_answer(0, "GET", CONFIG_PATH, b"").1, newest);
--- a/data-plane/tests/rules/table_drift.rs
+++ b/data-plane/tests/rules/table_drift.rs
@@ -27,8 +27,8 @@
         let (began, mut moved) = (Instant::now(), 0);
         loop {
             let mut connection =
-                link.take().unwrap_or_else(|| Client::to(client_addresses[at]).expect("a connection"));
-            let answer = connection.ask(text.as_bytes()).expect("no break").expect("an answer");
+                link.take().unwrap_or_else(|| Client::connect(client_addresses[at]).expect("a connection"));
+            let answer = connection.send_request(text.as_bytes()).expect("no break").expect("an answer");
             if answer.header("connection") != Some("close") {
                 link = Some(connection);
             }
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -257,7 +257,7 @@
 
     /// How a request differs from what a client sent.
     fn request_fault(&self, message: &Message, id: &str) -> Option<&'static str> {
-        let (path, body) = (message.start.split(' ').nth(1).unwrap_or_default(), message.text());
+        let (path, body) = (message.start_line.split(' ').nth(1).unwrap_or_default(), message.text());
         let subject = subject(message, id);
         match message {
             _ if path.starts_with(KEYED) && message.header(OPERATION_KEY).is_none() => {
@@ -267,10 +267,10 @@
             m if m.header("lupinledge-tenant").is_none() => Some("the tenant is missing"),
             _ if !path.ends_with(&format!("/{subject}")) => Some("the path belongs to another request"),
             _ if self.behaviour.action_for(id) == ServerAction::AnswerEarly => None,
-            m if m.start.starts_with("POST ") && body != request_body(subject) => {
+            m if m.start_line.starts_with("POST ") && body != request_body(subject) => {
                 Some("the body belongs to another request")
             }
-            m if m.start.starts_with("GET ") && !body.is_empty() => Some("a body that was not sent"),
+            m if m.start_line.starts_with("GET ") && !body.is_empty() => Some("a body that was not sent"),
             _ => None,
         }
     }
@@ -278,7 +278,7 @@
     /// Runs or rejects a request; returns whether the connection stays open.
     fn run_request(&self, message: &Message, stream: &mut TcpStream) -> io::Result<bool> {
         let id = message.header("lupinledge-attempt-id").unwrap_or("none").to_string();
-        let path = message.start.split(' ').nth(1).unwrap_or_default().to_string();
+        let path = message.start_line.split(' ').nth(1).unwrap_or_default().to_string();
         if message.header("lupinledge-expect-instance") != Some(&self.id) {
             stream.write_all(format_answer("421 Another Instance", &id, "", "").as_bytes())?;
             return Ok(true);
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -138,7 +138,7 @@
             return Some(connection);
         }
         let front = self.fronts[self.rng.usize(0..self.fronts.len())];
-        match Client::within(front, DEADLINE + DEADLINE_MARGIN) {
+        match Client::connect_with_timeout(front, DEADLINE + DEADLINE_MARGIN) {
             Ok(client) => Some((front, client)),
             Err(_) => {
                 // asks the directory again, and uses only the other addresses until it answers
@@ -166,7 +166,7 @@
                 Ending::Left
             }
             Ok(()) => {
-                let answer = connection.answer();
+                let answer = connection.read_response();
                 let closes_connection =
                     |a: &Message| a.header("connection").is_some_and(|c| c.eq_ignore_ascii_case("close"));
                 keep_alive = matches!(&answer, Ok(Some(a)) if !closes_connection(a));
@@ -222,9 +222,9 @@
 /// The addresses that the directory returns.
 pub fn resolve(at: SocketAddr) -> Option<Vec<SocketAddr>> {
     let path = format!("/lupinledge/resolve?name={HOST}&region=north&zone=north-1");
-    let mut client = Client::within(at, Duration::from_secs(1)).ok()?;
+    let mut client = Client::connect_with_timeout(at, Duration::from_secs(1)).ok()?;
     let call = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
-    let answer = client.ask(call.as_bytes()).ok()??;
+    let answer = client.send_request(call.as_bytes()).ok()??;
     let directory_answer: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
     let addresses = directory_answer["addresses"].as_array()?.iter();
     let fronts: Vec<SocketAddr> = addresses.filter_map(|a| a.as_str()?.parse().ok()).collect();
--- a/soak/src/keyed_client.rs
+++ b/soak/src/keyed_client.rs
@@ -76,7 +76,8 @@
     attempt: String,
     delivery: Delivery,
 ) -> bool {
-    let Ok(mut connection) = Client::within(cluster.front_address(delivery.edge), DEADLINE + DEADLINE_MARGIN)
+    let Ok(mut connection) =
+        Client::connect_with_timeout(cluster.front_address(delivery.edge), DEADLINE + DEADLINE_MARGIN)
     else {
         return false;
     };
@@ -88,7 +89,7 @@
             sleep(after);
             (Ending::Left, None)
         }
-        (Ok(()), None) => classify_answer(&attempt, connection.answer()),
+        (Ok(()), None) => classify_answer(&attempt, connection.read_response()),
     };
     let success = matches!(ending, Ending::Answered { status: 200..300, .. });
     let ended = record.now();
