--- a/proxy/src/exchange.rs
+++ b/proxy/src/exchange.rs
@@ -1,5 +1,7 @@
-//! Where client side and server side meet. The exchange turns what either side reports into events, plays all
-//! events of one wakeup as one round of the decisions, and carries the actions out on the other side.
+//! The exchange between clients, servers and the decision module.
+//!
+//! It turns what both sides report into events, passes all events of one wakeup to the decision module as one round,
+//! and carries out the resulting actions.
 
 mod request_invariants;
 mod server_table;
@@ -22,105 +24,107 @@
 use std::rc::{Rc, Weak};
 use tokio::sync::{oneshot, Notify};
 
-/// What one wire towards clients and servers has of its own.
+/// The message types of one protocol between clients and servers.
 pub trait Protocol: 'static {
-    /// What goes on from the client to a srv.
+    /// The parts of a client's request that are forwarded to a server.
     type ForwardedRequest: 'static;
-    /// What a srv made for a req.
+    /// A server's response to a request.
     type ServerResponse: 'static;
 }
 
-/// The final answer to a req.
-pub enum Answer<W: Protocol> {
-    /// What a srv made.
-    Passed(W::ServerResponse),
-    /// No srv passed it; what the last of those that answered all the same said of it.
-    Failed(W::ServerResponse),
-    /// Not run, with a hint when to come back; zero is none.
+/// The final answer to a request.
+pub enum Answer<P: Protocol> {
+    /// A server's successful response.
+    Passed(P::ServerResponse),
+    /// No dispatch succeeded; the last failure response that a server sent.
+    Failed(P::ServerResponse),
+    /// The request has not run. The span says when the client should retry; zero means no hint.
     Denied(Span),
-    /// It may have run, and nothing is known of it.
+    /// The request may have run, and its result is unknown.
     Aborted,
 }
 
-/// One dispatch, for the server side.
-pub struct Dispatch<W: Protocol> {
-    /// The req's id, as the exchange gave it.
+/// One dispatch of a request to a server, as passed to the server side.
+pub struct Dispatch<P: Protocol> {
+    /// The request's id, assigned by the exchange.
     pub request_id: u64,
-    /// Which of its req's dispatches it is, from 0.
+    /// The index of this dispatch among those of its request, from 0.
     pub attempt: u16,
-    /// The srv's index.
+    /// The server's index.
     pub server: u32,
-    /// The srv's outside name.
+    /// The server's external name.
     pub server_name: Rc<str>,
-    /// The srv's address by the last list.
+    /// The server's address in the latest server list.
     pub addr: SocketAddr,
-    /// When it has to be over.
+    /// When the dispatch must have ended.
     pub deadline: Timestamp,
-    /// Shared with its req's other dispatches.
-    pub request: Rc<W::ForwardedRequest>,
+    /// Shared with the other dispatches of the same request.
+    pub request: Rc<P::ForwardedRequest>,
 }
 
 /// How a dispatch ended.
-pub struct DispatchResult<W: Protocol> {
-    /// By how far it came: whether it may have run is told by this alone.
+pub struct DispatchResult<P: Protocol> {
+    /// How far the dispatch got. This alone decides whether the request may have run.
     pub outcome: Outcome,
-    /// With `Passed` what the srv made, with any other outcome its own answer that tells of the failure, if it
-    /// is one that the client may get.
-    pub response: Option<W::ServerResponse>,
-    /// Its billed units, or zero.
+    /// With `Passed` the server's response; with any other outcome the server's failure response, if it may be
+    /// forwarded to the client.
+    pub response: Option<P::ServerResponse>,
+    /// The units billed for it, or zero.
     pub billed_units: f64,
-    /// What the srv told of its load, for the decisions; may be empty.
+    /// The load that the server reported, for the decision module; may be empty.
     pub load: Vec<f32>,
 }
 
-impl<W: Protocol> DispatchResult<W> {
-    /// An end that tells nothing more.
-    pub fn without_response(outcome: Outcome) -> DispatchResult<W> {
+impl<P: Protocol> DispatchResult<P> {
+    /// A result that consists of the outcome only.
+    pub fn without_response(outcome: Outcome) -> DispatchResult<P> {
         DispatchResult { outcome, response: None, billed_units: 0.0, load: Vec::new() }
     }
 }
 
-/// Stops a dispatch when called: closes its connection, reports nothing.
+/// Cancels a dispatch when called: closes its connection and reports no result.
 pub type CancelDispatch = Box<dyn FnOnce()>;
 
-/// What takes dispatches to srvs.
-pub trait ServerSide<W: Protocol> {
-    /// Sends a dispatch; its end comes to [`Exchange::dispatch_ended`], later than this call, unless it is stopped.
-    fn send(&self, d: Dispatch<W>) -> CancelDispatch;
-    /// Closes the idle connections to a srv.
-    fn close_idle(&self, srv: u32);
+/// Sends dispatches to servers.
+pub trait ServerSide<P: Protocol> {
+    /// Sends a dispatch. Unless it is cancelled, its result is reported to [`Exchange::dispatch_ended`] after this
+    /// call has returned.
+    fn send(&self, dispatch: Dispatch<P>) -> CancelDispatch;
+    /// Closes the idle connections to a server.
+    fn close_idle(&self, server: u32);
 }
 
-/// What takes calls to the counter.
+/// Sends calls to the counter.
 pub trait CounterSide {
-    /// Adds to a name's total, which is kept for `life`; the answer comes to [`Exchange::counter_call_ended`].
+    /// Adds to the total of a name, which is kept for `life`. The result is reported to
+    /// [`Exchange::counter_call_ended`].
     fn add(&self, name: u64, amount: f64, life: Span);
-    /// All calls of a round are there.
+    /// Called after the last call of a round.
     fn flush(&self);
 }
 
-/// Shown the events and actions of each round; changes neither.
+/// Observes the events and actions of each round without changing them.
 pub trait Observer {
-    /// Before the decisions play them.
+    /// Called before the decision module processes the events.
     fn events(&mut self, now: Timestamp, events: &[Event]);
-    /// Before they are carried out.
+    /// Called before the actions are carried out.
     fn actions(&mut self, now: Timestamp, actions: &[Action]);
 }
 
-/// A srv's entry in the list, by its outside name.
+/// A server's entry in the server list, with its external name.
 pub struct ServerListEntry {
-    /// By it the exchange knows the srv again.
+    /// Identifies the server across lists.
     pub name: String,
-    /// Where it takes connections.
+    /// The address at which it accepts connections.
     pub addr: SocketAddr,
-    /// The rest, for the decisions; the index in it is the exchange's to fill.
+    /// The fields for the decision module. The exchange sets the index.
     pub server_entry: ServerEntry,
 }
 
-/// How one dispatch of a request ended, for the log of a failed request.
+/// How one dispatch of a request ended, for the log of failed requests.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The srv's outside name.
+    /// The server's external name.
     pub server: Rc<str>,
     /// How it ended.
     pub outcome: Outcome,
@@ -128,31 +132,35 @@
     pub duration: Span,
 }
 
-struct Out {
+/// A dispatch that has not ended.
+struct ActiveDispatch {
     server: u32,
-    sent: Timestamp,
-    stop: CancelDispatch,
-    /// Its first byte may have gone to the srv.
-    begun: bool,
+    sent_at: Timestamp,
+    cancel: CancelDispatch,
+    /// Whether its first byte may have been sent to the server.
+    started: bool,
 }
 
-struct Open<W: Protocol> {
-    answer: Option<oneshot::Sender<Final<W>>>,
-    request: Rc<W::ForwardedRequest>,
-    /// The last srv's own answer that tells of a failure.
-    failed: Option<W::ServerResponse>,
-    ends: Timestamp,
-    tries: Vec<Option<Out>>,
-    /// A first byte of it went to a srv.
-    begun: bool,
+/// A request that has no final answer yet, or that still has dispatches that have not ended.
+struct OpenRequest<P: Protocol> {
+    /// Where the final answer is sent; `None` once it was sent or the client has left.
+    answer_sender: Option<oneshot::Sender<FinalAnswer<P>>>,
+    forwarded: Rc<P::ForwardedRequest>,
+    /// The last failure response that a server sent.
+    failure_response: Option<P::ServerResponse>,
+    deadline: Timestamp,
+    /// By attempt; `None` once a dispatch has ended.
+    dispatches: Vec<Option<ActiveDispatch>>,
+    /// Whether a first byte of the request may have been sent to a server.
+    started: bool,
     /// The dispatches that have ended.
     attempts: Vec<Attempt>,
-    promises: RequestInvariants,
+    invariants: RequestInvariants,
 }
 
-/// The meeting of both sides; see the module.
-pub struct Exchange<W: Protocol> {
-    /// The time that all points are by.
+/// Connects the client side, the server side and the decision module; see the module documentation.
+pub struct Exchange<P: Protocol> {
+    /// The clock of all timestamps in events and actions.
     pub clock: Clock,
     /// Shared with both sides.
     pub counters: Rc<Counters>,
@@ -160,56 +168,56 @@
     control: RefCell<Control>,
     observer: RefCell<Option<Box<dyn Observer>>>,
     events: RefCell<Vec<Event>>,
-    open: RefCell<HashMap<u64, Open<W>>>,
-    /// Reqs that may be over; looked at when a round's actions are done.
-    done: RefCell<Vec<u64>>,
-    taken: Cell<u64>,
-    ids: RefCell<RecentIds>,
+    requests: RefCell<HashMap<u64, OpenRequest<P>>>,
+    /// Ids of requests that may be finished; checked at the end of each round.
+    maybe_finished: RefCell<Vec<u64>>,
+    last_request_id: Cell<u64>,
+    recent_ids: RefCell<RecentIds>,
     unanswered: Cell<usize>,
-    srvs: RefCell<ServerTable>,
-    listed: Cell<bool>,
+    servers: RefCell<ServerTable>,
+    has_list: Cell<bool>,
     timer: Cell<Option<Timestamp>>,
-    woken: Notify,
-    answered: Notify,
-    server_side: RefCell<Option<Rc<dyn ServerSide<W>>>>,
+    event_added: Notify,
+    answer_sent: Notify,
+    server_side: RefCell<Option<Rc<dyn ServerSide<P>>>>,
     counter_side: RefCell<Option<Rc<dyn CounterSide>>>,
 }
 
-/// A req that waits for its final answer; dropped before that, its client has left.
-pub struct PendingRequest<W: Protocol> {
+/// A request that waits for its final answer. Dropping it earlier means that the client has left.
+pub struct PendingRequest<P: Protocol> {
     id: u64,
-    exchange: Rc<Exchange<W>>,
-    answer: oneshot::Receiver<Final<W>>,
+    exchange: Rc<Exchange<P>>,
+    answer: oneshot::Receiver<FinalAnswer<P>>,
 }
 
 /// The final answer, and the dispatches that had ended by then.
-type Final<W> = (Answer<W>, Vec<Attempt>);
+type FinalAnswer<P> = (Answer<P>, Vec<Attempt>);
 
-impl<W: Protocol> PendingRequest<W> {
+impl<P: Protocol> PendingRequest<P> {
     /// Waits for the final answer.
-    pub async fn answer(mut self) -> Answer<W> {
-        self.with_attempts().await.0
+    pub async fn answer(mut self) -> Answer<P> {
+        self.wait().await.0
     }
 
-    /// Waits for the final answer; with it, how each dispatch that had ended by then did so.
-    pub async fn answer_with_attempts(mut self) -> (Answer<W>, Vec<Attempt>) {
-        self.with_attempts().await
+    /// Waits for the final answer, and returns with it the dispatches that had ended by then.
+    pub async fn answer_with_attempts(mut self) -> (Answer<P>, Vec<Attempt>) {
+        self.wait().await
     }
 
-    async fn with_attempts(&mut self) -> Final<W> {
+    async fn wait(&mut self) -> FinalAnswer<P> {
         (&mut self.answer).await.unwrap_or((Answer::Aborted, Vec::new()))
     }
 }
 
-impl<W: Protocol> Drop for PendingRequest<W> {
+impl<P: Protocol> Drop for PendingRequest<P> {
     fn drop(&mut self) {
-        self.exchange.left(self.id);
+        self.exchange.client_left(self.id);
     }
 }
 
-impl<W: Protocol> Exchange<W> {
-    /// One with neither side yet, see [`Exchange::attach`].
-    pub fn new(terms: Terms, clock: Clock, counters: Rc<Counters>) -> Rc<Exchange<W>> {
+impl<P: Protocol> Exchange<P> {
+    /// Creates an exchange without a server side and a counter; see [`Exchange::attach`].
+    pub fn new(terms: Terms, clock: Clock, counters: Rc<Counters>) -> Rc<Exchange<P>> {
         Rc::new(Exchange {
             clock,
             counters,
@@ -217,28 +225,28 @@
             observer: RefCell::new(None),
             terms: RefCell::new(Rc::new(terms)),
             events: RefCell::default(),
-            open: RefCell::default(),
-            done: RefCell::default(),
-            taken: Cell::new(0),
-            ids: RefCell::default(),
+            requests: RefCell::default(),
+            maybe_finished: RefCell::default(),
+            last_request_id: Cell::new(0),
+            recent_ids: RefCell::default(),
             unanswered: Cell::new(0),
-            srvs: RefCell::default(),
-            listed: Cell::new(false),
+            servers: RefCell::default(),
+            has_list: Cell::new(false),
             timer: Cell::new(None),
-            woken: Notify::new(),
-            answered: Notify::new(),
+            event_added: Notify::new(),
+            answer_sent: Notify::new(),
             server_side: RefCell::new(None),
             counter_side: RefCell::new(None),
         })
     }
 
-    /// Shows all rounds from now on.
+    /// Shows all later rounds to `observer`.
     pub fn set_observer(&self, observer: Box<dyn Observer>) {
         *self.observer.borrow_mut() = Some(observer);
     }
 
-    /// Gives it its server side, and a counter if there is one; without, each call fails at once.
-    pub fn attach(&self, server: Rc<dyn ServerSide<W>>, counter: Option<Rc<dyn CounterSide>>) {
+    /// Sets the server side, and the counter if there is one. Without a counter each call to it fails at once.
+    pub fn attach(&self, server: Rc<dyn ServerSide<P>>, counter: Option<Rc<dyn CounterSide>>) {
         *self.server_side.borrow_mut() = Some(server);
         *self.counter_side.borrow_mut() = counter;
     }
@@ -248,238 +256,276 @@
         self.terms.borrow().clone()
     }
 
-    /// Other terms are in force from here on; the decisions hear of them in the order of all events.
+    /// Puts other terms in force. The decision module receives them in order with all other events.
     pub fn set_terms(&self, terms: Terms) {
         *self.terms.borrow_mut() = Rc::new(terms.clone());
-        self.tell(Event::Terms(Box::new(terms)));
+        self.push_event(Event::Terms(Box::new(terms)));
     }
 
-    /// Reqs that have no final answer yet.
+    /// The number of requests that have no final answer yet.
     pub fn unanswered(&self) -> usize {
         self.unanswered.get()
     }
 
-    /// Whether any list of srvs is there.
+    /// Whether a server list has been received.
     pub fn has_server_list(&self) -> bool {
-        self.listed.get()
+        self.has_list.get()
     }
 
-    /// Whether an id from outside was not had while a req under it could be open.
+    /// Whether a client's request id was not seen within the longest time for which a request can be open.
     pub fn first_seen(&self, id: &[u8]) -> bool {
         let longest = self.terms.borrow().frontends.iter().map(|f| f.timeout.secs()).fold(0.0, f64::max);
-        self.ids.borrow_mut().insert(id, self.clock.now().secs(), longest)
+        self.recent_ids.borrow_mut().insert(id, self.clock.now().secs(), longest)
     }
 
-    /// A req from the client side; ids from outside stop here.
+    /// Accepts a request from the client side and assigns it an internal id.
     pub fn submit(
         self: &Rc<Self>,
         mut new_request: NewRequest,
-        request: W::ForwardedRequest,
-    ) -> PendingRequest<W> {
-        let id = self.taken.get() + 1;
-        self.taken.set(id);
+        forwarded: P::ForwardedRequest,
+    ) -> PendingRequest<P> {
+        let id = self.last_request_id.get() + 1;
+        self.last_request_id.set(id);
         new_request.id = id;
         self.counters.taken.up();
         self.unanswered.set(self.unanswered.get() + 1);
-        let (answer, wait) = oneshot::channel();
-        let ends = self.clock.now() + new_request.time_left;
-        let promises = RequestInvariants::of(&new_request, &self.terms.borrow());
-        let open = Open {
-            answer: Some(answer),
-            request: Rc::new(request),
-            failed: None,
-            ends,
-            tries: Vec::new(),
-            begun: false,
+        let (answer_sender, receiver) = oneshot::channel();
+        let deadline = self.clock.now() + new_request.time_left;
+        let invariants = RequestInvariants::of(&new_request, &self.terms.borrow());
+        let request = OpenRequest {
+            answer_sender: Some(answer_sender),
+            forwarded: Rc::new(forwarded),
+            failure_response: None,
+            deadline,
+            dispatches: Vec::new(),
+            started: false,
             attempts: Vec::new(),
-            promises,
+            invariants,
         };
-        self.open.borrow_mut().insert(id, open);
-        self.tell(Event::Req(new_request));
-        PendingRequest { id, exchange: self.clone(), answer: wait }
+        self.requests.borrow_mut().insert(id, request);
+        self.push_event(Event::Req(new_request));
+        PendingRequest { id, exchange: self.clone(), answer: receiver }
     }
 
-    fn left(&self, id: u64) {
-        let unanswered = self.open.borrow_mut().get_mut(&id).and_then(|o| o.answer.take());
+    fn client_left(&self, id: u64) {
+        let unanswered = self.requests.borrow_mut().get_mut(&id).and_then(|r| r.answer_sender.take());
         if unanswered.is_some() {
             self.counters.left.up();
-            self.settled();
-            self.tell(Event::Left { id });
-            self.done.borrow_mut().push(id);
+            self.count_answered();
+            self.push_event(Event::Left { id });
+            self.maybe_finished.borrow_mut().push(id);
         }
     }
 
-    fn settled(&self) {
+    fn count_answered(&self) {
         let unanswered = self.unanswered.get();
         check(Invariant::UnansweredCount, unanswered > 0, || "below zero".into());
         self.unanswered.set(unanswered.saturating_sub(1));
-        self.answered.notify_waiters();
+        self.answer_sent.notify_waiters();
     }
 
-    /// Waits until each req taken has its final answer.
+    /// Waits until each accepted request has its final answer.
     pub async fn all_answered(&self) {
         while self.unanswered.get() > 0 {
-            self.answered.notified().await;
+            self.answer_sent.notified().await;
         }
     }
 
-    fn answer(&self, id: u64, answer: Answer<W>) {
-        let mut open = self.open.borrow_mut();
-        let Some(o) = open.get_mut(&id) else { return };
-        let Some(to) = o.answer.take() else { return };
+    fn answer(&self, id: u64, answer: Answer<P>) {
+        let mut requests = self.requests.borrow_mut();
+        let Some(request) = requests.get_mut(&id) else { return };
+        let Some(answer_sender) = request.answer_sender.take() else { return };
         if matches!(answer, Answer::Denied(_)) {
-            let may_run = o.promises.may_have_run || o.tries.iter().flatten().any(|t| t.begun);
-            let detail = || format!("{:?}", o.attempts);
-            check(Invariant::RefusedNotRun, !(o.promises.once && may_run), detail);
+            let may_run =
+                request.invariants.may_have_run || request.dispatches.iter().flatten().any(|d| d.started);
+            let detail = || format!("{:?}", request.attempts);
+            check(Invariant::RefusedNotRun, !(request.invariants.once && may_run), detail);
         }
-        let attempts = std::mem::take(&mut o.attempts);
-        drop(open);
+        let attempts = std::mem::take(&mut request.attempts);
+        drop(requests);
         match answer {
             Answer::Passed(_) => self.counters.passed.up(),
             Answer::Denied(_) => self.counters.denied.up(),
             Answer::Failed(_) | Answer::Aborted => self.counters.aborted.up(),
         }
-        let _ = to.send((answer, attempts));
-        self.settled();
-    }
-
-    /// Drops what is answered and has nothing out any more, once the decisions have heard of it: in the round
-    /// that tells them they may still dispatch it, and each dispatch has to be given its end.
-    fn forget_done(&self) {
-        let mut open = self.open.borrow_mut();
-        for id in self.done.take() {
-            if open.get(&id).is_some_and(|o| o.answer.is_none() && o.tries.iter().all(Option::is_none)) {
-                open.remove(&id);
+        let _ = answer_sender.send((answer, attempts));
+        self.count_answered();
+    }
+
+    /// Removes requests that are answered and have no active dispatch. This happens only after the round in which
+    /// the decision module learns of the answer: in that round it may still dispatch the request, and each dispatch
+    /// must be reported as ended.
+    fn remove_finished(&self) {
+        let mut requests = self.requests.borrow_mut();
+        for id in self.maybe_finished.take() {
+            if requests
+                .get(&id)
+                .is_some_and(|r| r.answer_sender.is_none() && r.dispatches.iter().all(Option::is_none))
+            {
+                requests.remove(&id);
             }
         }
     }
 
-    /// Asked before a dispatch's first byte, which may come long after it was sent for: a connection has to
-    /// come up first, and meanwhile the req may have ended or its srv begun to drain.
-    pub fn may_begin(&self, d: &Dispatch<W>) -> bool {
-        let mut open = self.open.borrow_mut();
-        let Some(o) = open.get_mut(&d.request_id).filter(|o| o.answer.is_some()) else { return false };
-        let srvs = self.srvs.borrow();
-        let Some(srv) = srvs.by_index.get(&d.server).filter(|s| s.takes_new) else { return false };
-        if self.clock.now() >= d.deadline {
+    /// Whether the first byte of a dispatch may be sent. The server side asks right before it sends, which can be
+    /// long after [`ServerSide::send`] since a connection has to be opened first: meanwhile the request may have
+    /// ended, or its server may have begun to drain.
+    pub fn may_begin(&self, dispatch: &Dispatch<P>) -> bool {
+        let mut requests = self.requests.borrow_mut();
+        let Some(request) = requests.get_mut(&dispatch.request_id).filter(|r| r.answer_sender.is_some())
+        else {
+            return false;
+        };
+        let servers = self.servers.borrow();
+        let Some(server) = servers.by_index.get(&dispatch.server).filter(|s| s.accepts_new) else {
+            return false;
+        };
+        if self.clock.now() >= dispatch.deadline {
             return false;
         }
-        let others = o.tries.iter().enumerate().filter(|(nth, _)| *nth != usize::from(d.attempt));
-        let other_begun = others.filter_map(|(_, t)| t.as_ref()).any(|t| t.begun);
-        o.promises.begin(d.server, srv.zone, other_begun);
-        o.begun = true;
-        if let Some(Some(out)) = o.tries.get_mut(usize::from(d.attempt)) {
-            out.begun = true;
+        let others =
+            request.dispatches.iter().enumerate().filter(|(nth, _)| *nth != usize::from(dispatch.attempt));
+        let other_started = others.filter_map(|(_, d)| d.as_ref()).any(|d| d.started);
+        request.invariants.begin(dispatch.server, server.zone, other_started);
+        request.started = true;
+        if let Some(Some(active)) = request.dispatches.get_mut(usize::from(dispatch.attempt)) {
+            active.started = true;
         }
         true
     }
 
-    /// Denies each req of which nothing went to a srv, and nothing is about to; none of these is dispatched any more.
+    /// Denies each request of which nothing was sent to a server and that has no active dispatch. The denied requests
+    /// are not dispatched any more.
     pub fn deny_waiting(&self, hint: Span) {
-        let idle = |o: &Open<W>| o.answer.is_some() && !o.begun && o.tries.iter().all(Option::is_none);
-        let idle: Vec<u64> = self.open.borrow().iter().filter(|(_, o)| idle(o)).map(|(id, _)| *id).collect();
-        for id in idle {
+        let waiting = |r: &OpenRequest<P>| {
+            r.answer_sender.is_some() && !r.started && r.dispatches.iter().all(Option::is_none)
+        };
+        let waiting: Vec<u64> =
+            self.requests.borrow().iter().filter(|(_, r)| waiting(r)).map(|(id, _)| *id).collect();
+        for id in waiting {
             self.answer(id, Answer::Denied(hint));
-            self.tell(Event::Left { id });
-            self.done.borrow_mut().push(id);
+            self.push_event(Event::Left { id });
+            self.maybe_finished.borrow_mut().push(id);
         }
     }
 
-    /// Whether a srv is in the list: a connection to one that is not is of no further use.
-    pub fn lists_server(&self, srv: u32) -> bool {
-        self.srvs.borrow().by_index.get(&srv).is_some_and(|s| s.listed)
-    }
-
-    /// The end of a dispatch, from the server side.
-    pub fn dispatch_ended(&self, req: u64, nth: u16, back: DispatchResult<W>) {
-        let out = self.open.borrow_mut().get_mut(&req).and_then(|o| o.tries.get_mut(nth as usize)?.take());
-        let Some(out) = out else { return };
-        self.note_attempt(req, &out, back.outcome);
-        self.srvs.borrow_mut().back(out.server);
-        self.counters.dispatch.up(back.outcome);
-        match back.response {
-            Some(made) if back.outcome == Outcome::Passed => self.answer(req, Answer::Passed(made)),
-            Some(made) => {
-                if let Some(o) = self.open.borrow_mut().get_mut(&req) {
-                    o.failed = Some(made);
+    /// Whether a server is in the server list. A connection to any other server is of no further use.
+    pub fn lists_server(&self, server: u32) -> bool {
+        self.servers.borrow().by_index.get(&server).is_some_and(|s| s.listed)
+    }
+
+    /// Reports the end of a dispatch; called by the server side.
+    pub fn dispatch_ended(&self, request_id: u64, attempt: u16, result: DispatchResult<P>) {
+        let active = self
+            .requests
+            .borrow_mut()
+            .get_mut(&request_id)
+            .and_then(|r| r.dispatches.get_mut(attempt as usize)?.take());
+        let Some(active) = active else { return };
+        self.record_attempt(request_id, &active, result.outcome);
+        self.servers.borrow_mut().dispatch_ended(active.server);
+        self.counters.dispatch.up(result.outcome);
+        match result.response {
+            Some(response) if result.outcome == Outcome::Passed => {
+                self.answer(request_id, Answer::Passed(response))
+            }
+            Some(response) => {
+                if let Some(request) = self.requests.borrow_mut().get_mut(&request_id) {
+                    request.failure_response = Some(response);
                 }
             }
             None => {}
         }
-        let closed = self.open.borrow().get(&req).is_none_or(|o| o.answer.is_none());
-        let took = self.clock.now() - out.sent;
-        let end = Ended { id: req, nth, outcome: back.outcome, took, closed, billed: back.billed_units };
-        self.tell(Event::Ended(end, back.load));
-        self.done.borrow_mut().push(req);
-    }
-
-    /// Keeps what a dispatch that has ended tells of its request.
-    fn note_attempt(&self, req: u64, out: &Out, outcome: Outcome) {
-        let server =
-            self.srvs.borrow().by_index.get(&out.server).map_or_else(|| "gone".into(), |s| s.name.clone());
-        let duration = self.clock.now() - out.sent;
-        if let Some(o) = self.open.borrow_mut().get_mut(&req) {
-            let begun = outcome != Outcome::Cancelled || out.begun;
-            o.promises.may_have_run |= begun && may_have_run(outcome);
-            o.attempts.push(Attempt { server, outcome, duration });
+        let closed = self.requests.borrow().get(&request_id).is_none_or(|r| r.answer_sender.is_none());
+        let took = self.clock.now() - active.sent_at;
+        let ended = Ended {
+            id: request_id,
+            nth: attempt,
+            outcome: result.outcome,
+            took,
+            closed,
+            billed: result.billed_units,
+        };
+        self.push_event(Event::Ended(ended, result.load));
+        self.maybe_finished.borrow_mut().push(request_id);
+    }
+
+    /// Adds an ended dispatch to the attempts and the invariants of its request.
+    fn record_attempt(&self, request_id: u64, active: &ActiveDispatch, outcome: Outcome) {
+        let server = self
+            .servers
+            .borrow()
+            .by_index
+            .get(&active.server)
+            .map_or_else(|| "gone".into(), |s| s.name.clone());
+        let duration = self.clock.now() - active.sent_at;
+        if let Some(request) = self.requests.borrow_mut().get_mut(&request_id) {
+            let started = outcome != Outcome::Cancelled || active.started;
+            request.invariants.may_have_run |= started && may_have_run(outcome);
+            request.attempts.push(Attempt { server, outcome, duration });
         }
     }
 
-    /// How many requests were sent, by what their admission rested on.
+    /// The number of dispatched requests by the basis of their admission.
     pub fn admissions(&self) -> [u64; Basis::ALL] {
         self.control.borrow().admissions()
     }
 
-    /// The end of a counter's call, from the counter side: with `Passed` the name's new total, and what is left of the
-    /// customer's quota where the counter keeps that.
+    /// Reports the end of a counter call; called by the counter side. With `Passed`, `total` is the new total of the
+    /// name, and `level` the remaining quota of the customer if the counter tracks it.
     pub fn counter_call_ended(&self, name: u64, total: f64, level: Option<f64>, outcome: Outcome) {
         self.counters.counter_call.up(outcome);
-        self.tell(Event::Counted { name, total, level, outcome });
+        self.push_event(Event::Counted { name, total, level, outcome });
     }
 
-    /// News of the list, from discovery.
+    /// Applies a new server list, or changes to it, from discovery.
     pub fn update_servers(&self, kind: ListKind, entries: Vec<ServerListEntry>) {
         let (mut rows, mut stale) = (Vec::with_capacity(entries.len()), Vec::new());
         {
-            let srvs = &mut *self.srvs.borrow_mut();
+            let servers = &mut *self.servers.borrow_mut();
             if kind != ListKind::Delta {
-                srvs.by_index.values_mut().for_each(|s| (s.takes_new, s.listed) = (false, false));
+                servers.by_index.values_mut().for_each(|s| (s.accepts_new, s.listed) = (false, false));
             }
-            for e in entries {
-                let i = srvs.enter(&e, self.clock.now());
-                let Some(s) = srvs.by_index.get_mut(&i) else { continue };
-                if s.addr != e.addr {
-                    stale.push(i);
+            for entry in entries {
+                let index = servers.index_of(&entry, self.clock.now());
+                let Some(server) = servers.by_index.get_mut(&index) else { continue };
+                if server.addr != entry.addr {
+                    stale.push(index);
                 }
-                (s.addr, s.born, s.zone) =
-                    (e.addr, e.server_entry.started_at.or(s.born), e.server_entry.zone);
-                (s.takes_new, s.listed) =
-                    (e.server_entry.state == ServerState::Ready, e.server_entry.state != ServerState::Gone);
-                rows.push(ServerEntry { server: i, started_at: s.born, ..e.server_entry });
+                (server.addr, server.started_at, server.zone) = (
+                    entry.addr,
+                    entry.server_entry.started_at.or(server.started_at),
+                    entry.server_entry.zone,
+                );
+                (server.accepts_new, server.listed) = (
+                    entry.server_entry.state == ServerState::Ready,
+                    entry.server_entry.state != ServerState::Gone,
+                );
+                rows.push(ServerEntry { server: index, started_at: server.started_at, ..entry.server_entry });
             }
-            stale.extend(srvs.by_index.iter().filter(|(_, s)| !s.listed).map(|(i, _)| *i));
-            self.listed.set(self.listed.get() || !srvs.by_index.is_empty());
-            srvs.forget_gone();
+            stale.extend(servers.by_index.iter().filter(|(_, s)| !s.listed).map(|(index, _)| *index));
+            self.has_list.set(self.has_list.get() || !servers.by_index.is_empty());
+            servers.remove_gone();
         }
-        let server = self.server_side.borrow().clone();
-        server.iter().for_each(|s| stale.iter().for_each(|i| s.close_idle(*i)));
-        self.tell(Event::List { kind, rows });
+        let server_side = self.server_side.borrow().clone();
+        server_side.iter().for_each(|side| stale.iter().for_each(|index| side.close_idle(*index)));
+        self.push_event(Event::List { kind, rows });
     }
 
-    fn tell(&self, e: Event) {
-        self.events.borrow_mut().push(e);
-        self.woken.notify_one();
+    fn push_event(&self, event: Event) {
+        self.events.borrow_mut().push(event);
+        self.event_added.notify_one();
     }
 
-    /// Plays rounds for good. All that one wakeup of the program brought is there when this task has its
-    /// turn, since it was put behind the tasks that were woken with the one that told it.
+    /// Runs rounds forever. One round has all events of one wakeup of the program: this task is queued behind the
+    /// tasks that were woken together with the one that pushed the first event.
     pub async fn run(self: Rc<Self>) {
         loop {
             match self.timer.get() {
-                None => self.woken.notified().await,
+                None => self.event_added.notified().await,
                 Some(at) => tokio::select! {
                     biased;
-                    _ = self.woken.notified() => {}
+                    _ = self.event_added.notified() => {}
                     _ = tokio::time::sleep_until(self.clock.instant(at)) => {}
                 },
             }
@@ -490,32 +536,33 @@
             }
             let events = std::mem::take(&mut *self.events.borrow_mut());
             if !events.is_empty() {
-                self.round(now, events);
+                self.run_round(now, events);
             }
         }
     }
 
-    fn round(&self, now: Timestamp, events: Vec<Event>) {
+    fn run_round(&self, now: Timestamp, events: Vec<Event>) {
         self.counters.rounds.up();
         let mut actions = Vec::new();
-        if let Some(o) = &mut *self.observer.borrow_mut() {
-            o.events(now, &events);
+        if let Some(observer) = &mut *self.observer.borrow_mut() {
+            observer.events(now, &events);
         }
         self.control.borrow_mut().round(now, events, &mut actions);
-        if let Some(o) = &mut *self.observer.borrow_mut() {
-            o.actions(now, &actions);
+        if let Some(observer) = &mut *self.observer.borrow_mut() {
+            observer.actions(now, &actions);
         }
         for action in actions {
             match action {
                 Action::Dispatch { id, server, limit } => self.dispatch(now, id, server, limit),
                 Action::Deny { id, back_off } => {
                     self.answer(id, Answer::Denied(back_off));
-                    self.done.borrow_mut().push(id);
+                    self.maybe_finished.borrow_mut().push(id);
                 }
                 Action::Abort { id } => {
-                    let failed = self.open.borrow_mut().get_mut(&id).and_then(|o| o.failed.take());
-                    self.answer(id, failed.map_or(Answer::Aborted, Answer::Failed));
-                    self.done.borrow_mut().push(id);
+                    let failure_response =
+                        self.requests.borrow_mut().get_mut(&id).and_then(|r| r.failure_response.take());
+                    self.answer(id, failure_response.map_or(Answer::Aborted, Answer::Failed));
+                    self.maybe_finished.borrow_mut().push(id);
                 }
                 Action::Cancel { id, nth } => self.cancel(id, nth),
                 Action::Count { name, amount, life } => {
@@ -525,70 +572,80 @@
                         None => self.counter_call_ended(name, 0.0, None, Outcome::NoConnection),
                     }
                 }
-                // one timer, as the decisions keep one: a new one is always the earlier
+                // the decision module keeps a single timer, and a new one is always earlier than the one set
                 Action::Timer { after, .. } => self.timer.set(Some(now + after)),
                 Action::Close { server } => {
-                    let side = self.server_side.borrow().clone();
-                    side.iter().for_each(|s| s.close_idle(server));
+                    let server_side = self.server_side.borrow().clone();
+                    server_side.iter().for_each(|side| side.close_idle(server));
                 }
                 Action::Note { text } => log::info!("note {text}"),
-                // the list is always watched here; probes and talk with peers have no place on these sockets
+                // the server list is always watched here, and these sockets have no probes and no messages to peers
                 Action::Watch { .. } | Action::Fetch | Action::Probe { .. } | Action::Tell { .. } => {}
             }
         }
-        self.counter_side.borrow().iter().for_each(|c| c.flush());
-        self.forget_done();
+        self.counter_side.borrow().iter().for_each(|counter| counter.flush());
+        self.remove_finished();
     }
 
     fn dispatch(&self, now: Timestamp, request_id: u64, server: u32, limit: Span) {
         self.counters.dispatches.up();
-        let mut open = self.open.borrow_mut();
-        let Some(o) = open.get_mut(&request_id) else { return };
+        let mut requests = self.requests.borrow_mut();
+        let Some(open_request) = requests.get_mut(&request_id) else { return };
         let server_side = self.server_side.borrow().clone();
-        let to = self.srvs.borrow_mut().by_index.get_mut(&server).map(|s| {
-            s.out += 1;
+        let target = self.servers.borrow_mut().by_index.get_mut(&server).map(|s| {
+            s.active_dispatches += 1;
             (s.name.clone(), s.addr)
         });
-        let attempt = o.tries.len() as u16;
-        let deadline = if limit == Span::ZERO { o.ends } else { o.ends.min(now + limit) };
-        let (request, asked) = (o.request.clone(), o.answer.is_some());
-        o.tries.push(Some(Out { server, sent: now, stop: Box::new(|| {}), begun: false }));
-        drop(open);
-        // each dispatch has its end, also one to a server that is gone or for a req that is over
-        let (Some((server_name, addr)), Some(server_side), true) = (to, server_side, asked) else {
+        let attempt = open_request.dispatches.len() as u16;
+        let deadline =
+            if limit == Span::ZERO { open_request.deadline } else { open_request.deadline.min(now + limit) };
+        let (request, unanswered) = (open_request.forwarded.clone(), open_request.answer_sender.is_some());
+        open_request.dispatches.push(Some(ActiveDispatch {
+            server,
+            sent_at: now,
+            cancel: Box::new(|| {}),
+            started: false,
+        }));
+        drop(requests);
+        // each dispatch is reported as ended, also one to a server that is gone or of a request that is answered
+        let (Some((server_name, addr)), Some(server_side), true) = (target, server_side, unanswered) else {
             return self.dispatch_ended(
                 request_id,
                 attempt,
                 DispatchResult::without_response(Outcome::NotSent),
             );
         };
-        let stop =
+        let cancel =
             server_side.send(Dispatch { request_id, attempt, server, server_name, addr, deadline, request });
-        if let Some(Some(out)) =
-            self.open.borrow_mut().get_mut(&request_id).and_then(|o| o.tries.get_mut(attempt as usize))
+        if let Some(Some(active)) = self
+            .requests
+            .borrow_mut()
+            .get_mut(&request_id)
+            .and_then(|r| r.dispatches.get_mut(attempt as usize))
         {
-            out.stop = stop;
+            active.cancel = cancel;
         }
     }
 
     fn cancel(&self, id: u64, nth: u16) {
-        let out = self.open.borrow_mut().get_mut(&id).and_then(|o| o.tries.get_mut(nth as usize)?.take());
-        let Some(out) = out else { return };
-        self.note_attempt(id, &out, Outcome::Cancelled);
-        (out.stop)();
-        self.srvs.borrow_mut().back(out.server);
+        let active =
+            self.requests.borrow_mut().get_mut(&id).and_then(|r| r.dispatches.get_mut(nth as usize)?.take());
+        let Some(active) = active else { return };
+        self.record_attempt(id, &active, Outcome::Cancelled);
+        (active.cancel)();
+        self.servers.borrow_mut().dispatch_ended(active.server);
         self.counters.dispatch.up(Outcome::Cancelled);
-        let closed = self.open.borrow().get(&id).is_none_or(|o| o.answer.is_none());
-        let took = self.clock.now() - out.sent;
-        let end = Ended { id, nth, outcome: Outcome::Cancelled, took, closed, billed: 0.0 };
-        log::debug!("cancelled {id}/{nth} at srv {}", out.server);
-        self.tell(Event::Ended(end, Vec::new()));
-        self.done.borrow_mut().push(id);
+        let closed = self.requests.borrow().get(&id).is_none_or(|r| r.answer_sender.is_none());
+        let took = self.clock.now() - active.sent_at;
+        let ended = Ended { id, nth, outcome: Outcome::Cancelled, took, closed, billed: 0.0 };
+        log::debug!("cancelled {id}/{nth} at server {}", active.server);
+        self.push_event(Event::Ended(ended, Vec::new()));
+        self.maybe_finished.borrow_mut().push(id);
     }
 }
 
-/// For the sides, which the exchange owns.
-pub type WeakExchange<W> = Weak<Exchange<W>>;
+/// The reference that both sides keep to the exchange, which owns them.
+pub type WeakExchange<P> = Weak<Exchange<P>>;
 
 #[cfg(test)]
 mod tests;
--- a/proxy/src/exchange/request_invariants.rs
+++ b/proxy/src/exchange/request_invariants.rs
@@ -1,51 +1,55 @@
-//! The invariants of one request, checked as its dispatches begin and end.
+//! Checks the invariants of one request as its dispatches begin and end.
 
 use lupinledge::interface::{Effect, NewRequest, Outcome, Terms};
 use lupinledge_invariants::{check, Invariant};
 
-/// What has to hold for one request, whatever the decisions say; see [`Invariant`].
+/// What must hold for one request, whatever the decision module does; see [`Invariant`].
 pub(super) struct RequestInvariants {
-    /// It may run once at most.
+    /// The request may run at most once.
     pub once: bool,
-    /// An ended dispatch may have run.
+    /// A dispatch that has ended may have run.
     pub may_have_run: bool,
-    /// Srvs to which a first byte of it went.
+    /// Servers to which the first byte of a dispatch was sent.
     servers: Vec<u32>,
-    /// The largest number of these that is allowed.
-    most: u32,
-    /// The zones whose srvs may have it, a bit each.
+    /// The largest allowed number of these servers.
+    max_servers: u32,
+    /// The zones whose servers may receive the request, one bit each.
     zones: u64,
 }
 
 impl RequestInvariants {
-    pub fn of(req: &NewRequest, terms: &Terms) -> RequestInvariants {
-        let frontend = terms.frontends.get(req.frontend);
+    /// The invariants of a new request under these terms.
+    pub fn of(request: &NewRequest, terms: &Terms) -> RequestInvariants {
+        let frontend = terms.frontends.get(request.frontend);
         RequestInvariants {
             once: frontend.is_some_and(|f| f.effect == Effect::NonReplayable),
             may_have_run: false,
             servers: Vec::new(),
-            most: frontend.map_or(u32::MAX, |f| f.max_dispatches),
-            zones: req.zones,
+            max_servers: frontend.map_or(u32::MAX, |f| f.max_dispatches),
+            zones: request.zones,
         }
     }
 
-    /// A dispatch to a srv in this zone is about to begin; `other_begun`: another one has, and has not ended.
-    pub fn begin(&mut self, srv: u32, zone: u16, other_begun: bool) {
-        if !self.servers.contains(&srv) {
-            self.servers.push(srv);
+    /// Checks that a dispatch to a server in this zone may begin. `other_started`: another dispatch has begun and
+    /// has not ended.
+    pub fn begin(&mut self, server: u32, zone: u16, other_started: bool) {
+        if !self.servers.contains(&server) {
+            self.servers.push(server);
         }
-        let ran = self.may_have_run || other_begun;
-        check(Invariant::RunOnce, !(self.once && ran), || {
-            format!("srv {srv}, {} before", self.servers.len())
+        let may_have_run = self.may_have_run || other_started;
+        check(Invariant::RunOnce, !(self.once && may_have_run), || {
+            format!("server {server}, {} before", self.servers.len())
         });
-        let most = self.most as usize;
-        check(Invariant::AttemptLimit, self.servers.len() <= most, || format!("srv {srv}, {most} allowed"));
-        let home = self.zones == u64::MAX || zone >= 64 || self.zones >> zone & 1 == 1;
-        check(Invariant::HomeZone, home, || format!("zone {zone}, homes {:b}", self.zones));
+        let max_servers = self.max_servers as usize;
+        check(Invariant::AttemptLimit, self.servers.len() <= max_servers, || {
+            format!("server {server}, {max_servers} allowed")
+        });
+        let allowed_zone = self.zones == u64::MAX || zone >= 64 || self.zones >> zone & 1 == 1;
+        check(Invariant::HomeZone, allowed_zone, || format!("zone {zone}, allowed zones {:b}", self.zones));
     }
 }
 
-/// Whether a dispatch that ended so may have run.
-pub(super) fn may_have_run(how: Outcome) -> bool {
-    !matches!(how, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
+/// Whether a dispatch that ended with this outcome may have run.
+pub(super) fn may_have_run(outcome: Outcome) -> bool {
+    !matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
 }
--- a/proxy/src/exchange/server_table.rs
+++ b/proxy/src/exchange/server_table.rs
@@ -1,4 +1,4 @@
-//! The servers of the list by the index that the decisions know them by.
+//! The servers of the server list, by the index that the decision module uses for them.
 
 use super::ServerListEntry;
 use lupinledge::time::Timestamp;
@@ -6,62 +6,67 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A server, as the exchange knows it.
+/// The exchange's state of one server.
 pub(super) struct Server {
     pub name: Rc<str>,
     pub addr: SocketAddr,
     pub zone: u16,
-    pub takes_new: bool,
+    /// Whether new dispatches may be sent to it.
+    pub accepts_new: bool,
+    /// Whether it is in the server list.
     pub listed: bool,
-    /// Its start as far as the list or its address tells.
-    pub born: Option<Timestamp>,
-    /// Dispatches that have not ended.
-    pub out: usize,
+    /// When it started, as far as the list or the reuse of its address shows.
+    pub started_at: Option<Timestamp>,
+    /// The number of dispatches that have not ended.
+    pub active_dispatches: usize,
 }
 
-/// Srvs by index. An index is given to one srv only, and forgotten once that has left the list and no dispatch
-/// is out there: where srvs are replaced all day by new ones, the tables stay as small as the list.
+/// Servers by index and by name. An index is used for one server only. A server is removed once it has left the list
+/// and has no active dispatch: where servers are replaced continuously, the tables stay as small as the list.
 #[derive(Default)]
 pub(super) struct ServerTable {
     pub by_index: HashMap<u32, Server>,
     pub by_name: HashMap<Rc<str>, u32>,
-    pub given: u32,
+    pub last_index: u32,
 }
 
 impl ServerTable {
-    /// A new srv at the address of another one has started since, whatever the list says of its start.
-    pub fn enter(&mut self, e: &ServerListEntry, now: Timestamp) -> u32 {
-        if let Some(&i) = self.by_name.get(e.name.as_str()) {
-            return i;
+    /// The index of a server, which is added if it is new. A new server at the address of another one has started
+    /// since, whatever the list says of its start.
+    pub fn index_of(&mut self, entry: &ServerListEntry, now: Timestamp) -> u32 {
+        if let Some(&index) = self.by_name.get(entry.name.as_str()) {
+            return index;
         }
-        let follows = self.by_index.values().any(|s| s.addr == e.addr);
-        self.given += 1;
-        let name: Rc<str> = e.name.as_str().into();
-        self.by_name.insert(name.clone(), self.given);
-        let (addr, born) = (e.addr, Some(now).filter(|_| follows));
-        let zone = e.server_entry.zone;
-        let srv = Server { name, addr, zone, takes_new: false, listed: false, born, out: 0 };
-        self.by_index.insert(self.given, srv);
-        self.given
+        let reuses_address = self.by_index.values().any(|s| s.addr == entry.addr);
+        self.last_index += 1;
+        let name: Rc<str> = entry.name.as_str().into();
+        self.by_name.insert(name.clone(), self.last_index);
+        let (addr, started_at) = (entry.addr, Some(now).filter(|_| reuses_address));
+        let zone = entry.server_entry.zone;
+        let server =
+            Server { name, addr, zone, accepts_new: false, listed: false, started_at, active_dispatches: 0 };
+        self.by_index.insert(self.last_index, server);
+        self.last_index
     }
-    pub fn forget_gone(&mut self) {
+    /// Removes servers that are not in the list and have no active dispatch.
+    pub fn remove_gone(&mut self) {
         let ServerTable { by_index, by_name, .. } = self;
-        by_index.retain(|_, s| {
-            let stays = s.listed || s.out > 0;
-            if !stays {
-                by_name.remove(&s.name);
+        by_index.retain(|_, server| {
+            let keep = server.listed || server.active_dispatches > 0;
+            if !keep {
+                by_name.remove(&server.name);
             }
-            stays
+            keep
         });
     }
-    /// A dispatch to it has ended.
-    pub fn back(&mut self, srv: u32) {
-        let gone = self.by_index.get_mut(&srv).is_some_and(|s| {
-            s.out -= 1;
-            !s.listed && s.out == 0
+    /// Notes that a dispatch to a server has ended.
+    pub fn dispatch_ended(&mut self, server: u32) {
+        let gone = self.by_index.get_mut(&server).is_some_and(|s| {
+            s.active_dispatches -= 1;
+            !s.listed && s.active_dispatches == 0
         });
         if gone {
-            self.forget_gone();
+            self.remove_gone();
         }
     }
 }
--- a/proxy/src/lib.rs
+++ b/proxy/src/lib.rs
@@ -1,9 +1,10 @@
-//! What both data planes share: sockets, client and server HTTP sides, the exchange around the decisions.
+//! The parts that both data planes share: sockets, HTTP towards clients and servers, and the exchange that connects
+//! them to the decision module.
 //!
-//! [`transport`] holds sockets, [`clients`] and [`servers`] speak HTTP/1.1 to either side, [`exchange`] brings the
-//! two together around the decisions. What differs by wire comes in through [`clients::RequestHandler`],
-//! [`exchange::Protocol`] and [`servers::ServerProtocol`]. All of it belongs to one thread, in a runtime that has
-//! `spawn_local`.
+//! [`transport`] has the sockets, [`clients`] and [`servers`] speak HTTP/1.1 to either side, and [`exchange`] connects
+//! the two through the decision module. A data plane supplies what depends on its protocol by implementing
+//! [`clients::RequestHandler`], [`exchange::Protocol`] and [`servers::ServerProtocol`]. Everything runs on one thread,
+//! in a runtime with `spawn_local`.
 
 pub mod clients;
 pub mod clock;
@@ -12,5 +13,4 @@
 pub mod ids;
 pub mod logger;
 pub mod servers;
-/// Sockets: listening, dialling, counting bytes and descriptors, following framing, why a connection ended.
 pub mod transport;
