--- a/proxy/src/exchange.rs
+++ b/proxy/src/exchange.rs
@@ -144,7 +144,7 @@
 /// A request that has no final answer yet, or that still has dispatches that have not ended.
 struct OpenRequest<P: Protocol> {
     /// Where the final answer is sent; `None` once it was sent or the client has left.
-    answer_sender: Option<oneshot::Sender<FinalAnswer<P>>>,
+    reply_to: Option<oneshot::Sender<FinalAnswer<P>>>,
     forwarded: Rc<P::ForwardedRequest>,
     /// The last failure response that a server sent.
     failure_response: Option<P::ServerResponse>,
@@ -289,11 +289,11 @@
         new_request.id = id;
         self.counters.taken.up();
         self.unanswered.set(self.unanswered.get() + 1);
-        let (answer_sender, receiver) = oneshot::channel();
+        let (reply_to, receiver) = oneshot::channel();
         let deadline = self.clock.now() + new_request.time_left;
         let invariants = RequestInvariants::of(&new_request, &self.terms.borrow());
         let request = OpenRequest {
-            answer_sender: Some(answer_sender),
+            reply_to: Some(reply_to),
             forwarded: Rc::new(forwarded),
             failure_response: None,
             deadline,
@@ -308,7 +308,7 @@
     }
 
     fn client_left(&self, id: u64) {
-        let unanswered = self.requests.borrow_mut().get_mut(&id).and_then(|r| r.answer_sender.take());
+        let unanswered = self.requests.borrow_mut().get_mut(&id).and_then(|r| r.reply_to.take());
         if unanswered.is_some() {
             self.counters.left.up();
             self.count_answered();
@@ -334,7 +334,7 @@
     fn answer(&self, id: u64, answer: Answer<P>) {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(&id) else { return };
-        let Some(answer_sender) = request.answer_sender.take() else { return };
+        let Some(reply_to) = request.reply_to.take() else { return };
         if matches!(answer, Answer::Denied(_)) {
             let may_run =
                 request.invariants.may_have_run || request.dispatches.iter().flatten().any(|d| d.started);
@@ -348,7 +348,7 @@
             Answer::Denied(_) => self.counters.denied.up(),
             Answer::Failed(_) | Answer::Aborted => self.counters.aborted.up(),
         }
-        let _ = answer_sender.send((answer, attempts));
+        let _ = reply_to.send((answer, attempts));
         self.count_answered();
     }
 
@@ -360,7 +360,7 @@
         for id in self.maybe_finished.take() {
             if requests
                 .get(&id)
-                .is_some_and(|r| r.answer_sender.is_none() && r.dispatches.iter().all(Option::is_none))
+                .is_some_and(|r| r.reply_to.is_none() && r.dispatches.iter().all(Option::is_none))
             {
                 requests.remove(&id);
             }
@@ -372,8 +372,7 @@
     /// ended, or its server may have begun to drain.
     pub fn may_begin(&self, dispatch: &Dispatch<P>) -> bool {
         let mut requests = self.requests.borrow_mut();
-        let Some(request) = requests.get_mut(&dispatch.request_id).filter(|r| r.answer_sender.is_some())
-        else {
+        let Some(request) = requests.get_mut(&dispatch.request_id).filter(|r| r.reply_to.is_some()) else {
             return false;
         };
         let servers = self.servers.borrow();
@@ -398,7 +397,7 @@
     /// are not dispatched any more.
     pub fn deny_waiting(&self, hint: Span) {
         let waiting = |r: &OpenRequest<P>| {
-            r.answer_sender.is_some() && !r.started && r.dispatches.iter().all(Option::is_none)
+            r.reply_to.is_some() && !r.started && r.dispatches.iter().all(Option::is_none)
         };
         let waiting: Vec<u64> =
             self.requests.borrow().iter().filter(|(_, r)| waiting(r)).map(|(id, _)| *id).collect();
@@ -415,12 +414,12 @@
     }
 
     /// Reports the end of a dispatch; called by the server side.
-    pub fn dispatch_ended(&self, request_id: u64, attempt: u16, result: DispatchResult<P>) {
+    pub fn dispatch_ended(&self, request_id: u64, nth: u16, result: DispatchResult<P>) {
         let active = self
             .requests
             .borrow_mut()
             .get_mut(&request_id)
-            .and_then(|r| r.dispatches.get_mut(attempt as usize)?.take());
+            .and_then(|r| r.dispatches.get_mut(nth as usize)?.take());
         let Some(active) = active else { return };
         self.record_attempt(request_id, &active, result.outcome);
         self.servers.borrow_mut().dispatch_ended(active.server);
@@ -436,16 +435,10 @@
             }
             None => {}
         }
-        let closed = self.requests.borrow().get(&request_id).is_none_or(|r| r.answer_sender.is_none());
+        let closed = self.requests.borrow().get(&request_id).is_none_or(|r| r.reply_to.is_none());
         let took = self.clock.now() - active.sent_at;
-        let ended = Ended {
-            id: request_id,
-            nth: attempt,
-            outcome: result.outcome,
-            took,
-            closed,
-            billed: result.billed_units,
-        };
+        let ended =
+            Ended { id: request_id, nth, outcome: result.outcome, took, closed, billed: result.billed_units };
         self.push_event(Event::Ended(ended, result.load));
         self.maybe_finished.borrow_mut().push(request_id);
     }
@@ -587,10 +580,10 @@
         self.remove_finished();
     }
 
-    fn dispatch(&self, now: Timestamp, request_id: u64, server: u32, limit: Span) {
+    fn dispatch(&self, now: Timestamp, id: u64, server: u32, limit: Span) {
         self.counters.dispatches.up();
         let mut requests = self.requests.borrow_mut();
-        let Some(open_request) = requests.get_mut(&request_id) else { return };
+        let Some(open_request) = requests.get_mut(&id) else { return };
         let server_side = self.server_side.borrow().clone();
         let target = self.servers.borrow_mut().by_index.get_mut(&server).map(|s| {
             s.active_dispatches += 1;
@@ -599,7 +592,7 @@
         let attempt = open_request.dispatches.len() as u16;
         let deadline =
             if limit == Span::ZERO { open_request.deadline } else { open_request.deadline.min(now + limit) };
-        let (request, unanswered) = (open_request.forwarded.clone(), open_request.answer_sender.is_some());
+        let (request, unanswered) = (open_request.forwarded.clone(), open_request.reply_to.is_some());
         open_request.dispatches.push(Some(ActiveDispatch {
             server,
             sent_at: now,
@@ -609,19 +602,19 @@
         drop(requests);
         // each dispatch is reported as ended, also one to a server that is gone or of a request that is answered
         let (Some((server_name, addr)), Some(server_side), true) = (target, server_side, unanswered) else {
-            return self.dispatch_ended(
-                request_id,
-                attempt,
-                DispatchResult::without_response(Outcome::NotSent),
-            );
+            return self.dispatch_ended(id, attempt, DispatchResult::without_response(Outcome::NotSent));
         };
-        let cancel =
-            server_side.send(Dispatch { request_id, attempt, server, server_name, addr, deadline, request });
-        if let Some(Some(active)) = self
-            .requests
-            .borrow_mut()
-            .get_mut(&request_id)
-            .and_then(|r| r.dispatches.get_mut(attempt as usize))
+        let cancel = server_side.send(Dispatch {
+            request_id: id,
+            attempt,
+            server,
+            server_name,
+            addr,
+            deadline,
+            request,
+        });
+        if let Some(Some(active)) =
+            self.requests.borrow_mut().get_mut(&id).and_then(|r| r.dispatches.get_mut(attempt as usize))
         {
             active.cancel = cancel;
         }
@@ -635,7 +628,7 @@
         (active.cancel)();
         self.servers.borrow_mut().dispatch_ended(active.server);
         self.counters.dispatch.up(Outcome::Cancelled);
-        let closed = self.requests.borrow().get(&id).is_none_or(|r| r.answer_sender.is_none());
+        let closed = self.requests.borrow().get(&id).is_none_or(|r| r.reply_to.is_none());
         let took = self.clock.now() - active.sent_at;
         let ended = Ended { id, nth, outcome: Outcome::Cancelled, took, closed, billed: 0.0 };
         log::debug!("cancelled {id}/{nth} at server {}", active.server);
