--- a/gateway/src/program/watched.rs
+++ b/gateway/src/program/watched.rs
@@ -9,7 +9,7 @@
 
 /// Puts the counts among the program's, where they stay 0 with nothing to watch for.
 pub fn enter(counters: &Counters) {
-    *counters.further.borrow_mut() = Divergence::ALL.map(|k| (format!("watch.{}", k.name()), 0)).into();
+    *counters.extra.borrow_mut() = Divergence::ALL.map(|k| (format!("watch.{}", k.name()), 0)).into();
 }
 
 pub struct Watched {
@@ -29,7 +29,7 @@
     }
     fn actions(&mut self, now: Timestamp, actions: &[Action]) {
         self.watch.record_actions(now, actions);
-        for ((_, n), kind) in self.counters.further.borrow_mut().iter_mut().zip(Divergence::ALL) {
+        for ((_, n), kind) in self.counters.extra.borrow_mut().iter_mut().zip(Divergence::ALL) {
             *n = self.watch.count(kind);
         }
     }
--- a/gateway/src/protocol/client.rs
+++ b/gateway/src/protocol/client.rs
@@ -145,7 +145,7 @@
         let (new, carried) = match read {
             Ok(read) => read,
             Err(mut refusal) => {
-                self.exchange.counters.malformed.up();
+                self.exchange.counters.malformed.increment();
                 // what is left of a body that nobody reads must not be taken for the next req
                 refusal.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 return refusal;
--- a/gateway/src/protocol/counter.rs
+++ b/gateway/src/protocol/counter.rs
@@ -8,8 +8,8 @@
 use lupinledge::time::Span;
 use lupinledge_proxy::clock::duration;
 use lupinledge_proxy::exchange::{CounterSide, WeakExchange};
-use lupinledge_proxy::transport::dial::dial;
-use lupinledge_proxy::transport::ending::{Ending, Why};
+use lupinledge_proxy::transport::connect::connect;
+use lupinledge_proxy::transport::end_reason::{EndLog, EndReason};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -130,7 +130,7 @@
                 }
             };
             let at = stream.peer_addr().unwrap_or(self.addr.get());
-            let (ending, since) = (Ending::of("counter", at), Instant::now());
+            let (ending, since) = (EndLog::new("counter", at), Instant::now());
             lane.heard.set(None);
             lane.leaving.set(false);
             lane.served.set(false);
@@ -138,9 +138,9 @@
             *lane.to.borrow_mut() = Some(to);
             let why;
             (why, next) = self.talk(lane, at, from).await;
-            ending.because(why);
+            ending.set_reason(why);
             *lane.to.borrow_mut() = None;
-            self.broken(lane, why == Why::Moved);
+            self.broken(lane, why == EndReason::Moved);
             // one that is ended as soon as it is up is not hurried after
             if lane.served.get() || since.elapsed() > BACK_OFF.1 {
                 pause = BACK_OFF.0;
@@ -157,19 +157,19 @@
         let mut failed = false;
         loop {
             let addr = self.addr.get();
-            let ending = Ending::of("counter", addr);
+            let ending = EndLog::new("counter", addr);
             tokio::select! {
-                up = dial(addr, self.connect_wait, None) => {
+                up = connect(addr, self.connect_wait, None) => {
                     lane.tried.set(true);
                     match up {
                         Ok(stream) => {
-                            ending.silence();
+                            ending.suppress();
                             if failed {
                                 self.back.notify_waiters();
                             }
                             return stream;
                         }
-                        Err(e) => ending.because(Why::of_dial(&e)),
+                        Err(e) => ending.set_reason(EndReason::from_connect_error(&e)),
                     }
                     drop(ending);
                     tokio::select! {
@@ -177,7 +177,7 @@
                         _ = self.back.notified() => {}
                     }
                 }
-                _ = self.back.notified() => ending.because(Why::ClosedHere),
+                _ = self.back.notified() => ending.set_reason(EndReason::ClosedHere),
             }
             failed = true;
         }
@@ -235,7 +235,12 @@
 
     /// Serves a connection until it ends or, silent for long, is replaced. The silent one is kept until the
     /// new one is up: a machine that was cut off may go on where it was, or resets it and tells it is back.
-    async fn talk(&self, lane: &Lane, at: SocketAddr, mut from: OwnedReadHalf) -> (Why, Option<TcpStream>) {
+    async fn talk(
+        &self,
+        lane: &Lane,
+        at: SocketAddr,
+        mut from: OwnedReadHalf,
+    ) -> (EndReason, Option<TcpStream>) {
         let (mut read, mut part) = (Vec::with_capacity(4096), [0u8; 4096]);
         let mut other = std::pin::pin!(None);
         let mut next = None;
@@ -243,7 +248,7 @@
         loop {
             let moved = self.addr.get() != at;
             if next.is_some() && self.all_answered(lane) {
-                return (Why::Moved, next);
+                return (EndReason::Moved, next);
             }
             if moved && next.is_none() && other.is_none() {
                 other.set(Some(self.connect(lane)));
@@ -265,7 +270,7 @@
                             if replaced {
                                 self.back.notify_waiters();
                             }
-                            return (if end.is_ok() { Why::PeerClosed } else { Why::PeerReset }, next);
+                            return (if end.is_ok() { EndReason::PeerClosed } else { EndReason::PeerReset }, next);
                         }
                     }
                     let mut used = 0;
@@ -275,11 +280,11 @@
                                 used += n;
                                 // one answer more than calls: from here on each would be taken for another's
                                 if !self.reply(lane, reply) {
-                                    return (Why::Stray, next);
+                                    return (EndReason::Stray, next);
                                 }
                             }
                             Ok(None) => break,
-                            Err(_) => return (Why::Malformed, next),
+                            Err(_) => return (EndReason::Malformed, next),
                         }
                     }
                     read.drain(..used);
@@ -288,7 +293,7 @@
                     other.set(None);
                     next = Some(up);
                     if !moved {
-                        return (Why::Silent, next);
+                        return (EndReason::Silent, next);
                     }
                     lane.leaving.set(true);
                 }
--- a/gateway/src/protocol/discovery.rs
+++ b/gateway/src/protocol/discovery.rs
@@ -11,8 +11,8 @@
 use lupinledge::time::{Span, Timestamp};
 use lupinledge_proxy::clock::duration;
 use lupinledge_proxy::exchange::ServerListEntry;
-use lupinledge_proxy::transport::dial::dial;
-use lupinledge_proxy::transport::ending::{Ending, Why};
+use lupinledge_proxy::transport::connect::connect;
+use lupinledge_proxy::transport::end_reason::{EndLog, EndReason};
 use serde::Deserialize;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -145,12 +145,12 @@
         let mut pause = BACK_OFF.0;
         loop {
             let addr = self.addr.get();
-            let ending = Ending::of("discovery", addr);
+            let ending = EndLog::new("discovery", addr);
             let lines = Cell::new(0u64);
             tokio::select! {
-                why = self.watch(addr, &lines) => ending.because(why),
+                why = self.watch(addr, &lines) => ending.set_reason(why),
                 _ = self.moved.notified() => {
-                    ending.because(Why::Moved);
+                    ending.set_reason(EndReason::Moved);
                     pause = BACK_OFF.0;
                     continue;
                 }
@@ -166,42 +166,42 @@
         }
     }
 
-    async fn watch(&self, addr: SocketAddr, lines: &Cell<u64>) -> Why {
-        let stream = match dial(addr, self.connect_wait, None).await {
+    async fn watch(&self, addr: SocketAddr, lines: &Cell<u64>) -> EndReason {
+        let stream = match connect(addr, self.connect_wait, None).await {
             Ok(stream) => stream,
-            Err(e) => return Why::of_dial(&e),
+            Err(e) => return EndReason::from_connect_error(&e),
         };
         let Ok((mut send, conn)) = http1::handshake(TokioIo::new(stream)).await else {
-            return Why::PeerReset;
+            return EndReason::PeerReset;
         };
         // ended with this future, also where that is dropped
         let conn = std::pin::pin!(conn);
         tokio::select! {
             biased;
             why = self.lines(&mut send, lines) => why,
-            _ = conn => Why::PeerReset,
+            _ = conn => EndReason::PeerReset,
         }
     }
 
-    async fn lines(&self, send: &mut http1::SendRequest<Empty<Bytes>>, lines: &Cell<u64>) -> Why {
+    async fn lines(&self, send: &mut http1::SendRequest<Empty<Bytes>>, lines: &Cell<u64>) -> EndReason {
         let path = match self.generation.get() {
             Some(g) => format!("/catalog/members?watch=1&from={g}"),
             None => "/catalog/members?watch=1".to_string(),
         };
-        let Ok(mut req) = Request::get(path).body(Empty::new()) else { return Why::Unexpected };
+        let Ok(mut req) = Request::get(path).body(Empty::new()) else { return EndReason::Unexpected };
         req.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
         let answer = match timeout(SILENCE, send.send_request(req)).await {
-            Err(_) => return Why::Silent,
-            Ok(Err(_)) => return Why::PeerReset,
-            Ok(Ok(answer)) if answer.status() != StatusCode::OK => return Why::Unexpected,
+            Err(_) => return EndReason::Silent,
+            Ok(Err(_)) => return EndReason::PeerReset,
+            Ok(Ok(answer)) if answer.status() != StatusCode::OK => return EndReason::Unexpected,
             Ok(Ok(answer)) => answer,
         };
         let (mut body, mut text) = (answer.into_body(), Vec::new());
         loop {
             let data = match timeout(SILENCE, body.frame()).await {
-                Err(_) => return Why::Silent,
-                Ok(None) => return Why::PeerClosed,
-                Ok(Some(Err(_))) => return Why::PeerReset,
+                Err(_) => return EndReason::Silent,
+                Ok(None) => return EndReason::PeerClosed,
+                Ok(Some(Err(_))) => return EndReason::PeerReset,
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
             text.extend_from_slice(&data);
@@ -216,11 +216,11 @@
                     log::warn!("discovery: {e}");
                     // nothing after a line that was not understood can be relied on: the whole list again
                     self.generation.set(None);
-                    return Why::Malformed;
+                    return EndReason::Malformed;
                 }
             }
             if text.len() > LONGEST_LINE {
-                return Why::Malformed;
+                return EndReason::Malformed;
             }
         }
     }
--- a/proxy/src/clients.rs
+++ b/proxy/src/clients.rs
@@ -1,10 +1,10 @@
-//! Clients: their connections, behind which a service answers their reqs.
+//! The connections from clients, and the HTTP service that passes their requests to a handler.
 
 use crate::counters::Counters;
 pub use crate::transport::body::{read_body, read_body_with_budget, BodyError};
 use crate::transport::descriptors::DescriptorPermit;
-use crate::transport::ending::{Ending, Why};
-use crate::transport::framing::{Followed, RequestFraming};
+use crate::transport::end_reason::{EndLog, EndReason};
+use crate::transport::framing::{FramingStream, RequestFraming};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -26,268 +26,287 @@
 use tokio::time::Instant;
 use tower::Service;
 
-/// So many connections at most are ended at once to make room.
-const MAKING_ROOM: usize = 8;
+/// The limit connections that are closed at once to free descriptors.
+const MAX_CLOSED_AT_ONCE: usize = 8;
 
-/// What a client is answered.
+/// The response to a client.
 pub type Reply = Response<Full<Bytes>>;
 
-/// How a wire's reqs are answered.
+/// Handles the requests of one protocol.
 pub trait RequestHandler: 'static {
-    /// Answers one req, which is to be there whole by `whole_by`, see [`ClientLimits::request_timeout`]. What the
-    /// connection's `heads` say may change while the body is read: a fault makes the req malformed. A reply
-    /// with `Connection: close` ends the connection, as one has to where a body was not read to its end. The
+    /// Handles one request, which must be received completely by `receive_by`, see [`ClientLimits::request_timeout`].
+    /// The connection's `framing` can change while the body is read: a fault means that the request is malformed. A
+    /// reply with `Connection: close` closes the connection; it is required if the body was not read to its end. The
     /// future is dropped when the client leaves.
     fn handle(
         &self,
-        req: Request<Incoming>,
-        heads: &RequestFraming,
-        whole_by: Instant,
+        request: Request<Incoming>,
+        framing: &RequestFraming,
+        receive_by: Instant,
     ) -> impl Future<Output = Reply>;
-    /// Told when the connections begin to close, see [`ClientConnections::start_closing`].
+    /// Called when the connections begin to close, see [`ClientConnections::start_closing`].
     fn on_closing(&self) {}
 }
 
-/// What bounds client connections.
+/// The limits on client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Between two reqs, a connection is ended after so long.
+    /// How long a connection may be idle between two requests.
     pub idle_timeout: Duration,
-    /// A head is there whole within so long of its first byte, a connection's first one of the connecting.
+    /// How long a request head may take from its first byte; for the first one of a connection, from the connect.
     pub head_timeout: Duration,
-    /// A req is to be there whole within so long of its head's end, a connection's first one of the connecting.
+    /// How long a whole request may take from the end of its head; for the first one of a connection, from the connect.
     pub request_timeout: Duration,
-    /// A connection that is to end and has begun a req without ending it, or of whose answer nothing more can be
-    /// written, is cut after so long: time enough for what is already under way on a network.
+    /// How long a connection that is being closed may stay with an incomplete request, or with a response of which
+    /// nothing more can be written. It must leave enough time for data that is already on the network.
     pub unfinished_timeout: Duration,
-    /// `idle` and `head` are looked at so often.
+    /// The interval at which `idle_timeout` and `head_timeout` are checked.
     pub sweep_interval: Duration,
-    /// A usual client's req comes right behind its connection. Where descriptors lack, one that has brought
-    /// nothing for so long is the first to go.
+    /// When descriptors run out, connections that have sent no request for this long are closed first: a typical client
+    /// sends its request right after it connects.
     pub first_byte_wait: Duration,
-    /// The longest head, in bytes; 8 KiB at the least.
+    /// The largest request head, in bytes; at least 8 KiB.
     pub max_head_bytes: usize,
 }
 
-/// All client connections of one listening address, and what their reqs are answered by.
+/// All client connections of one listening address, and the handler of their requests.
 pub struct ClientConnections<A: RequestHandler> {
-    answering: Rc<A>,
+    handler: Rc<A>,
     counters: Rc<Counters>,
-    bounds: Cell<ClientLimits>,
+    limits: Cell<ClientLimits>,
     closing: Cell<bool>,
-    opened: Cell<u64>,
-    links: RefCell<BTreeMap<u64, Rc<Link>>>,
-    none_left: Notify,
+    next_id: Cell<u64>,
+    connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
+    connection_removed: Notify,
 }
 
-/// One connection, as seen from the others.
-struct Link {
+/// The state of one connection that other tasks use.
+struct Connection {
+    /// Whether a request is being handled.
     busy: Cell<bool>,
+    /// Whether it has sent a request.
     used: Cell<bool>,
-    /// Since when no req is being answered on it.
-    since: Cell<Instant>,
-    heads: Rc<RequestFraming>,
-    stop: Notify,
-    why: Cell<Option<Why>>,
+    /// Since when no request is being handled.
+    idle_since: Cell<Instant>,
+    framing: Rc<RequestFraming>,
+    close_requested: Notify,
+    end_reason: Cell<Option<EndReason>>,
 }
 
-impl Link {
-    fn new() -> Rc<Link> {
-        Rc::new(Link {
+impl Connection {
+    fn new() -> Rc<Connection> {
+        Rc::new(Connection {
             busy: Cell::new(false),
             used: Cell::new(false),
-            since: Cell::new(Instant::now()),
-            heads: Rc::default(),
-            stop: Notify::new(),
-            why: Cell::new(None),
+            idle_since: Cell::new(Instant::now()),
+            framing: Rc::default(),
+            close_requested: Notify::new(),
+            end_reason: Cell::new(None),
         })
     }
 
-    fn end(&self, why: Why) {
-        self.why.set(self.why.get().or(Some(why)));
-        self.stop.notify_one();
+    fn request_close(&self, reason: EndReason) {
+        self.end_reason.set(self.end_reason.get().or(Some(reason)));
+        self.close_requested.notify_one();
     }
 
-    /// Whether it is to be ended with nothing awaited any more.
-    fn cut(&self) -> bool {
-        matches!(self.why.get(), Some(Why::Idle | Why::Unread | Why::Crowded))
+    /// Whether it is to be closed without waiting for anything.
+    fn closes_at_once(&self) -> bool {
+        matches!(self.end_reason.get(), Some(EndReason::Idle | EndReason::Unread | EndReason::Crowded))
     }
 
-    /// For how long it has had no req, or only the beginning of one. The first head counts from the connection
-    /// on: bytes that come one by one are no req.
+    /// For how long it has had no request, or only an incomplete head. The first head counts from the connect, so that
+    /// single bytes do not keep the connection open.
     fn unused(&self) -> Option<Duration> {
-        let begun = self.heads.begun().filter(|_| self.used.get());
-        (!self.busy.get()).then(|| begun.unwrap_or(self.last_used()).elapsed())
+        let head_started = self.framing.head_started().filter(|_| self.used.get());
+        (!self.busy.get()).then(|| head_started.unwrap_or(self.last_active()).elapsed())
     }
 
-    /// When its last answer was ready, or was last getting on.
-    fn last_used(&self) -> Instant {
-        let since = self.since.get();
-        self.heads.wrote().map_or(since, |wrote| wrote.max(since))
+    /// When its last response was ready, or a part of it was last written.
+    fn last_active(&self) -> Instant {
+        let since = self.idle_since.get();
+        self.framing.last_written().map_or(since, |last_written| last_written.max(since))
     }
 
-    /// Until it is to end. One that has brought nothing yet is given time: its first req may be in the
-    /// machine's hands already, and hyper ends such a connection without a look.
-    async fn to_end(&self, unfinished: impl Fn() -> Duration) {
-        self.stop.notified().await;
-        if !self.used.get() && !self.cut() {
-            tokio::time::sleep(unfinished()).await;
+    /// Waits until it is to be closed. A connection without a request yet gets `unfinished_timeout` more: its first
+    /// request may already be in the kernel's buffer, and hyper closes such a connection without reading it.
+    async fn wait_closing(&self, unfinished_timeout: impl Fn() -> Duration) {
+        self.close_requested.notified().await;
+        if !self.used.get() && !self.closes_at_once() {
+            tokio::time::sleep(unfinished_timeout()).await;
         }
     }
 
-    /// Until no req was here and no answer got on for so long at a stretch.
-    async fn unused_for(&self, span: Duration) {
+    /// Waits until for `span` no request was handled and no part of a response was written.
+    async fn wait_unused(&self, span: Duration) {
         let mut since = Instant::now();
         while since.elapsed() < span {
             tokio::time::sleep(span / 10).await;
             if self.busy.get() {
                 since = Instant::now();
             }
-            since = since.max(self.last_used());
+            since = since.max(self.last_active());
         }
     }
 }
 
 impl<A: RequestHandler> ClientConnections<A> {
-    /// With no connection yet.
-    pub fn start(answering: Rc<A>, counters: Rc<Counters>, bounds: ClientLimits) -> Rc<ClientConnections<A>> {
+    /// Creates it without connections.
+    pub fn start(handler: Rc<A>, counters: Rc<Counters>, limits: ClientLimits) -> Rc<ClientConnections<A>> {
         let clients = Rc::new(ClientConnections {
-            answering,
+            handler,
             counters,
-            bounds: Cell::new(bounds),
+            limits: Cell::new(limits),
             closing: Cell::new(false),
-            opened: Cell::new(0),
-            links: RefCell::default(),
-            none_left: Notify::new(),
+            next_id: Cell::new(0),
+            connections: RefCell::default(),
+            connection_removed: Notify::new(),
         });
         tokio::task::spawn_local(clients.clone().sweep());
         clients
     }
 
-    /// Other bounds hold from here on; the largest head for new connections.
-    pub fn set_limits(&self, bounds: ClientLimits) {
-        self.bounds.set(bounds);
+    /// Sets other limits. `max_head_bytes` applies to new connections only.
+    pub fn set_limits(&self, limits: ClientLimits) {
+        self.limits.set(limits);
     }
 
-    /// Ends what has been without a req for long: clients that ask once and stay, that say nothing, or that
-    /// never end a head would hold all descriptors between them.
+    /// Closes connections that have had no request for too long. Otherwise clients that stay after a request, that send
+    /// nothing, or that never complete a head could use up the descriptors.
     async fn sweep(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(self.bounds.get().sweep_interval).await;
-            let ClientLimits { idle_timeout, head_timeout, .. } = self.bounds.get();
-            for l in self.links.borrow().values().filter(|l| l.why.get().is_none()) {
-                let between = l.used.get() && l.heads.begun().is_none();
-                let (most, why) =
-                    if between { (idle_timeout, Why::Idle) } else { (head_timeout, Why::Unread) };
-                if l.unused().is_some_and(|u| u >= most) {
-                    l.end(why);
+            tokio::time::sleep(self.limits.get().sweep_interval).await;
+            let ClientLimits { idle_timeout, head_timeout, .. } = self.limits.get();
+            for connection in self.connections.borrow().values().filter(|c| c.end_reason.get().is_none()) {
+                let between_requests = connection.used.get() && connection.framing.head_started().is_none();
+                let (limit, reason) = if between_requests {
+                    (idle_timeout, EndReason::Idle)
+                } else {
+                    (head_timeout, EndReason::Unread)
+                };
+                if connection.unused().is_some_and(|unused| unused >= limit) {
+                    connection.request_close(reason);
                 }
             }
         }
     }
 
-    /// From here on each answer asks its client to take another connection.
+    /// From now on each reply asks its client to use another connection.
     pub fn start_closing(&self) {
         self.closing.set(true);
-        self.answering.on_closing();
+        self.handler.on_closing();
     }
 
-    /// Answers say nothing of another connection any more.
+    /// From now on replies do not ask for another connection any more.
     pub fn reopen(&self) {
         self.closing.set(false);
     }
 
-    /// Ends the connections that nobody uses now, the others after their answer.
+    /// Closes the connections that have no request now, and the others after their response.
     pub fn close_all(&self) {
-        self.links.borrow().values().for_each(|l| l.end(Why::Drained));
+        self.connections.borrow().values().for_each(|c| c.request_close(EndReason::Drained));
     }
 
-    /// Waits until there is no connection.
+    /// Waits until no connection is left.
     pub async fn wait_closed(&self) {
-        while !self.links.borrow().is_empty() {
-            self.none_left.notified().await;
+        while !self.connections.borrow().is_empty() {
+            self.connection_removed.notified().await;
         }
     }
 
-    /// Ends connections that have brought no req in the time in which a usual one comes; with none, the one
-    /// that has been idle for longest.
+    /// Closes connections that have not sent a request within `first_byte_wait`; if there are none, the one that has
+    /// been idle for longest.
     pub fn free_descriptors(&self) {
-        let links = self.links.borrow();
-        let unused = || links.values().filter(|l| l.why.get().is_none() && l.unused().is_some());
-        let silent =
-            unused().filter(|l| !l.used.get() && l.unused() >= Some(self.bounds.get().first_byte_wait));
-        if silent.take(MAKING_ROOM).map(|l| l.end(Why::Crowded)).count() == 0 {
-            let idle = unused().filter(|l| l.used.get()).max_by_key(|l| l.unused());
-            idle.into_iter().for_each(|l| l.end(Why::Crowded));
+        let connections = self.connections.borrow();
+        let unused = || connections.values().filter(|c| c.end_reason.get().is_none() && c.unused().is_some());
+        let no_request =
+            unused().filter(|c| !c.used.get() && c.unused() >= Some(self.limits.get().first_byte_wait));
+        if no_request.take(MAX_CLOSED_AT_ONCE).map(|c| c.request_close(EndReason::Crowded)).count() == 0 {
+            let idle = unused().filter(|c| c.used.get()).max_by_key(|c| c.unused());
+            idle.into_iter().for_each(|c| c.request_close(EndReason::Crowded));
         }
     }
 
-    /// Serves a connection until it ends; with `tight`, for one req only.
-    pub fn serve(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr, place: DescriptorPermit, tight: bool) {
-        self.counters.client_connections.up();
-        let nth = self.opened.get();
-        self.opened.set(nth + 1);
-        let link = Link::new();
-        self.links.borrow_mut().insert(nth, link.clone());
-        let reader = Reader { clients: self.clone(), link: link.clone(), last: tight };
+    /// Serves a connection until it ends; with `single_request`, for one request only.
+    pub fn serve(
+        self: &Rc<Self>,
+        stream: TcpStream,
+        peer: SocketAddr,
+        permit: DescriptorPermit,
+        single_request: bool,
+    ) {
+        self.counters.client_connections.increment();
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        let connection = Connection::new();
+        self.connections.borrow_mut().insert(id, connection.clone());
+        let service = ConnectionService {
+            clients: self.clone(),
+            connection: connection.clone(),
+            close_after_reply: single_request,
+        };
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            let ending = Ending::of("client", peer);
-            let stream = Followed::new(stream, link.heads.clone());
-            let conn = hyper::server::conn::http1::Builder::new()
+            let end_log = EndLog::new("client", peer);
+            let stream = FramingStream::new(stream, connection.framing.clone());
+            let http = hyper::server::conn::http1::Builder::new()
                 .auto_date_header(false)
-                .max_buf_size(clients.bounds.get().max_head_bytes)
-                .serve_connection(TokioIo::new(stream), TowerToHyperService::new(reader));
-            tokio::pin!(conn);
-            let end = tokio::select! {
+                .max_buf_size(clients.limits.get().max_head_bytes)
+                .serve_connection(TokioIo::new(stream), TowerToHyperService::new(service));
+            tokio::pin!(http);
+            let result = tokio::select! {
                 biased;
-                end = conn.as_mut() => end,
-                _ = link.to_end(|| clients.bounds.get().unfinished_timeout) => {
-                    conn.as_mut().graceful_shutdown();
-                    // a req may have come with the last look at it
-                    let cut = link.cut() && !link.busy.get();
+                result = http.as_mut() => result,
+                _ = connection.wait_closing(|| clients.limits.get().unfinished_timeout) => {
+                    http.as_mut().graceful_shutdown();
+                    // hyper may have read a request when it was polled last
+                    let closes_at_once = connection.closes_at_once() && !connection.busy.get();
                     tokio::select! {
-                        end = conn.as_mut() => end,
-                        _ = link.unused_for(clients.bounds.get().unfinished_timeout), if !cut => Ok(()),
-                        _ = std::future::ready(()), if cut => Ok(()),
+                        result = http.as_mut() => result,
+                        _ = connection.wait_unused(clients.limits.get().unfinished_timeout), if !closes_at_once => Ok(()),
+                        _ = std::future::ready(()), if closes_at_once => Ok(()),
                     }
                 }
             };
-            if let Some(why) = link.why.get().filter(|_| end.is_ok()) {
-                ending.because(why);
+            if let Some(reason) = connection.end_reason.get().filter(|_| result.is_ok()) {
+                end_log.set_reason(reason);
             }
-            ending.because(Why::of_http(&end));
-            clients.links.borrow_mut().remove(&nth);
-            clients.none_left.notify_waiters();
-            drop((place, ending));
+            end_log.set_reason(EndReason::from_http_result(&result));
+            clients.connections.borrow_mut().remove(&id);
+            clients.connection_removed.notify_waiters();
+            drop((permit, end_log));
         });
     }
 }
 
-/// The service of one connection.
-struct Reader<A: RequestHandler> {
+/// The HTTP service of one connection.
+struct ConnectionService<A: RequestHandler> {
     clients: Rc<ClientConnections<A>>,
-    link: Rc<Link>,
-    last: bool,
+    connection: Rc<Connection>,
+    close_after_reply: bool,
 }
 
-impl<A: RequestHandler> Clone for Reader<A> {
-    fn clone(&self) -> Reader<A> {
-        Reader { clients: self.clients.clone(), link: self.link.clone(), last: self.last }
+impl<A: RequestHandler> Clone for ConnectionService<A> {
+    fn clone(&self) -> ConnectionService<A> {
+        ConnectionService {
+            clients: self.clients.clone(),
+            connection: self.connection.clone(),
+            close_after_reply: self.close_after_reply,
+        }
     }
 }
 
-/// Marks a connection as used while it holds a req.
-struct Busy(Rc<Link>);
+/// Marks a connection as not busy when dropped.
+struct BusyGuard(Rc<Connection>);
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.busy.set(false);
-        self.0.since.set(Instant::now());
+        self.0.idle_since.set(Instant::now());
     }
 }
 
-impl<A: RequestHandler> Service<Request<Incoming>> for Reader<A> {
+impl<A: RequestHandler> Service<Request<Incoming>> for ConnectionService<A> {
     type Response = Reply;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Reply, Infallible>>>>;
@@ -295,38 +314,42 @@
     fn poll_ready(&mut self, _: &mut Context) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
-    fn call(&mut self, req: Request<Incoming>) -> Self::Future {
-        self.link.busy.set(true);
-        let since = if self.link.used.replace(true) { Instant::now() } else { self.link.since.get() };
-        let whole_by = since + self.clients.bounds.get().request_timeout;
-        let busy = Busy(self.link.clone());
-        let (clients, last) = (self.clients.clone(), self.last);
+    fn call(&mut self, request: Request<Incoming>) -> Self::Future {
+        self.connection.busy.set(true);
+        let started = if self.connection.used.replace(true) {
+            Instant::now()
+        } else {
+            self.connection.idle_since.get()
+        };
+        let receive_by = started + self.clients.limits.get().request_timeout;
+        let guard = BusyGuard(self.connection.clone());
+        let (clients, close_after_reply) = (self.clients.clone(), self.close_after_reply);
         Box::pin(async move {
-            let mut reply = clients.answering.handle(req, &busy.0.heads, whole_by).await;
-            if last || busy.0.heads.last() || clients.closing.get() {
+            let mut reply = clients.handler.handle(request, &guard.0.framing, receive_by).await;
+            if close_after_reply || guard.0.framing.must_close() || clients.closing.get() {
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-                busy.0.why.set(busy.0.why.get().or(Some(Why::ClosedHere)));
+                guard.0.end_reason.set(guard.0.end_reason.get().or(Some(EndReason::ClosedHere)));
             }
             Ok(reply)
         })
     }
 }
 
-/// A reply with no body.
+/// A reply without a body.
 pub fn empty_reply(status: StatusCode) -> Reply {
     let mut reply = Response::new(Full::default());
     *reply.status_mut() = status;
     reply
 }
 
-/// A reply that says something in words.
-pub fn text_reply(status: StatusCode, what: impl Into<Bytes>) -> Reply {
-    let mut reply = Response::new(Full::new(what.into()));
+/// A reply with a text as its body.
+pub fn text_reply(status: StatusCode, text: impl Into<Bytes>) -> Reply {
+    let mut reply = Response::new(Full::new(text.into()));
     *reply.status_mut() = status;
     reply
 }
 
-/// A header's value without the space around it; `None` too where it is no ASCII text.
+/// A header's value without surrounding space; `None` if it is missing or not ASCII text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim)
 }
--- a/proxy/src/clock.rs
+++ b/proxy/src/clock.rs
@@ -1,36 +1,36 @@
-//! Unix time that never goes back: the system's clock read once, then the monotonic one.
+//! Unix time that never goes back: the system clock is read once, and the monotonic clock from then on.
 
 use lupinledge::time::{Span, Timestamp};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Copies go on from the same reading.
+/// A clock. Copies continue from the same reading of the system clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Duration,
-    at: Instant,
+    unix_at_start: Duration,
+    started_at: Instant,
 }
 
 impl Clock {
-    /// Reads the system's clock, once.
+    /// Reads the system clock once.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix, at: Instant::now() }
+        let unix_at_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_at_start, started_at: Instant::now() }
     }
-    /// A clock that shows so many seconds now.
+    /// A clock that is at `secs` seconds of Unix time now.
     pub fn starting_at(secs: f64) -> Clock {
-        Clock { unix: Duration::from_secs_f64(secs.clamp(0.0, 1e12)), at: Instant::now() }
+        Clock { unix_at_start: Duration::from_secs_f64(secs.clamp(0.0, 1e12)), started_at: Instant::now() }
     }
-    /// Unix time.
+    /// The current Unix time.
     pub fn now(&self) -> Timestamp {
-        Timestamp::from_secs((self.unix + self.at.elapsed()).as_secs_f64())
+        Timestamp::from_secs((self.unix_at_start + self.started_at.elapsed()).as_secs_f64())
     }
-    /// The instant of a point; one that is past is now.
-    pub fn instant(&self, p: Timestamp) -> tokio::time::Instant {
-        tokio::time::Instant::now() + duration(p - self.now())
+    /// The runtime instant of a timestamp; now, if it has passed.
+    pub fn instant(&self, timestamp: Timestamp) -> tokio::time::Instant {
+        tokio::time::Instant::now() + duration(timestamp - self.now())
     }
 }
 
-/// A span as the runtime's duration; a negative one is none.
-pub fn duration(s: Span) -> Duration {
-    Duration::from_secs_f64(s.secs().max(0.0))
+/// A span as the runtime's duration; zero, if it is negative.
+pub fn duration(span: Span) -> Duration {
+    Duration::from_secs_f64(span.secs().max(0.0))
 }
--- a/proxy/src/counters.rs
+++ b/proxy/src/counters.rs
@@ -1,25 +1,25 @@
-//! What was taken in, sent and answered, counted by outcome; printed on SIGUSR1 and at exit.
+//! Counts of requests, dispatches and counter calls by outcome; printed on SIGUSR1 and at exit.
 
 use lupinledge::interface::Outcome;
 use std::cell::{Cell, RefCell};
 use std::fmt;
 
-/// A number that only grows.
+/// A count that only grows.
 #[derive(Default)]
 pub struct Count(Cell<u64>);
 
 impl Count {
-    /// One more.
-    pub fn up(&self) {
+    /// Adds one.
+    pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
-    /// The number so far.
+    /// The count so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// One count by outcome.
+/// One count for each outcome.
 #[derive(Default)]
 pub struct ByOutcome([Count; 8]);
 
@@ -27,9 +27,9 @@
     ["passed", "error", "full", "timed_out", "no_connection", "reset", "cancelled", "not_sent"];
 
 impl ByOutcome {
-    /// One more that ended so.
-    pub fn up(&self, how: Outcome) {
-        let i = match how {
+    /// Adds one to the count of an outcome.
+    pub fn increment(&self, outcome: Outcome) {
+        let index = match outcome {
             Outcome::Passed => 0,
             Outcome::Error => 1,
             Outcome::Full => 2,
@@ -39,42 +39,47 @@
             Outcome::Cancelled => 6,
             Outcome::NotSent => 7,
         };
-        self.0[i].up();
+        self.0[index].increment();
     }
 }
 
-/// All counts of one program, shown as one line of `name=number`.
+/// All counts of one program. `Display` writes them as one line of `name=number` pairs.
 #[derive(Default)]
 pub struct Counters {
-    /// Reqs that the exchange took.
+    /// Requests that the exchange accepted.
     pub taken: Count,
-    /// Reqs refused before that, which the client side counts.
+    /// Requests refused before that; counted by the client side.
     pub malformed: Count,
-    /// Final answers, by kind; a failure that a srv told counts as aborted.
+    /// Final answers with a server's successful response.
     pub passed: Count,
+    /// Final answers to requests that were denied.
     pub denied: Count,
+    /// Final answers to requests that were aborted or got a server's failure response.
     pub aborted: Count,
-    /// Reqs whose client left before the answer.
+    /// Requests whose client left before the answer.
     pub left: Count,
-    /// Dispatches decided on, and how they ended.
+    /// Dispatches that the decision module ordered.
     pub dispatches: Count,
+    /// Dispatches that ended, by outcome.
     pub dispatch: ByOutcome,
-    /// Calls to the counter, and how they ended.
+    /// Calls to the counter.
     pub counter_calls: Count,
+    /// Calls to the counter that ended, by outcome.
     pub counter_call: ByOutcome,
-    /// Connections taken from clients, and tried to srvs.
+    /// Connections accepted from clients.
     pub client_connections: Count,
+    /// Connection attempts to servers.
     pub srv_connections: Count,
-    /// Rounds of the decisions.
+    /// Rounds of the decision module.
     pub rounds: Count,
-    /// Counts that the program adds by name, printed after the others in their order.
-    pub further: RefCell<Vec<(String, u64)>>,
+    /// Named counts that the program adds; printed after the others, in their order.
+    pub extra: RefCell<Vec<(String, u64)>>,
 }
 
 impl Counters {
-    /// Calls `show` with the name and the number of each count, in a fixed order.
-    pub fn each(&self, show: &mut dyn FnMut(&str, u64)) {
-        let reqs = [
+    /// Calls `visit` with the name and the value of each count, in a fixed order.
+    pub fn each(&self, visit: &mut dyn FnMut(&str, u64)) {
+        let totals = [
             ("taken", &self.taken),
             ("malformed", &self.malformed),
             ("passed", &self.passed),
@@ -87,16 +92,16 @@
             ("srv_connections", &self.srv_connections),
             ("rounds", &self.rounds),
         ];
-        for (name, n) in reqs {
-            show(name, n.get());
+        for (name, count) in totals {
+            visit(name, count.get());
         }
-        for (kind, by) in [("dispatch", &self.dispatch), ("counter_call", &self.counter_call)] {
-            for (name, n) in OUTCOMES.iter().zip(&by.0) {
-                show(&format!("{kind}.{name}"), n.get());
+        for (kind, by_outcome) in [("dispatch", &self.dispatch), ("counter_call", &self.counter_call)] {
+            for (name, count) in OUTCOMES.iter().zip(&by_outcome.0) {
+                visit(&format!("{kind}.{name}"), count.get());
             }
         }
-        for (name, n) in self.further.borrow().iter() {
-            show(name, *n);
+        for (name, count) in self.extra.borrow().iter() {
+            visit(name, *count);
         }
     }
 }
@@ -104,8 +109,8 @@
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "counters")?;
-        let mut end = Ok(());
-        self.each(&mut |name, n| end = end.and_then(|()| write!(f, " {name}={n}")));
-        end
+        let mut result = Ok(());
+        self.each(&mut |name, count| result = result.and_then(|()| write!(f, " {name}={count}")));
+        result
     }
 }
--- a/proxy/src/exchange.rs
+++ b/proxy/src/exchange.rs
@@ -287,7 +287,7 @@
         let id = self.last_request_id.get() + 1;
         self.last_request_id.set(id);
         new_request.id = id;
-        self.counters.taken.up();
+        self.counters.taken.increment();
         self.unanswered.set(self.unanswered.get() + 1);
         let (reply_to, receiver) = oneshot::channel();
         let deadline = self.clock.now() + new_request.time_left;
@@ -310,7 +310,7 @@
     fn client_left(&self, id: u64) {
         let unanswered = self.requests.borrow_mut().get_mut(&id).and_then(|r| r.reply_to.take());
         if unanswered.is_some() {
-            self.counters.left.up();
+            self.counters.left.increment();
             self.count_answered();
             self.push_event(Event::Left { id });
             self.maybe_finished.borrow_mut().push(id);
@@ -344,9 +344,9 @@
         let attempts = std::mem::take(&mut request.attempts);
         drop(requests);
         match answer {
-            Answer::Passed(_) => self.counters.passed.up(),
-            Answer::Denied(_) => self.counters.denied.up(),
-            Answer::Failed(_) | Answer::Aborted => self.counters.aborted.up(),
+            Answer::Passed(_) => self.counters.passed.increment(),
+            Answer::Denied(_) => self.counters.denied.increment(),
+            Answer::Failed(_) | Answer::Aborted => self.counters.aborted.increment(),
         }
         let _ = reply_to.send((answer, attempts));
         self.count_answered();
@@ -423,7 +423,7 @@
         let Some(active) = active else { return };
         self.record_attempt(request_id, &active, result.outcome);
         self.servers.borrow_mut().dispatch_ended(active.server);
-        self.counters.dispatch.up(result.outcome);
+        self.counters.dispatch.increment(result.outcome);
         match result.response {
             Some(response) if result.outcome == Outcome::Passed => {
                 self.answer(request_id, Answer::Passed(response))
@@ -467,7 +467,7 @@
     /// Reports the end of a counter call; called by the counter side. With `Passed`, `total` is the new total of the
     /// name, and `level` the remaining quota of the customer if the counter tracks it.
     pub fn counter_call_ended(&self, name: u64, total: f64, level: Option<f64>, outcome: Outcome) {
-        self.counters.counter_call.up(outcome);
+        self.counters.counter_call.increment(outcome);
         self.push_event(Event::Counted { name, total, level, outcome });
     }
 
@@ -535,7 +535,7 @@
     }
 
     fn run_round(&self, now: Timestamp, events: Vec<Event>) {
-        self.counters.rounds.up();
+        self.counters.rounds.increment();
         let mut actions = Vec::new();
         if let Some(observer) = &mut *self.observer.borrow_mut() {
             observer.events(now, &events);
@@ -559,7 +559,7 @@
                 }
                 Action::Cancel { id, nth } => self.cancel(id, nth),
                 Action::Count { name, amount, life } => {
-                    self.counters.counter_calls.up();
+                    self.counters.counter_calls.increment();
                     match &*self.counter_side.borrow() {
                         Some(counter) => counter.add(name, amount, life),
                         None => self.counter_call_ended(name, 0.0, None, Outcome::NoConnection),
@@ -581,7 +581,7 @@
     }
 
     fn dispatch(&self, now: Timestamp, id: u64, server: u32, limit: Span) {
-        self.counters.dispatches.up();
+        self.counters.dispatches.increment();
         let mut requests = self.requests.borrow_mut();
         let Some(open_request) = requests.get_mut(&id) else { return };
         let server_side = self.server_side.borrow().clone();
@@ -627,7 +627,7 @@
         self.record_attempt(id, &active, Outcome::Cancelled);
         (active.cancel)();
         self.servers.borrow_mut().dispatch_ended(active.server);
-        self.counters.dispatch.up(Outcome::Cancelled);
+        self.counters.dispatch.increment(Outcome::Cancelled);
         let closed = self.requests.borrow().get(&id).is_none_or(|r| r.reply_to.is_none());
         let took = self.clock.now() - active.sent_at;
         let ended = Ended { id, nth, outcome: Outcome::Cancelled, took, closed, billed: 0.0 };
--- a/proxy/src/ids.rs
+++ b/proxy/src/ids.rs
@@ -1,43 +1,44 @@
-//! The ids of reqs that came lately, kept as hashes: as many bytes for a long one as for a short.
+//! The ids of recent requests, kept as hashes so that the size does not depend on the length of an id.
 
 use std::collections::hash_map::RandomState;
 use std::collections::HashSet;
 use std::hash::BuildHasher;
 
-/// So many at most are kept beside those of the span before, whatever comes.
+/// The most ids that each of the two sets keeps.
 pub const MAX_IDS: usize = 16 * 1024;
 
-/// Two sets, the older one forgotten as the newer one is full or its span over.
+/// Two sets of ids. When the newer one is full or its span has passed, it becomes the older one, and the former older
+/// one is dropped.
 #[derive(Default)]
 pub struct RecentIds {
     hasher: RandomState,
     sets: [HashSet<u64>; 2],
-    since: f64,
+    newer_since: f64,
 }
 
 impl RecentIds {
-    /// Whether an id is new. It is remembered for one to two spans (seconds, as `now`).
+    /// Adds an id and returns whether it is new. It is remembered for one to two spans; `span` and `now` are in seconds.
     pub fn insert(&mut self, id: &[u8], now: f64, span: f64) -> bool {
-        if now - self.since >= span || self.sets[0].len() >= MAX_IDS {
+        if now - self.newer_since >= span || self.sets[0].len() >= MAX_IDS {
             self.sets.swap(0, 1);
-            // with its room: what one busy spell needed is not kept for good
+            // a new set, so that the memory of a busy period is freed
             self.sets[0] = HashSet::new();
-            self.since = now;
+            self.newer_since = now;
         }
-        let id = self.hasher.hash_one(id);
-        !self.sets[1].contains(&id) && self.sets[0].insert(id)
+        let hash = self.hasher.hash_one(id);
+        !self.sets[1].contains(&hash) && self.sets[0].insert(hash)
     }
 
-    /// How many are kept: twice [`MAX_IDS`] at most.
-    pub fn len(&self) -> usize {
+    /// The number of ids that are kept; at most twice [`MAX_IDS`].
+    pub fn id_count(&self) -> usize {
         self.sets.iter().map(HashSet::len).sum()
     }
 
-    /// An id is new again: what came under it has not run.
+    /// Removes an id, so that it counts as new again; for a request that has not run.
     pub fn remove(&mut self, id: &[u8]) {
-        let id = self.hasher.hash_one(id);
+        let hash = self.hasher.hash_one(id);
         for set in &mut self.sets {
-            set.remove(&id);
+            set.remove(&hash);
         }
     }
 }
--- a/proxy/src/servers.rs
+++ b/proxy/src/servers.rs
@@ -1,14 +1,14 @@
-//! Srvs: one req at a time on a connection, connections kept and used again, the last used first.
+//! The connections to servers: one request at a time on each, and idle ones are reused, the last used first.
 
 use crate::clock::duration;
 use crate::exchange::{
     CancelDispatch, Dispatch, DispatchResult, Exchange, Protocol, ServerSide, WeakExchange,
 };
 use crate::transport::body::{read_body_with_budget, MemoryBudget, Reservation};
-use crate::transport::counted::{at_rest, Counted, Meter, Rest};
+use crate::transport::connect::connect;
 use crate::transport::descriptors::{DescriptorPermit, DescriptorPool};
-use crate::transport::dial::dial;
-use crate::transport::ending::{Ending, Why};
+use crate::transport::end_reason::{EndLog, EndReason};
+use crate::transport::metered::{check_idle, IdleState, MessageMeter, MeteredStream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
@@ -34,228 +34,254 @@
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// What one wire says to srvs and hears from them.
+/// Builds the requests to servers and reads their responses for one protocol.
 pub trait ServerProtocol: Protocol + Sized {
-    /// The req of a dispatch, which has so much time left. Of the headers, `Host` and the body's length are to
-    /// be there; HTTP/1.1 has nothing else to add.
-    fn build_request(&self, d: &Dispatch<Self>, left: Span) -> Request<Full<Bytes>>;
-    /// What an answer says, and whether its connection may be used again.
-    fn read_response(&self, d: &Dispatch<Self>, answer: Response<Bytes>) -> (DispatchResult<Self>, bool);
+    /// The HTTP request of a dispatch that has `left` until its deadline. It must set `Host` and the length of the
+    /// body; no header is added to it.
+    fn build_request(&self, dispatch: &Dispatch<Self>, left: Span) -> Request<Full<Bytes>>;
+    /// The result of a response, and whether its connection may be reused.
+    fn read_response(
+        &self,
+        dispatch: &Dispatch<Self>,
+        response: Response<Bytes>,
+    ) -> (DispatchResult<Self>, bool);
 }
 
-/// What bounds the connections to srvs.
+/// The limits on connections to servers.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// For a connection to come up.
+    /// How long a connection attempt may take.
     pub connect_timeout: Duration,
-    /// The longest that a srv may be taken to keep an idle connection, less what the network may take: what
-    /// crosses its closing may have run. It is closed here after seven eighths of that.
+    /// The time for which servers are assumed to keep an idle connection open, less the network delay: a request that
+    /// is sent while the server closes the connection may have run. Idle connections are closed here after seven eighths
+    /// of it.
     pub max_idle: Duration,
-    /// Whether the `Keep-Alive: timeout` of an answer, in whole seconds, less `connect_wait`, bounds it further.
+    /// Whether the `Keep-Alive: timeout` of a response, in whole seconds, less `connect_timeout`, can lower `max_idle`.
     pub honor_keep_alive: bool,
-    /// A connection is used again after so long a rest: what belongs to no answer comes right behind one, and
-    /// then shows before a req is written.
+    /// How long a connection must be idle before it is reused. Stray bytes arrive right after a response, and are
+    /// detected in this time, before another request is written.
     pub min_idle_before_reuse: Duration,
-    /// An answer that has begun is there whole within so long, or its srv has lost the thread.
+    /// How long a response may take from its first byte to its last. A server that takes longer is considered stuck, and the
+    /// dispatch fails.
     pub response_timeout: Duration,
-    /// The longest body of an answer, in bytes.
+    /// The largest response body, in bytes.
     pub max_body_bytes: usize,
-    /// Bytes for heads, those told ahead included, and for the framing of chunks; 8 KiB at the least.
+    /// The largest size of heads, including those of informational responses, and of chunk framing, in bytes; at least
+    /// 8 KiB.
     pub max_head_bytes: usize,
-    /// See `dial`.
+    /// See [`connect`].
     pub tcp_user_timeout: Option<Duration>,
 }
 
-/// An open connection. Dropped, it is closed.
-struct Link {
+/// An open connection, closed when dropped.
+struct Connection {
     send: SendRequest<Full<Bytes>>,
     stream: Rc<TcpStream>,
-    meter: Rc<Meter>,
-    ending: Rc<Ending>,
+    meter: Rc<MessageMeter>,
+    end_log: Rc<EndLog>,
     task: AbortHandle,
-    used: Instant,
-    /// For how long it may be idle by its srv's last answer.
-    idle_most: Option<Duration>,
+    last_used: Instant,
+    /// How long it may be idle according to the server's last response.
+    max_idle_by_server: Option<Duration>,
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         if !self.send.is_closed() {
-            self.ending.because(Why::Cancelled);
+            self.end_log.set_reason(EndReason::Cancelled);
         }
         self.task.abort();
     }
 }
 
-/// All connections to srvs; the exchange's server side.
-pub struct ServerConnections<W: ServerProtocol> {
-    exchange: WeakExchange<W>,
-    wire: W,
-    places: Rc<DescriptorPool>,
-    bounds: Cell<ServerLimits>,
-    /// What the answers that are held may have in sum.
+/// All connections to servers; the exchange's server side.
+pub struct ServerConnections<P: ServerProtocol> {
+    exchange: WeakExchange<P>,
+    protocol: P,
+    descriptors: Rc<DescriptorPool>,
+    limits: Cell<ServerLimits>,
+    /// The budget for the bodies of responses, if there is one.
     memory: RefCell<Option<Arc<MemoryBudget>>>,
-    /// Those that wait for a req, by srv: a new srv at an old address has none of its predecessor's.
-    idle: RefCell<HashMap<u32, Vec<Link>>>,
-    me: Weak<ServerConnections<W>>,
+    /// Idle connections by server index, so that a new server does not get those of its predecessor at the same address.
+    idle: RefCell<HashMap<u32, Vec<Connection>>>,
+    weak_self: Weak<ServerConnections<P>>,
 }
 
-impl<W: ServerProtocol> ServerConnections<W> {
-    /// With no connection yet; each one takes one of `places`.
+impl<P: ServerProtocol> ServerConnections<P> {
+    /// Creates it without connections; each one holds a permit of `descriptors`.
     pub fn new(
-        exchange: &Rc<Exchange<W>>,
-        wire: W,
-        bounds: ServerLimits,
-        places: Rc<DescriptorPool>,
-    ) -> Rc<ServerConnections<W>> {
-        let srvs = Rc::new_cyclic(|me| ServerConnections {
+        exchange: &Rc<Exchange<P>>,
+        protocol: P,
+        limits: ServerLimits,
+        descriptors: Rc<DescriptorPool>,
+    ) -> Rc<ServerConnections<P>> {
+        let servers = Rc::new_cyclic(|weak_self| ServerConnections {
             exchange: Rc::downgrade(exchange),
-            wire,
-            places,
-            bounds: Cell::new(bounds),
+            protocol,
+            descriptors,
+            limits: Cell::new(limits),
             memory: RefCell::default(),
             idle: RefCell::default(),
-            me: me.clone(),
+            weak_self: weak_self.clone(),
         });
-        tokio::task::spawn_local(srvs.clone().sweep());
-        srvs
+        tokio::task::spawn_local(servers.clone().sweep());
+        servers
     }
 
-    /// Other bounds hold from here on; the largest heads, and what is asked of the machine, for new connections.
-    pub fn set_limits(&self, bounds: ServerLimits) {
-        self.bounds.set(bounds);
+    /// Sets other limits. `max_head_bytes` and `tcp_user_timeout` apply to new connections only.
+    pub fn set_limits(&self, limits: ServerLimits) {
+        self.limits.set(limits);
     }
 
-    /// From here on answers wait for room in this memory before they are read, and hold it until they are written.
+    /// From now on the body of each response waits for room in this budget before it is read, and holds it until it is
+    /// written to the client.
     pub fn set_memory_budget(&self, memory: Arc<MemoryBudget>) {
         *self.memory.borrow_mut() = Some(memory);
     }
 
-    /// Reads the body of an answer; `waits` is set while it waits for room in the memory.
-    async fn body(&self, body: Incoming, waits: &Cell<bool>) -> Result<Bytes, ()> {
-        let (largest, memory) = (self.bounds.get().max_body_bytes, self.memory.borrow().clone());
-        let told = body.size_hint().exact().map(|bytes| bytes as usize);
-        waits.set(true);
-        let mut taken: Option<Reservation> = match (&memory, told) {
+    /// Reads the body of a response; `waiting_for_memory` is set while it waits for room in the budget.
+    async fn read_body(&self, body: Incoming, waiting_for_memory: &Cell<bool>) -> Result<Bytes, ()> {
+        let (max_bytes, memory) = (self.limits.get().max_body_bytes, self.memory.borrow().clone());
+        let announced = body.size_hint().exact().map(|bytes| bytes as usize);
+        waiting_for_memory.set(true);
+        let mut reservation: Option<Reservation> = match (&memory, announced) {
             (Some(memory), Some(bytes)) => Some(memory.reserve(bytes).await),
             (Some(memory), None) => Some(memory.reserve_nothing()),
             (None, _) => None,
         };
-        waits.set(false);
-        // one that tells no length takes room as it comes
-        let grows = |bytes: usize| told.is_some() || taken.as_mut().is_none_or(|taken| taken.try_grow(bytes));
-        let body = read_body_with_budget(body, largest, grows).await.map_err(|_| ())?;
-        Ok(match taken {
-            Some(taken) => taken.attach_to(body),
+        waiting_for_memory.set(false);
+        // without an announced length the memory is reserved piece by piece
+        let reserve = |bytes: usize| {
+            announced.is_some() || reservation.as_mut().is_none_or(|reservation| reservation.try_grow(bytes))
+        };
+        let body = read_body_with_budget(body, max_bytes, reserve).await.map_err(|_| ())?;
+        Ok(match reservation {
+            Some(reservation) => reservation.attach_to(body),
             None => body,
         })
     }
 
-    /// Closes connections that have been idle for as long as they may.
+    /// Closes connections that have been idle for too long.
     async fn sweep(self: Rc<Self>) {
         loop {
-            tokio::time::sleep((self.bounds.get().max_idle / 8).max(Duration::from_millis(50))).await;
+            tokio::time::sleep((self.limits.get().max_idle / 8).max(Duration::from_millis(50))).await;
             let now = Instant::now();
-            self.idle.borrow_mut().retain(|_, links| {
-                links.retain(|l| !l.send.is_closed() && !self.spent(l, now));
-                !links.is_empty()
+            self.idle.borrow_mut().retain(|_, connections| {
+                connections.retain(|c| !c.send.is_closed() && !self.expired(c, now));
+                !connections.is_empty()
             });
         }
     }
 
-    fn spent(&self, l: &Link, now: Instant) -> bool {
-        let most = self.bounds.get().max_idle;
-        let most = l.idle_most.map_or(most, |by_srv| most.min(by_srv));
-        let spent = now.duration_since(l.used) >= most * 7 / 8;
-        if spent {
-            l.ending.because(Why::Idle);
+    /// Whether a connection has been idle for too long to be reused.
+    fn expired(&self, connection: &Connection, now: Instant) -> bool {
+        let max_idle = self.limits.get().max_idle;
+        let max_idle = connection.max_idle_by_server.map_or(max_idle, |by_server| max_idle.min(by_server));
+        let expired = now.duration_since(connection.last_used) >= max_idle * 7 / 8;
+        if expired {
+            connection.end_log.set_reason(EndReason::Idle);
         }
-        spent
+        expired
     }
 
-    fn idle_link(&self, srv: u32, rest: Duration) -> Option<Link> {
+    /// Takes the last used connection that can be reused.
+    fn take_idle(&self, server: u32, min_idle: Duration) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&srv)?;
+        let connections = idle.get_mut(&server)?;
         let now = Instant::now();
         loop {
-            let l = links.remove(links.iter().rposition(|l| now.duration_since(l.used) >= rest)?);
-            if l.send.is_closed() || self.spent(&l, now) {
+            let connection = connections
+                .remove(connections.iter().rposition(|c| now.duration_since(c.last_used) >= min_idle)?);
+            if connection.send.is_closed() || self.expired(&connection, now) {
                 continue;
             }
-            match at_rest(&l.stream) {
-                Rest::Quiet => return Some(l),
-                Rest::Over => l.ending.because(Why::PeerClosed),
-                Rest::Stray => l.ending.because(Why::Stray),
+            match check_idle(&connection.stream) {
+                IdleState::Clean => return Some(connection),
+                IdleState::Closed => connection.end_log.set_reason(EndReason::PeerClosed),
+                IdleState::StrayBytes => connection.end_log.set_reason(EndReason::Stray),
             }
         }
     }
 
-    /// With no place free, the connection that has been idle longest makes one.
-    fn place(&self) -> Option<DescriptorPermit> {
-        self.places.try_acquire().or_else(|| {
+    /// Takes a descriptor permit. If none is free, the connection that has been idle longest is closed, and its permit
+    /// becomes free with the next turn of its task.
+    fn acquire(&self) -> Option<DescriptorPermit> {
+        self.descriptors.try_acquire().or_else(|| {
             let mut idle = self.idle.borrow_mut();
-            let oldest = idle.iter().filter_map(|(a, l)| l.first().map(|l| (l.used, *a))).min()?.1;
-            idle.get_mut(&oldest)?.remove(0).ending.because(Why::Crowded);
+            let longest_idle = idle
+                .iter()
+                .filter_map(|(server, connections)| connections.first().map(|c| (c.last_used, *server)))
+                .min()?
+                .1;
+            idle.get_mut(&longest_idle)?.remove(0).end_log.set_reason(EndReason::Crowded);
             None
         })
     }
 
-    async fn open(&self, addr: SocketAddr) -> Option<Link> {
-        let place = match self.place() {
-            Some(place) => place,
+    /// Opens a connection; `None` if it fails or no descriptor is free.
+    async fn open_connection(&self, addr: SocketAddr) -> Option<Connection> {
+        let permit = match self.acquire() {
+            Some(permit) => permit,
             None => {
-                tokio::task::yield_now().await; // the closed one's task gives its place back
-                self.places.try_acquire()?
+                tokio::task::yield_now().await; // the task of the closed connection returns its permit
+                self.descriptors.try_acquire()?
             }
         };
-        let bounds = self.bounds.get();
-        let ending = Ending::of("srv", addr);
+        let limits = self.limits.get();
+        let end_log = EndLog::new("srv", addr);
         if let Some(exchange) = self.exchange.upgrade() {
-            exchange.counters.srv_connections.up();
+            exchange.counters.srv_connections.increment();
         }
-        let stream = match dial(addr, bounds.connect_timeout, bounds.tcp_user_timeout).await {
+        let stream = match connect(addr, limits.connect_timeout, limits.tcp_user_timeout).await {
             Ok(stream) => stream,
             Err(e) => {
-                ending.because(Why::of_dial(&e));
+                end_log.set_reason(EndReason::from_connect_error(&e));
                 return None;
             }
         };
         let stream = Rc::new(stream);
-        let (counted, meter) = Counted::new(stream.clone());
-        let http = http1::Builder::new().max_buf_size(bounds.max_head_bytes).handshake(TokioIo::new(counted));
-        let (send, conn) = http.await.ok()?;
-        let noted = ending.clone();
+        let (metered, meter) = MeteredStream::new(stream.clone());
+        let handshake =
+            http1::Builder::new().max_buf_size(limits.max_head_bytes).handshake(TokioIo::new(metered));
+        let (send, http) = handshake.await.ok()?;
+        let task_log = end_log.clone();
         let task = tokio::task::spawn_local(async move {
-            let end = conn.await;
-            noted.because(Why::of_http(&end));
-            drop((place, noted));
+            let result = http.await;
+            task_log.set_reason(EndReason::from_http_result(&result));
+            drop((permit, task_log));
         });
-        let (task, used) = (task.abort_handle(), Instant::now());
-        Some(Link { send, stream, meter, ending, task, used, idle_most: None })
+        let (task, last_used) = (task.abort_handle(), Instant::now());
+        Some(Connection { send, stream, meter, end_log, task, last_used, max_idle_by_server: None })
     }
 
-    fn keep(&self, srv: u32, mut l: Link) {
-        if !l.send.is_closed() && self.exchange.upgrade().is_some_and(|x| x.lists_server(srv)) {
-            l.used = Instant::now();
-            self.idle.borrow_mut().entry(srv).or_default().push(l);
+    /// Keeps a connection for reuse.
+    fn keep(&self, server: u32, mut connection: Connection) {
+        if !connection.send.is_closed()
+            && self.exchange.upgrade().is_some_and(|exchange| exchange.lists_server(server))
+        {
+            connection.last_used = Instant::now();
+            self.idle.borrow_mut().entry(server).or_default().push(connection);
         }
     }
 
-    /// One dispatch, over connections until one takes its first byte.
-    async fn call(self: Rc<Self>, d: Dispatch<W>) -> DispatchResult<W> {
+    /// Sends one dispatch. It goes on to another connection as long as no byte of it was written.
+    async fn call(self: Rc<Self>, dispatch: Dispatch<P>) -> DispatchResult<P> {
         loop {
-            let bounds = self.bounds.get();
-            // the last used of those that have rested; one that has not, only where there is no place for more
-            let rest = if self.places.has_free() { bounds.min_idle_before_reuse } else { Duration::ZERO };
-            let reused = self.idle_link(d.server, rest);
-            let fresh = reused.is_none();
+            let limits = self.limits.get();
+            // without a free descriptor a connection is reused even before `min_idle_before_reuse`
+            let min_idle =
+                if self.descriptors.has_free() { limits.min_idle_before_reuse } else { Duration::ZERO };
+            let reused = self.take_idle(dispatch.server, min_idle);
+            let newly_opened = reused.is_none();
             let opened = match reused {
-                Some(l) => Some(l),
-                None => self.open(d.addr).await,
+                Some(connection) => Some(connection),
+                None => self.open_connection(dispatch.addr).await,
+            };
+            let Some(mut connection) = opened else {
+                return DispatchResult::without_response(Outcome::NoConnection);
             };
-            let Some(mut l) = opened else { return DispatchResult::without_response(Outcome::NoConnection) };
-            if l.send.ready().await.is_err() {
-                if fresh {
+            if connection.send.ready().await.is_err() {
+                if newly_opened {
                     return DispatchResult::without_response(Outcome::NoConnection);
                 }
                 continue;
@@ -263,61 +289,64 @@
             let Some(exchange) = self.exchange.upgrade() else {
                 return DispatchResult::without_response(Outcome::NotSent);
             };
-            if !exchange.may_begin(&d) {
-                self.keep(d.server, l);
+            if !exchange.may_begin(&dispatch) {
+                self.keep(dispatch.server, connection);
                 return DispatchResult::without_response(Outcome::NotSent);
             }
-            let left = d.deadline - exchange.clock.now();
-            let message = self.wire.build_request(&d, left);
-            let body = message.body().size_hint().exact().unwrap_or_default() as usize;
-            l.meter.begin(body, bounds.max_body_bytes + bounds.max_head_bytes);
-            let (meter, waits) = (l.meter.clone(), Cell::new(false));
-            let answer = tokio::time::timeout(duration(left), async {
-                let answer = async {
-                    let answer = l.send.send_request(message).await.map_err(|_| ())?;
-                    let (head, body) = answer.into_parts();
-                    // what ends with its connection can't be told from what broke off
-                    if !bounded(&head.headers, &body, bounds.max_body_bytes) {
+            let left = dispatch.deadline - exchange.clock.now();
+            let request = self.protocol.build_request(&dispatch, left);
+            let body_bytes = request.body().size_hint().exact().unwrap_or_default() as usize;
+            connection.meter.begin(body_bytes, limits.max_body_bytes + limits.max_head_bytes);
+            let (meter, waiting_for_memory) = (connection.meter.clone(), Cell::new(false));
+            let response = tokio::time::timeout(duration(left), async {
+                let response = async {
+                    let response = connection.send.send_request(request).await.map_err(|_| ())?;
+                    let (head, body) = response.into_parts();
+                    // a response that ends with its connection can't be told from one that broke off
+                    if !has_valid_length(&head.headers, &body, limits.max_body_bytes) {
                         return Err(());
                     }
-                    let body = self.body(body, &waits).await?;
+                    let body = self.read_body(body, &waiting_for_memory).await?;
                     Ok::<_, ()>(Response::from_parts(head, body))
                 };
                 let stalled = async {
-                    meter.answering().await;
-                    tokio::time::sleep(bounds.response_timeout).await;
-                    while waits.get() {
-                        tokio::time::sleep(bounds.response_timeout).await;
+                    meter.wait_response_begun().await;
+                    tokio::time::sleep(limits.response_timeout).await;
+                    while waiting_for_memory.get() {
+                        tokio::time::sleep(limits.response_timeout).await;
                     }
                 };
                 tokio::select! {
                     biased;
-                    answer = answer => answer,
+                    response = response => response,
                     _ = stalled => Err(()),
                 }
             });
-            return match answer.await {
-                Ok(Ok(answer)) => {
-                    l.idle_most = keep_alive(answer.headers())
-                        .filter(|_| bounds.honor_keep_alive)
-                        .map(|kept| kept.saturating_sub(bounds.connect_timeout));
-                    let (back, again) = self.wire.read_response(&d, answer);
-                    // behind an answer that came early the rest of the body is still due on the connection
-                    if again && meter.whole() {
-                        self.keep(d.server, l);
+            return match response.await {
+                Ok(Ok(response)) => {
+                    connection.max_idle_by_server = keep_alive(response.headers())
+                        .filter(|_| limits.honor_keep_alive)
+                        .map(|timeout| timeout.saturating_sub(limits.connect_timeout));
+                    let (result, reusable) = self.protocol.read_response(&dispatch, response);
+                    // after an early response the rest of the request body would still have to be sent
+                    if reusable && meter.fully_written() {
+                        self.keep(dispatch.server, connection);
                     } else {
-                        l.ending.because(Why::ClosedHere);
+                        connection.end_log.set_reason(EndReason::ClosedHere);
                     }
-                    back
+                    result
+                }
+                // it was idle, and the server has closed it
+                Ok(Err(())) if !connection.meter.started() && !newly_opened => continue,
+                Ok(Err(())) if !connection.meter.may_have_run() => {
+                    DispatchResult::without_response(Outcome::NoConnection)
                 }
-                Ok(Err(())) if !l.meter.started() && !fresh => continue, // idle, and closed by the srv
-                Ok(Err(())) if !l.meter.may_run() => DispatchResult::without_response(Outcome::NoConnection),
                 Ok(Err(())) => DispatchResult::without_response(Outcome::Reset),
-                // the srv is not to blame for the room that lacks here
-                Err(_) if waits.get() => DispatchResult::without_response(Outcome::Cancelled),
+                // the memory that is missing here is no failure of the server
+                Err(_) if waiting_for_memory.get() => DispatchResult::without_response(Outcome::Cancelled),
                 Err(_) => {
-                    l.ending.because(Why::TimedOut);
-                    DispatchResult::without_response(if l.meter.may_run() {
+                    connection.end_log.set_reason(EndReason::TimedOut);
+                    DispatchResult::without_response(if connection.meter.may_have_run() {
                         Outcome::TimedOut
                     } else {
                         Outcome::NoConnection
@@ -328,52 +357,52 @@
     }
 }
 
-/// Whether an answer tells where it ends, in one way, and is not too long.
-fn bounded(headers: &HeaderMap, body: &Incoming, largest: usize) -> bool {
-    let coding = headers.get(TRANSFER_ENCODING);
-    match (coding, headers.contains_key(CONTENT_LENGTH)) {
-        (None, true) => body.size_hint().exact().is_some_and(|n| n <= largest as u64),
-        (Some(c), false) => c.as_bytes().eq_ignore_ascii_case(b"chunked"),
+/// Whether a response states its end in exactly one way and is not too long.
+fn has_valid_length(headers: &HeaderMap, body: &Incoming, max_bytes: usize) -> bool {
+    let transfer_encoding = headers.get(TRANSFER_ENCODING);
+    match (transfer_encoding, headers.contains_key(CONTENT_LENGTH)) {
+        (None, true) => body.size_hint().exact().is_some_and(|n| n <= max_bytes as u64),
+        (Some(coding), false) => coding.as_bytes().eq_ignore_ascii_case(b"chunked"),
         _ => false,
     }
 }
 
-/// How long an answer says that its connection is kept.
+/// How long the server keeps the connection open, according to its response.
 fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
-    let told = headers.get(KEEP_ALIVE)?.to_str().ok()?;
-    let secs = told.split(',').find_map(|p| p.trim().strip_prefix("timeout")?.trim().strip_prefix('='));
+    let announced = headers.get(KEEP_ALIVE)?.to_str().ok()?;
+    let secs = announced.split(',').find_map(|p| p.trim().strip_prefix("timeout")?.trim().strip_prefix('='));
     Some(Duration::from_secs(secs?.trim().parse().ok()?))
 }
 
-impl<W: ServerProtocol> Service<Dispatch<W>> for Rc<ServerConnections<W>> {
-    type Response = DispatchResult<W>;
+impl<P: ServerProtocol> Service<Dispatch<P>> for Rc<ServerConnections<P>> {
+    type Response = DispatchResult<P>;
     type Error = std::convert::Infallible;
-    type Future = Pin<Box<dyn Future<Output = Result<DispatchResult<W>, Self::Error>>>>;
+    type Future = Pin<Box<dyn Future<Output = Result<DispatchResult<P>, Self::Error>>>>;
 
     fn poll_ready(&mut self, _: &mut Context) -> Poll<Result<(), Self::Error>> {
         Poll::Ready(Ok(()))
     }
-    fn call(&mut self, d: Dispatch<W>) -> Self::Future {
-        let call = ServerConnections::call(self.clone(), d);
+    fn call(&mut self, dispatch: Dispatch<P>) -> Self::Future {
+        let call = ServerConnections::call(self.clone(), dispatch);
         Box::pin(async move { Ok(call.await) })
     }
 }
 
-impl<W: ServerProtocol> ServerSide<W> for ServerConnections<W> {
-    fn send(&self, d: Dispatch<W>) -> CancelDispatch {
-        let (Some(me), Some(exchange)) = (self.me.upgrade(), self.exchange.upgrade()) else {
+impl<P: ServerProtocol> ServerSide<P> for ServerConnections<P> {
+    fn send(&self, dispatch: Dispatch<P>) -> CancelDispatch {
+        let (Some(servers), Some(exchange)) = (self.weak_self.upgrade(), self.exchange.upgrade()) else {
             return Box::new(|| {});
         };
-        let (req, nth) = (d.request_id, d.attempt);
+        let (request_id, attempt) = (dispatch.request_id, dispatch.attempt);
         let task = tokio::task::spawn_local(async move {
-            let Ok(back) = me.oneshot(d).await;
-            exchange.dispatch_ended(req, nth, back);
+            let Ok(result) = servers.oneshot(dispatch).await;
+            exchange.dispatch_ended(request_id, attempt, result);
         });
         Box::new(move || task.abort())
     }
-    fn close_idle(&self, srv: u32) {
-        for l in self.idle.borrow_mut().remove(&srv).into_iter().flatten() {
-            l.ending.because(Why::ClosedHere);
+    fn close_idle(&self, server: u32) {
+        for connection in self.idle.borrow_mut().remove(&server).into_iter().flatten() {
+            connection.end_log.set_reason(EndReason::ClosedHere);
         }
     }
 }
--- a/proxy/src/transport/body.rs
+++ b/proxy/src/transport/body.rs
@@ -1,4 +1,4 @@
-//! Bodies as they are read, and the memory that they may hold in sum.
+//! Reads message bodies, and limits the memory that they use in total.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -7,33 +7,34 @@
 use std::sync::Arc;
 use tokio::sync::Notify;
 
-/// Why a body was not read.
+/// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It has more bytes than it may.
+    /// It is longer than the limit.
     TooLong,
-    /// Its framing is wrong, or who sends it has left.
+    /// Its framing is invalid, or the sender closed the connection.
     Broken,
-    /// There is no room for it now.
+    /// The memory budget has no room for it now.
     NoMemory,
 }
 
-/// Reads a body of `largest` bytes at most. One that tells ahead that it is longer is not read at all.
-pub async fn read_body(body: Incoming, largest: usize) -> Result<Bytes, BodyError> {
-    read_body_with_budget(body, largest, |_| true).await
+/// Reads a body of at most `max_bytes`. Nothing is read of a body that announces a greater length.
+pub async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, BodyError> {
+    read_body_with_budget(body, max_bytes, |_| true).await
 }
 
-/// The same; `room` is told the bytes of each piece as it comes, and says whether there is room for it.
+/// Like [`read_body`]; `reserve` is called with the length of each received piece, and returns whether there is memory
+/// for it.
 pub async fn read_body_with_budget(
     body: Incoming,
-    largest: usize,
-    mut room: impl FnMut(usize) -> bool,
+    max_bytes: usize,
+    mut reserve: impl FnMut(usize) -> bool,
 ) -> Result<Bytes, BodyError> {
-    if body.size_hint().lower() > largest as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(BodyError::TooLong);
     }
-    let told = body.size_hint().exact().unwrap_or(0) as usize;
-    let (mut body, mut read) = (Limited::new(body, largest), BytesMut::with_capacity(told));
+    let announced = body.size_hint().exact().unwrap_or(0) as usize;
+    let (mut body, mut read) = (Limited::new(body, max_bytes), BytesMut::with_capacity(announced));
     while let Some(frame) = body.frame().await {
         let frame = match frame {
             Ok(frame) => frame,
@@ -41,7 +42,7 @@
             Err(_) => return Err(BodyError::Broken),
         };
         let Ok(piece) = frame.into_data() else { continue };
-        if !room(piece.len()) {
+        if !reserve(piece.len()) {
             return Err(BodyError::NoMemory);
         }
         read.extend_from_slice(&piece);
@@ -49,79 +50,79 @@
     Ok(read.freeze())
 }
 
-/// Memory for bodies, taken and given back.
+/// A budget of memory for bodies.
 pub struct MemoryBudget {
-    all: usize,
-    left: AtomicUsize,
+    total: usize,
+    free: AtomicUsize,
     freed: Notify,
 }
 
 impl MemoryBudget {
-    /// So many bytes.
+    /// Creates a budget of `bytes`.
     pub fn new(bytes: usize) -> Arc<MemoryBudget> {
-        Arc::new(MemoryBudget { all: bytes, left: AtomicUsize::new(bytes), freed: Notify::new() })
+        Arc::new(MemoryBudget { total: bytes, free: AtomicUsize::new(bytes), freed: Notify::new() })
     }
 
-    /// Nothing yet; see [`Reservation::try_grow`].
+    /// An empty reservation, to be extended by [`Reservation::try_grow`].
     pub fn reserve_nothing(self: &Arc<MemoryBudget>) -> Reservation {
         Reservation { memory: self.clone(), bytes: 0 }
     }
 
-    /// Takes so many bytes, if they are left.
+    /// Reserves `bytes` if they are free.
     pub fn try_reserve(self: &Arc<MemoryBudget>, bytes: usize) -> Option<Reservation> {
-        let mut taken = self.reserve_nothing();
-        taken.try_grow(bytes).then_some(taken)
+        let mut reservation = self.reserve_nothing();
+        reservation.try_grow(bytes).then_some(reservation)
     }
 
-    /// Takes so many bytes, or all there are if that is less, once they are left.
+    /// Waits until `bytes`, or the whole budget if it is smaller, are free, and reserves them.
     pub async fn reserve(self: &Arc<MemoryBudget>, bytes: usize) -> Reservation {
         loop {
             let freed = self.freed.notified();
-            if let Some(taken) = self.try_reserve(bytes.min(self.all)) {
-                return taken;
+            if let Some(reservation) = self.try_reserve(bytes.min(self.total)) {
+                return reservation;
             }
             freed.await;
         }
     }
 }
 
-/// What was taken; given back when dropped.
+/// Reserved memory; returned to the budget when dropped.
 pub struct Reservation {
     memory: Arc<MemoryBudget>,
     bytes: usize,
 }
 
 impl Reservation {
-    /// Takes so many bytes more, if they are left.
+    /// Reserves `bytes` more if they are free.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
-        let less = |left: usize| left.checked_sub(bytes);
-        let enough = self.memory.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, less).is_ok();
+        let subtract = |free: usize| free.checked_sub(bytes);
+        let enough = self.memory.free.fetch_update(Ordering::Relaxed, Ordering::Relaxed, subtract).is_ok();
         self.bytes += if enough { bytes } else { 0 };
         enough
     }
 
-    /// The same body, which gives the memory back once it is dropped.
+    /// Ties the reservation to a body: the memory is returned once the body is dropped.
     pub fn attach_to(self, body: Bytes) -> Bytes {
-        Bytes::from_owner(Held { body, _taken: self })
+        Bytes::from_owner(ReservedBody { body, _reservation: self })
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        // who waits is not to be woken by its own vain try
+        // a waiting task must not be woken by its own failed attempt
         if self.bytes > 0 {
-            self.memory.left.fetch_add(self.bytes, Ordering::Relaxed);
+            self.memory.free.fetch_add(self.bytes, Ordering::Relaxed);
             self.memory.freed.notify_waiters();
         }
     }
 }
 
-struct Held {
+struct ReservedBody {
     body: Bytes,
-    _taken: Reservation,
+    _reservation: Reservation,
 }
 
-impl AsRef<[u8]> for Held {
+impl AsRef<[u8]> for ReservedBody {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
--- a/proxy/src/transport/descriptors.rs
+++ b/proxy/src/transport/descriptors.rs
@@ -1,38 +1,38 @@
-//! The descriptors that the process may hold, divided by use. Each connection holds a place until it is
-//! closed, so that the limit is met by a count here and not by a failing call.
+//! Limits on the file descriptors of the process, divided by use. Each connection holds a permit until it is closed,
+//! so that the limit is enforced by counting here and not by a failing system call.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The places of one use.
+/// The descriptors for one use.
 #[derive(Debug)]
 pub struct DescriptorPool {
     free: Cell<usize>,
-    all: usize,
+    total: usize,
 }
 
-/// One place, given back when dropped.
+/// Permission to hold one descriptor; returned to the pool when dropped.
 #[derive(Debug)]
 pub struct DescriptorPermit(Rc<DescriptorPool>);
 
 impl DescriptorPool {
-    /// With `all` places, all free.
-    pub fn new(all: usize) -> Rc<DescriptorPool> {
-        Rc::new(DescriptorPool { free: Cell::new(all), all })
+    /// Creates a pool of `total` descriptors, all free.
+    pub fn new(total: usize) -> Rc<DescriptorPool> {
+        Rc::new(DescriptorPool { free: Cell::new(total), total })
     }
-    /// A place, if one is free.
+    /// Takes a permit if a descriptor is free.
     pub fn try_acquire(self: &Rc<DescriptorPool>) -> Option<DescriptorPermit> {
-        let left = self.free.get().checked_sub(1)?;
-        self.free.set(left);
+        let free = self.free.get().checked_sub(1)?;
+        self.free.set(free);
         Some(DescriptorPermit(self.clone()))
     }
-    /// Whether one is free.
+    /// Whether a descriptor is free.
     pub fn has_free(&self) -> bool {
         self.free.get() > 0
     }
-    /// Few places are left: what is idle should go.
+    /// Whether few descriptors are left, so that idle connections should be closed.
     pub fn is_low(&self) -> bool {
-        self.free.get() * 16 < self.all
+        self.free.get() * 16 < self.total
     }
 }
 
--- a/proxy/src/transport/listener.rs
+++ b/proxy/src/transport/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket: each connection accepted takes a place among the descriptors first.
+//! The listening socket. A descriptor permit is acquired before each connection is accepted.
 
 use super::descriptors::{DescriptorPermit, DescriptorPool};
 use std::future::poll_fn;
@@ -8,59 +8,61 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// A listening socket with the places of its connections.
+/// A listening socket, and the descriptors for its connections.
 pub struct Listener {
     listener: TcpListener,
-    places: Rc<DescriptorPool>,
+    descriptors: Rc<DescriptorPool>,
 }
 
 impl Listener {
-    /// Binds; a port that a killed predecessor's connections still use is taken over.
-    pub fn bind(addr: SocketAddr, places: Rc<DescriptorPool>) -> std::io::Result<Listener> {
+    /// Binds to an address, also if connections of a killed predecessor still use the port.
+    pub fn bind(addr: SocketAddr, descriptors: Rc<DescriptorPool>) -> std::io::Result<Listener> {
         let socket = if addr.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
         socket.bind(addr)?;
-        Ok(Listener { listener: socket.listen(4096)?, places })
+        Ok(Listener { listener: socket.listen(4096)?, descriptors })
     }
-    /// Where it listens, with the port that the machine chose for port 0.
+    /// The address it listens on, with the port that the kernel chose for port 0.
     pub fn local_addr(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
-    /// The next connection. With no place free, `room` is asked to make some until there is one; the
-    /// connection waits in the machine's queue meanwhile.
-    pub async fn accept(&self, room: impl Fn()) -> (TcpStream, SocketAddr, DescriptorPermit) {
+    /// Accepts the next connection. While no descriptor is free, `free_descriptors` is called until there is one,
+    /// and the connection waits in the kernel's accept queue.
+    pub async fn accept(&self, free_descriptors: impl Fn()) -> (TcpStream, SocketAddr, DescriptorPermit) {
         loop {
-            // looked at often: a connection that waits here has a req whose time runs
-            let Some(place) = self.places.try_acquire() else {
-                room();
+            // checked often: the connection that waits may have a request with a deadline
+            let Some(permit) = self.descriptors.try_acquire() else {
+                free_descriptors();
                 tokio::time::sleep(Duration::from_millis(2)).await;
                 continue;
             };
             match self.listener.accept().await {
-                Ok((stream, peer)) if stream.set_nodelay(true).is_ok() => return (stream, peer, place),
+                Ok((stream, peer)) if stream.set_nodelay(true).is_ok() => return (stream, peer, permit),
                 Ok(_) => {}
                 Err(e) => {
-                    // out of descriptors all the same, or a connection reset while it waited
+                    // out of descriptors in spite of the permits, or the connection was reset while it waited
                     log::warn!("accept: {e}");
-                    room();
+                    free_descriptors();
                     tokio::time::sleep(Duration::from_millis(2)).await;
                 }
             }
         }
     }
-    /// A connection that stands in the machine's queue; `None` once there is none.
+    /// Accepts a connection from the kernel's accept queue; `None` once the queue is empty.
     pub async fn accept_queued(&self) -> Option<(TcpStream, SocketAddr, DescriptorPermit)> {
         loop {
-            let Some(place) = self.places.try_acquire() else {
+            let Some(permit) = self.descriptors.try_acquire() else {
                 tokio::time::sleep(Duration::from_millis(2)).await;
                 continue;
             };
-            let next = poll_fn(|cx| match self.listener.poll_accept(cx) {
-                Poll::Ready(next) => Poll::Ready(Some(next)),
+            let accepted = poll_fn(|cx| match self.listener.poll_accept(cx) {
+                Poll::Ready(accepted) => Poll::Ready(Some(accepted)),
                 Poll::Pending => Poll::Ready(None),
             });
-            match next.await? {
-                Ok((stream, peer)) if stream.set_nodelay(true).is_ok() => return Some((stream, peer, place)),
+            match accepted.await? {
+                Ok((stream, peer)) if stream.set_nodelay(true).is_ok() => {
+                    return Some((stream, peer, permit))
+                }
                 _ => tokio::time::sleep(Duration::from_millis(2)).await,
             }
         }
--- a/proxy/src/transport/mod.rs
+++ b/proxy/src/transport/mod.rs
@@ -1,7 +1,9 @@
+//! Sockets: listening, connecting, limits on descriptors and memory, message framing, and why connections end.
+
 pub mod body;
-pub mod counted;
+pub mod connect;
 pub mod descriptors;
-pub mod dial;
-pub mod ending;
+pub mod end_reason;
 pub mod framing;
 pub mod listener;
+pub mod metered;
