--- a/logging/src/lib.rs
+++ b/logging/src/lib.rs
@@ -1,5 +1,5 @@
-//! Lines of a log on their way out, by a thread of their own: whatever becomes of their reader, who writes a line
-//! neither waits nor fails. Lines for which there is no room are counted and dropped.
+//! Writes log lines from a thread of its own: whatever happens to the reader of the log, the caller neither waits nor
+//! fails. Lines that do not fit into the queue are counted and dropped.
 
 pub mod panics;
 
@@ -9,50 +9,51 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Lines that wait at most.
-const WAITING_AT_MOST: usize = 4096;
-/// Lines that are written at once.
+/// The most lines in the queue.
+const MAX_QUEUED: usize = 4096;
+/// The most queued items that are added to the first one for a single write.
 const BATCH: usize = 256;
 
+/// An entry of the queue.
 enum Item {
     Line(Vec<u8>),
     Flush(SyncSender<()>),
 }
 
-/// The way to the thread that writes.
+/// The queue to the writing thread.
 #[derive(Clone)]
 pub struct LineWriter {
-    to: SyncSender<Item>,
+    queue: SyncSender<Item>,
     dropped: Arc<AtomicU64>,
 }
 
 impl LineWriter {
     /// Starts a thread that writes to `out` for as long as the process runs.
     pub fn start(out: impl Write + Send + 'static) -> LineWriter {
-        let (to, items) = sync_channel(WAITING_AT_MOST);
+        let (queue, items) = sync_channel(MAX_QUEUED);
         let dropped: Arc<AtomicU64> = Arc::default();
-        let lost = dropped.clone();
-        std::thread::spawn(move || write(out, &items, &lost));
-        LineWriter { to, dropped }
+        let dropped_lines = dropped.clone();
+        std::thread::spawn(move || write(out, &items, &dropped_lines));
+        LineWriter { queue, dropped }
     }
 
-    /// Hands on a line with its end, or counts it as dropped.
+    /// Queues a line, which must include its line end, or counts it as dropped if the queue is full.
     pub fn write_line(&self, line: Vec<u8>) {
-        if self.to.try_send(Item::Line(line)).is_err() {
+        if self.queue.try_send(Item::Line(line)).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Waits until the lines so far are written, for `most` at the most.
-    pub fn flush(&self, most: Duration) {
-        let (done, wait) = sync_channel(1);
-        if self.to.try_send(Item::Flush(done)).is_ok() {
-            let _ = wait.recv_timeout(most);
+    /// Waits until the lines so far are written, for at most `timeout`.
+    pub fn flush(&self, timeout: Duration) {
+        let (done, receiver) = sync_channel(1);
+        if self.queue.try_send(Item::Flush(done)).is_ok() {
+            let _ = receiver.recv_timeout(timeout);
         }
     }
 }
 
-/// Writes what comes; a reader that has ended is no reason to stop, since nobody else takes the lines in.
+/// Writes the queued lines. It goes on when a write fails, since otherwise the queue would never be emptied.
 fn write(mut out: impl Write, items: &Receiver<Item>, dropped: &AtomicU64) {
     let mut batch = Vec::new();
     while let Ok(first) = items.recv() {
@@ -63,14 +64,16 @@
                 Item::Flush(done) => flushes.push(done),
             }
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            batch.extend_from_slice(format!("level=warn event=lines_dropped count={lost}\n").as_bytes());
+        let dropped_lines = dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
+            batch.extend_from_slice(
+                format!("level=warn event=lines_dropped count={dropped_lines}\n").as_bytes(),
+            );
         }
         let _ = out.write_all(&batch);
         batch.clear();
         for done in flushes {
-            // who asked may have stopped waiting
+            // the caller of `flush` may have stopped waiting
             let _ = done.send(());
         }
     }
--- a/logging/src/panics.rs
+++ b/logging/src/panics.rs
@@ -1,17 +1,18 @@
-//! A panic on the thread that all tasks run on ends the process, so that it is started again. Left to itself it would
-//! end one task, and the process would go on as ready with a part of it missing.
+//! Aborts the process on a panic of the thread that runs all tasks, so that the process is restarted. Otherwise the
+//! panic would end one task only, and the process would continue as ready without it.
 
 use std::panic::{set_hook, PanicHookInfo};
 use std::process::abort;
 use std::thread::current;
 
-/// To be called on the thread that all tasks run on. `tell` writes what happened to the log, and waits until it is
-/// written. Panics of other threads are told too; who waits for these threads hears of their end.
-pub fn abort_on_panic(tell: impl Fn(&PanicHookInfo) + Send + Sync + 'static) {
-    let tasks = current().id();
+/// Installs the panic hook; must be called on the thread that runs all tasks. `log_panic` writes the panic to the log
+/// and waits until it is written. Panics of other threads are only logged: whoever joins such a thread gets its
+/// result.
+pub fn abort_on_panic(log_panic: impl Fn(&PanicHookInfo) + Send + Sync + 'static) {
+    let task_thread = current().id();
     set_hook(Box::new(move |panic| {
-        tell(panic);
-        if current().id() == tasks {
+        log_panic(panic);
+        if current().id() == task_thread {
             abort();
         }
     }));
