--- a/proxy/src/clients.rs
+++ b/proxy/src/clients.rs
@@ -55,15 +55,16 @@
     pub idle_timeout: Duration,
     /// How long a request head may take from its first byte; for the first one of a connection, from the connect.
     pub head_timeout: Duration,
-    /// How long a whole request may take from the end of its head; for the first one of a connection, from the connect.
+    /// How long a whole request may take from the end of its head; for the first one of a connection, from the
+    /// connect.
     pub request_timeout: Duration,
     /// How long a connection that is being closed may stay with an incomplete request, or with a response of which
     /// nothing more can be written. It must leave enough time for data that is already on the network.
     pub unfinished_timeout: Duration,
     /// The interval at which `idle_timeout` and `head_timeout` are checked.
     pub sweep_interval: Duration,
-    /// When descriptors run out, connections that have sent no request for this long are closed first: a typical client
-    /// sends its request right after it connects.
+    /// When descriptors run out, connections that have sent no request for this long are closed first: a typical
+    /// client sends its request right after it connects.
     pub first_byte_wait: Duration,
     /// The largest request head, in bytes; at least 8 KiB.
     pub max_head_bytes: usize,
@@ -171,8 +172,8 @@
         self.limits.set(limits);
     }
 
-    /// Closes connections that have had no request for too long. Otherwise clients that stay after a request, that send
-    /// nothing, or that never complete a head could use up the descriptors.
+    /// Closes connections that have had no request for too long. Otherwise clients that stay after a request, that
+    /// send nothing, or that never complete a head could use up the descriptors.
     async fn sweep(self: Rc<Self>) {
         loop {
             tokio::time::sleep(self.limits.get().sweep_interval).await;
--- a/proxy/src/exchange/server_table.rs
+++ b/proxy/src/exchange/server_table.rs
@@ -8,8 +8,11 @@
 
 /// The exchange's state of one server.
 pub(super) struct Server {
+    /// Its external name.
     pub name: Rc<str>,
+    /// Its address in the latest list.
     pub addr: SocketAddr,
+    /// The index of its zone.
     pub zone: u16,
     /// Whether new dispatches may be sent to it.
     pub accepts_new: bool,
@@ -25,8 +28,11 @@
 /// and has no active dispatch: where servers are replaced continuously, the tables stay as small as the list.
 #[derive(Default)]
 pub(super) struct ServerTable {
+    /// The servers by index.
     pub by_index: HashMap<u32, Server>,
+    /// The indexes by external name.
     pub by_name: HashMap<Rc<str>, u32>,
+    /// The last index that was assigned.
     pub last_index: u32,
 }
 
--- a/proxy/src/exchange/tests.rs
+++ b/proxy/src/exchange/tests.rs
@@ -81,9 +81,9 @@
     drop(pending);
 }
 
-/// A dispatch that is decided on in the same round in which the decision module learns that the client has left must be
-/// reported as ended. Otherwise the decision module would count it as active forever, together with its place in the
-/// pool.
+/// A dispatch that is decided on in the same round in which the decision module learns that the client has left must
+/// be reported as ended. Otherwise the decision module would count it as active forever, together with its place in
+/// the pool.
 #[test]
 fn client_leaves_in_the_round_of_another_dispatch() {
     let exchange = new_exchange();
--- a/proxy/src/ids.rs
+++ b/proxy/src/ids.rs
@@ -17,7 +17,8 @@
 }
 
 impl RecentIds {
-    /// Adds an id and returns whether it is new. It is remembered for one to two spans; `span` and `now` are in seconds.
+    /// Adds an id and returns whether it is new. It is remembered for one to two spans; `span` and `now` are in
+    /// seconds.
     pub fn insert(&mut self, id: &[u8], now: f64, span: f64) -> bool {
         if now - self.newer_since >= span || self.sets[0].len() >= MAX_IDS {
             self.sets.swap(0, 1);
--- a/proxy/src/servers.rs
+++ b/proxy/src/servers.rs
@@ -53,16 +53,17 @@
     /// How long a connection attempt may take.
     pub connect_timeout: Duration,
     /// The time for which servers are assumed to keep an idle connection open, less the network delay: a request that
-    /// is sent while the server closes the connection may have run. Idle connections are closed here after seven eighths
-    /// of it.
+    /// is sent while the server closes the connection may have run. Idle connections are closed here after seven
+    /// eighths of it.
     pub max_idle: Duration,
-    /// Whether the `Keep-Alive: timeout` of a response, in whole seconds, less `connect_timeout`, can lower `max_idle`.
+    /// Whether the `Keep-Alive: timeout` of a response, in whole seconds, less `connect_timeout`, can lower
+    /// `max_idle`.
     pub honor_keep_alive: bool,
     /// How long a connection must be idle before it is reused. Stray bytes arrive right after a response, and are
     /// detected in this time, before another request is written.
     pub min_idle_before_reuse: Duration,
-    /// How long a response may take from its first byte to its last. A server that takes longer is considered stuck, and the
-    /// dispatch fails.
+    /// How long a response may take from its first byte to its last. A server that takes longer is considered stuck,
+    /// and the dispatch fails.
     pub response_timeout: Duration,
     /// The largest response body, in bytes.
     pub max_body_bytes: usize,
@@ -102,7 +103,8 @@
     limits: Cell<ServerLimits>,
     /// The budget for the bodies of responses, if there is one.
     memory: RefCell<Option<Arc<MemoryBudget>>>,
-    /// Idle connections by server index, so that a new server does not get those of its predecessor at the same address.
+    /// Idle connections by server index, so that a new server does not get those of its predecessor at the same
+    /// address.
     idle: RefCell<HashMap<u32, Vec<Connection>>>,
     weak_self: Weak<ServerConnections<P>>,
 }
@@ -302,7 +304,7 @@
                 let response = async {
                     let response = connection.send.send_request(request).await.map_err(|_| ())?;
                     let (head, body) = response.into_parts();
-                    // a response that ends with its connection can't be told from one that broke off
+                    // a response that ends with its connection can't be distinguished from one that broke off
                     if !has_valid_length(&head.headers, &body, limits.max_body_bytes) {
                         return Err(());
                     }
