--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,5 +1,6 @@
-//! lupinledge on sockets: `program` starts and ends it, `protocol` speaks to each kind of peer. Sockets, connections
-//! and the exchange around the decisions are the crate `lupinledge_proxy`'s.
+//! The gateway: the data plane that runs the decision module on sockets. `program` starts and stops it, and `protocol`
+//! implements the protocol towards each kind of peer. Sockets, connections and the exchange are in the crate
+//! `lupinledge_proxy`.
 
 mod program;
 mod protocol;
--- a/gateway/src/program/mod.rs
+++ b/gateway/src/program/mod.rs
@@ -1,4 +1,6 @@
+//! The program: start, configuration, signals and shutdown.
+
+pub mod config;
+mod shadow;
 pub mod signals;
 pub mod start;
-pub mod told;
-mod watched;
--- a/gateway/src/program/signals.rs
+++ b/gateway/src/program/signals.rs
@@ -1,42 +1,43 @@
-//! SIGUSR1 prints the counters; SIGHUP asks for the configuration to be read anew; SIGTERM and SIGINT end the
-//! program.
+//! Signal handling: SIGUSR1 prints the counters, SIGHUP reloads the configuration, SIGTERM and SIGINT end the program.
 
 use lupinledge_proxy::counters::Counters;
 use std::io;
 use std::rc::Rc;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
+/// The signals that the program handles.
 pub struct Signals {
-    term: Signal,
-    int: Signal,
-    hup: Option<Signal>,
+    terminate: Signal,
+    interrupt: Signal,
+    hangup: Option<Signal>,
 }
 
 impl Signals {
-    /// Takes the signals over; from here on none of them ends the process by itself.
-    pub fn hold(counters: Rc<Counters>) -> io::Result<Signals> {
-        let mut usr1 = signal(SignalKind::user_defined1())?;
+    /// Installs the handlers; from then on none of the signals ends the process by itself.
+    pub fn install(counters: Rc<Counters>) -> io::Result<Signals> {
+        let mut user1 = signal(SignalKind::user_defined1())?;
         tokio::task::spawn_local(async move {
-            while usr1.recv().await.is_some() {
+            while user1.recv().await.is_some() {
                 log::info!("{counters}");
             }
         });
-        let (term, int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-        Ok(Signals { term, int, hup: Some(signal(SignalKind::hangup())?) })
+        let (terminate, interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+        Ok(Signals { terminate, interrupt, hangup: Some(signal(SignalKind::hangup())?) })
     }
-    /// Calls `reload` at each SIGHUP from now on.
-    pub fn at_hangup(&mut self, reload: impl Fn() + 'static) {
-        let Some(mut hup) = self.hup.take() else { return };
+    /// Calls `reload` on each SIGHUP from now on.
+    pub fn on_hangup(&mut self, reload: impl Fn() + 'static) {
+        let Some(mut hangup) = self.hangup.take() else { return };
         tokio::task::spawn_local(async move {
-            while hup.recv().await.is_some() {
+            while hangup.recv().await.is_some() {
                 reload();
             }
         });
     }
-    pub async fn end(&mut self) {
+    /// Waits for SIGTERM or SIGINT.
+    pub async fn wait_end(&mut self) {
         tokio::select! {
-            _ = self.term.recv() => {}
-            _ = self.int.recv() => {}
+            _ = self.terminate.recv() => {}
+            _ = self.interrupt.recv() => {}
         }
     }
 }
--- a/gateway/src/protocol/counter.rs
+++ b/gateway/src/protocol/counter.rs
@@ -1,8 +1,8 @@
-//! The counter: a few connections, calls written one after another, answers matched by their order. A name
-//! keeps to one connection, so that its calls are answered in order.
+//! The client of the counter. It uses a few connections, on which calls are pipelined and replies are matched by their
+//! order. All calls of a name use the same connection, so that they are answered in order.
 
 use super::resp::{read_reply, write_call, Reply};
-use super::srv::Edge;
+use super::server::GatewayProtocol;
 use super::Exchange;
 use lupinledge::interface::Outcome;
 use lupinledge::time::Span;
@@ -21,128 +21,148 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Connections. The counter may be split by name and a slow part holds up what stands behind it: four meet
-/// three parts with one to spare, and each further one is a write and a wakeup more in a busy round.
-pub const LANES: usize = 4;
+/// The number of connections. The counter may be partitioned by name, and a slow partition delays the calls behind
+/// its own: four connections cover three partitions with one to spare, and each further one costs a write and a
+/// wakeup more in a busy round.
+pub const CONNECTIONS: usize = 4;
 
-/// So many waits for an answer without a byte: the machine is taken to be gone and a new one tried. Answers
-/// that are merely late, as at a counter some times slower, come well within it.
-const SILENT_WAITS: u32 = 8;
+/// After this many times the reply timeout without a received byte, the connection is considered dead and a new one is
+/// tried. Replies that are only late, as from a counter that is a few times slower, arrive well before that.
+const SILENT_TIMEOUTS: u32 = 8;
 
-/// After a connection that ended: soon, then doubled while each ends as soon as it is up.
+/// The pause after a connection has ended. It starts at the first value, and doubles up to the second while
+/// connections end right after they are opened.
 const BACK_OFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
 
-/// Between two tries to connect, beside the time that a try itself takes. Each that hangs while the counter
-/// comes back is time without its totals, and a try costs it nothing while it is away.
-const RETRY: Duration = Duration::from_millis(50);
+/// The pause between two connection attempts. It is short, since a longer one delays the totals once the counter is
+/// back, and attempts cost the counter nothing while it is away.
+const CONNECT_RETRY: Duration = Duration::from_millis(50);
 
+/// A call that waits for its reply.
 struct Call {
     name: u64,
-    until: Instant,
-    /// Where it begins and ends in all that was ever written to the connection.
+    deadline: Instant,
+    /// The offsets of its first byte and of its end in all bytes queued on the connection.
     start: u64,
     end: u64,
-    /// Told as timed out: an answer is still owed, and goes nowhere.
-    over: bool,
+    /// It was reported as timed out. Its reply is still expected, and will be ignored.
+    expired: bool,
 }
 
+/// One connection and its calls; kept when the connection is replaced.
 #[derive(Default)]
-struct Lane {
-    to: RefCell<Option<OwnedWriteHalf>>,
+struct Connection {
+    writer: RefCell<Option<OwnedWriteHalf>>,
     calls: RefCell<VecDeque<Call>>,
     unsent: RefCell<Vec<u8>>,
-    /// All bytes ever put to be written here, and of them those that the machine took.
-    put: Cell<u64>,
+    /// The number of bytes ever queued here.
+    queued: Cell<u64>,
+    /// The number of these bytes that the kernel has accepted.
     sent: Cell<u64>,
-    heard: Cell<Option<Instant>>,
-    /// Whether this connection brought a total.
+    /// When bytes were last received.
+    last_received: Cell<Option<Instant>>,
+    /// Whether a total was received on the current connection.
     served: Cell<bool>,
-    woken: Notify,
-    /// A connection to the counter's new address is up: nothing more is written to the one to the old address.
-    leaving: Cell<bool>,
-    /// Whether a first try to connect has ended.
+    /// Notified when a call is added to a connection without open calls.
+    call_added: Notify,
+    /// A connection to the counter's new address is open, so that nothing more is written to the one to the old
+    /// address.
+    draining: Cell<bool>,
+    /// Whether a first connection attempt has ended.
     tried: Cell<bool>,
 }
 
+/// The client of the counter; the counter side of the exchange.
 pub struct Counter {
-    exchange: WeakExchange<Edge>,
+    exchange: WeakExchange<GatewayProtocol>,
     addr: Cell<SocketAddr>,
-    wait: Duration,
-    connect_wait: Duration,
-    lanes: Vec<Lane>,
-    /// The counter was away and was heard of on one of the lanes, or has another address now.
-    back: Notify,
+    reply_timeout: Duration,
+    connect_timeout: Duration,
+    connections: Vec<Connection>,
+    /// Notified when the counter is reachable again on one of the connections, or has another address.
+    reachable: Notify,
 }
 
 impl Counter {
+    /// Starts connecting to the counter at `addr`. A call that has no reply after `reply_timeout` is reported as
+    /// timed out.
     pub fn start(
         exchange: &Rc<Exchange>,
         addr: SocketAddr,
-        wait: Span,
-        connect_wait: Duration,
+        reply_timeout: Span,
+        connect_timeout: Duration,
     ) -> Rc<Counter> {
-        let lanes = (0..LANES).map(|_| Lane::default()).collect();
-        let (exchange, addr, wait) = (Rc::downgrade(exchange), Cell::new(addr), duration(wait));
-        let counter = Rc::new(Counter { exchange, addr, wait, connect_wait, lanes, back: Notify::new() });
-        (0..LANES).for_each(|i| drop(tokio::task::spawn_local(counter.clone().run(i))));
+        let connections = (0..CONNECTIONS).map(|_| Connection::default()).collect();
+        let (exchange, addr, reply_timeout) =
+            (Rc::downgrade(exchange), Cell::new(addr), duration(reply_timeout));
+        let counter = Rc::new(Counter {
+            exchange,
+            addr,
+            reply_timeout,
+            connect_timeout,
+            connections,
+            reachable: Notify::new(),
+        });
+        (0..CONNECTIONS).for_each(|index| drop(tokio::task::spawn_local(counter.clone().run(index))));
         counter
     }
 
-    /// The counter has another address. Each connection is kept until one to the new address is up and what
-    /// it was asked is answered: a name's calls stay in order, and none is lost or told twice.
-    pub fn move_to(&self, addr: SocketAddr) {
+    /// Sets another address of the counter. Each connection is kept until one to the new address is open and all calls
+    /// on it are answered: the calls of a name stay in order, and none is lost or reported twice.
+    pub fn set_address(&self, addr: SocketAddr) {
         self.addr.set(addr);
-        self.back.notify_waiters();
+        self.reachable.notify_waiters();
     }
 
-    /// Whether each connection is up or has failed once.
-    pub fn tried(&self) -> bool {
-        self.lanes.iter().all(|l| l.tried.get())
+    /// Whether each connection is open or has failed once.
+    pub fn tried_to_connect(&self) -> bool {
+        self.connections.iter().all(|c| c.tried.get())
     }
 
-    /// Whether no call waits to be written.
-    pub fn written(&self) -> bool {
-        self.lanes.iter().all(|l| l.unsent.borrow().is_empty())
+    /// Whether all calls are written.
+    pub fn all_written(&self) -> bool {
+        self.connections.iter().all(|c| c.unsent.borrow().is_empty())
     }
 
-    fn told(&self, name: u64, total: f64, how: Outcome) {
+    /// Reports the end of a call to the exchange.
+    fn report(&self, name: u64, total: f64, outcome: Outcome) {
         if let Some(exchange) = self.exchange.upgrade() {
-            exchange.counter_call_ended(name, total, None, how);
+            exchange.counter_call_ended(name, total, None, outcome);
         }
     }
 
-    /// Keeps one connection up and reads from it.
-    async fn run(self: Rc<Counter>, i: usize) {
-        let lane = &self.lanes[i];
+    /// Keeps one connection open and serves it.
+    async fn run(self: Rc<Counter>, index: usize) {
+        let connection = &self.connections[index];
         let mut next = None;
         let mut pause = BACK_OFF.0;
         loop {
             let stream = match next.take() {
                 Some(stream) => stream,
                 None => {
-                    let mut up = std::pin::pin!(self.connect(lane));
+                    let mut opening = std::pin::pin!(self.connect_until_open(connection));
                     loop {
                         tokio::select! {
-                            stream = &mut up => break stream,
-                            _ = self.due(lane, false) => self.expire(lane),
+                            stream = &mut opening => break stream,
+                            _ = self.wait_due(connection, false) => self.expire_calls(connection),
                         }
                     }
                 }
             };
-            let at = stream.peer_addr().unwrap_or(self.addr.get());
-            let (ending, since) = (EndLog::new("counter", at), Instant::now());
-            lane.heard.set(None);
-            lane.leaving.set(false);
-            lane.served.set(false);
-            let (from, to) = stream.into_split();
-            *lane.to.borrow_mut() = Some(to);
-            let why;
-            (why, next) = self.talk(lane, at, from).await;
-            ending.set_reason(why);
-            *lane.to.borrow_mut() = None;
-            self.broken(lane, why == EndReason::Moved);
-            // one that is ended as soon as it is up is not hurried after
-            if lane.served.get() || since.elapsed() > BACK_OFF.1 {
+            let addr = stream.peer_addr().unwrap_or(self.addr.get());
+            let (end_log, opened_at) = (EndLog::new("counter", addr), Instant::now());
+            connection.last_received.set(None);
+            connection.draining.set(false);
+            connection.served.set(false);
+            let (reader, writer) = stream.into_split();
+            *connection.writer.borrow_mut() = Some(writer);
+            let reason;
+            (reason, next) = self.serve_connection(connection, addr, reader).await;
+            end_log.set_reason(reason);
+            *connection.writer.borrow_mut() = None;
+            self.connection_ended(connection, reason == EndReason::Moved);
+            // no immediate retry after a connection that ended right after it was opened
+            if connection.served.get() || opened_at.elapsed() > BACK_OFF.1 {
                 pause = BACK_OFF.0;
             } else if next.is_none() {
                 tokio::time::sleep(pause).await;
@@ -151,135 +171,138 @@
         }
     }
 
-    /// Tries until a connection is up. A try that hangs is begun anew when the counter is heard of elsewhere:
-    /// the machine that is back knows nothing of it.
-    async fn connect(&self, lane: &Lane) -> TcpStream {
+    /// Tries until a connection is open. An attempt that hangs is started again once the counter is reachable on
+    /// another connection, since a restarted machine does not know of the pending attempt.
+    async fn connect_until_open(&self, connection: &Connection) -> TcpStream {
         let mut failed = false;
         loop {
             let addr = self.addr.get();
-            let ending = EndLog::new("counter", addr);
+            let end_log = EndLog::new("counter", addr);
             tokio::select! {
-                up = connect(addr, self.connect_wait, None) => {
-                    lane.tried.set(true);
-                    match up {
+                opened = connect(addr, self.connect_timeout, None) => {
+                    connection.tried.set(true);
+                    match opened {
                         Ok(stream) => {
-                            ending.suppress();
+                            end_log.suppress();
                             if failed {
-                                self.back.notify_waiters();
+                                self.reachable.notify_waiters();
                             }
                             return stream;
                         }
-                        Err(e) => ending.set_reason(EndReason::from_connect_error(&e)),
+                        Err(e) => end_log.set_reason(EndReason::from_connect_error(&e)),
                     }
-                    drop(ending);
+                    drop(end_log);
                     tokio::select! {
-                        _ = tokio::time::sleep(RETRY) => {}
-                        _ = self.back.notified() => {}
+                        _ = tokio::time::sleep(CONNECT_RETRY) => {}
+                        _ = self.reachable.notified() => {}
                     }
                 }
-                _ = self.back.notified() => ending.set_reason(EndReason::ClosedHere),
+                _ = self.reachable.notified() => end_log.set_reason(EndReason::ClosedHere),
             }
             failed = true;
         }
     }
 
-    /// Until the first open call's time is up, or the connection has been silent for too long.
-    async fn due(&self, lane: &Lane, silence: bool) {
+    /// Waits until the first open call has timed out or, with `check_silence`, the connection has been silent for too
+    /// long.
+    async fn wait_due(&self, connection: &Connection, check_silence: bool) {
         loop {
-            let open = lane.calls.borrow().iter().find(|c| !c.over).map(|c| c.until);
-            let silent = if silence { self.silent_at(lane) } else { None };
-            // a call that comes meanwhile may be due before a silence is
-            match open.into_iter().chain(silent).min() {
+            let call_due = connection.calls.borrow().iter().find(|c| !c.expired).map(|c| c.deadline);
+            let silence_due = if check_silence { self.dead_at(connection) } else { None };
+            // a call that is added meanwhile may be due before the silence limit
+            match call_due.into_iter().chain(silence_due).min() {
                 Some(at) => tokio::select! {
                     _ = tokio::time::sleep_until(at) => return,
-                    _ = lane.woken.notified() => {}
+                    _ = connection.call_added.notified() => {}
                 },
-                None => lane.woken.notified().await,
+                None => connection.call_added.notified().await,
             }
         }
     }
 
-    fn expire(&self, lane: &Lane) {
+    /// Reports the calls that have timed out.
+    fn expire_calls(&self, connection: &Connection) {
         let now = Instant::now();
         let mut ended = Vec::new();
-        lane.calls.borrow_mut().retain_mut(|c| {
-            if c.over || c.until > now {
+        connection.calls.borrow_mut().retain_mut(|c| {
+            if c.expired || c.deadline > now {
                 return true;
             }
-            c.over = true;
-            // of one that waits for a connection nothing is written: its bytes go, and can't be added any more
-            let unwritten = c.start == lane.sent.get();
+            c.expired = true;
+            // nothing is written of a call that still waits for a connection: its bytes are removed, so that the
+            // counter can't execute it any more
+            let unwritten = c.start == connection.sent.get();
             if unwritten {
-                lane.unsent.borrow_mut().drain(..(c.end - c.start) as usize);
-                lane.sent.set(c.end);
+                connection.unsent.borrow_mut().drain(..(c.end - c.start) as usize);
+                connection.sent.set(c.end);
             }
             ended.push((c.name, if unwritten { Outcome::NoConnection } else { Outcome::TimedOut }));
             !unwritten
         });
-        ended.into_iter().for_each(|(name, how)| self.told(name, 0.0, how));
+        ended.into_iter().for_each(|(name, outcome)| self.report(name, 0.0, outcome));
     }
 
-    /// The connection is gone: what was written whole may have been added, the rest was not. Calls of which
-    /// nothing was written can go on with the next connection, if it is there already.
-    fn broken(&self, lane: &Lane, go_on: bool) {
-        let (calls, sent) = (std::mem::take(&mut *lane.calls.borrow_mut()), lane.sent.get());
-        let (rest, ended) = calls.into_iter().partition(|c| go_on && c.start >= sent);
-        *lane.calls.borrow_mut() = rest;
-        let first = lane.calls.borrow().front().map_or(lane.put.get(), |c| c.start);
-        lane.unsent.borrow_mut().drain(..(first - sent) as usize);
-        lane.sent.set(first);
-        for c in Vec::from(ended).into_iter().filter(|c| !c.over) {
-            self.told(c.name, 0.0, if c.end <= sent { Outcome::Reset } else { Outcome::NoConnection });
+    /// Reports the calls of a connection that has ended: those that were written completely may have been executed,
+    /// the others were not. With `keep_unwritten`, calls of which nothing was written stay for the next connection.
+    fn connection_ended(&self, connection: &Connection, keep_unwritten: bool) {
+        let (calls, sent) = (std::mem::take(&mut *connection.calls.borrow_mut()), connection.sent.get());
+        let (kept, ended) = calls.into_iter().partition(|c| keep_unwritten && c.start >= sent);
+        *connection.calls.borrow_mut() = kept;
+        let first = connection.calls.borrow().front().map_or(connection.queued.get(), |c| c.start);
+        connection.unsent.borrow_mut().drain(..(first - sent) as usize);
+        connection.sent.set(first);
+        for c in Vec::from(ended).into_iter().filter(|c| !c.expired) {
+            self.report(c.name, 0.0, if c.end <= sent { Outcome::Reset } else { Outcome::NoConnection });
         }
     }
 
-    /// Serves a connection until it ends or, silent for long, is replaced. The silent one is kept until the
-    /// new one is up: a machine that was cut off may go on where it was, or resets it and tells it is back.
-    async fn talk(
+    /// Serves a connection until it ends or, after a long silence, is replaced. The silent one is kept until the new
+    /// one is open: a machine that was cut off may continue on it, or reset it, which shows that the machine is back.
+    async fn serve_connection(
         &self,
-        lane: &Lane,
-        at: SocketAddr,
-        mut from: OwnedReadHalf,
+        connection: &Connection,
+        addr: SocketAddr,
+        mut reader: OwnedReadHalf,
     ) -> (EndReason, Option<TcpStream>) {
-        let (mut read, mut part) = (Vec::with_capacity(4096), [0u8; 4096]);
-        let mut other = std::pin::pin!(None);
+        let (mut received, mut buf) = (Vec::with_capacity(4096), [0u8; 4096]);
+        let mut replacement = std::pin::pin!(None);
         let mut next = None;
-        self.send(lane);
+        self.send(connection);
         loop {
-            let moved = self.addr.get() != at;
-            if next.is_some() && self.all_answered(lane) {
+            let moved = self.addr.get() != addr;
+            if next.is_some() && self.all_answered(connection) {
                 return (EndReason::Moved, next);
             }
-            if moved && next.is_none() && other.is_none() {
-                other.set(Some(self.connect(lane)));
+            if moved && next.is_none() && replacement.is_none() {
+                replacement.set(Some(self.connect_until_open(connection)));
             }
-            let stuck = !lane.unsent.borrow().is_empty() && !lane.leaving.get();
-            let replaced = other.is_some();
+            let stuck = !connection.unsent.borrow().is_empty() && !connection.draining.get();
+            let replacing = replacement.is_some();
             tokio::select! {
                 biased;
-                got = from.read(&mut part) => {
-                    match got {
+                read_result = reader.read(&mut buf) => {
+                    match read_result {
                         Ok(n) if n > 0 => {
-                            lane.heard.set(Some(Instant::now()));
+                            connection.last_received.set(Some(Instant::now()));
                             if !moved {
-                                other.set(None);
+                                replacement.set(None);
                             }
-                            read.extend_from_slice(&part[..n]);
+                            received.extend_from_slice(&buf[..n]);
                         }
-                        end => {
-                            if replaced {
-                                self.back.notify_waiters();
+                        result => {
+                            if replacing {
+                                self.reachable.notify_waiters();
                             }
-                            return (if end.is_ok() { EndReason::PeerClosed } else { EndReason::PeerReset }, next);
+                            return (if result.is_ok() { EndReason::PeerClosed } else { EndReason::PeerReset }, next);
                         }
                     }
-                    let mut used = 0;
+                    let mut consumed = 0;
                     loop {
-                        match read_reply(&read[used..]) {
+                        match read_reply(&received[consumed..]) {
                             Ok(Some((reply, n))) => {
-                                used += n;
-                                // one answer more than calls: from here on each would be taken for another's
-                                if !self.reply(lane, reply) {
+                                consumed += n;
+                                // more replies than calls: all later replies would be matched to the wrong calls
+                                if !self.handle_reply(connection, reply) {
                                     return (EndReason::Stray, next);
                                 }
                             }
@@ -287,91 +310,94 @@
                             Err(_) => return (EndReason::Malformed, next),
                         }
                     }
-                    read.drain(..used);
+                    received.drain(..consumed);
                 }
-                up = async { other.as_mut().as_pin_mut().expect("asked for").await }, if replaced => {
-                    other.set(None);
-                    next = Some(up);
+                opened = async { replacement.as_mut().as_pin_mut().expect("a replacement is pending").await }, if replacing => {
+                    replacement.set(None);
+                    next = Some(opened);
                     if !moved {
                         return (EndReason::Silent, next);
                     }
-                    lane.leaving.set(true);
+                    connection.draining.set(true);
                 }
-                _ = self.back.notified(), if !moved => {}
-                // the machine takes no more for now: rare, and not worth a waker of its own
-                _ = tokio::time::sleep(Duration::from_millis(1)), if stuck => self.send(lane),
-                _ = self.due(lane, !replaced && next.is_none()) => {
-                    self.expire(lane);
-                    if !replaced && next.is_none() && self.silent_at(lane).is_some_and(|at| at <= Instant::now()) {
-                        other.set(Some(self.connect(lane)));
+                _ = self.reachable.notified(), if !moved => {}
+                // the socket buffer is full; this is rare and does not justify a waker
+                _ = tokio::time::sleep(Duration::from_millis(1)), if stuck => self.send(connection),
+                _ = self.wait_due(connection, !replacing && next.is_none()) => {
+                    self.expire_calls(connection);
+                    if !replacing && next.is_none() && self.dead_at(connection).is_some_and(|at| at <= Instant::now()) {
+                        replacement.set(Some(self.connect_until_open(connection)));
                     }
                 }
             }
         }
     }
 
-    /// When a connection is taken to be dead, if nothing is heard before: long after the oldest call that has
-    /// no answer.
-    fn silent_at(&self, lane: &Lane) -> Option<Instant> {
-        let oldest = lane.calls.borrow().front().map(|c| c.until - self.wait)?;
-        Some(lane.heard.get().map_or(oldest, |h| h.max(oldest)) + self.wait * SILENT_WAITS)
+    /// When the connection is considered dead if nothing is received before: long after the oldest call without a
+    /// reply.
+    fn dead_at(&self, connection: &Connection) -> Option<Instant> {
+        let oldest = connection.calls.borrow().front().map(|c| c.deadline - self.reply_timeout)?;
+        Some(
+            connection.last_received.get().map_or(oldest, |received_at| received_at.max(oldest))
+                + self.reply_timeout * SILENT_TIMEOUTS,
+        )
     }
 
-    /// Tells the oldest call its answer; false where none was written.
-    fn reply(&self, lane: &Lane, reply: Reply) -> bool {
-        let sent = lane.sent.get();
-        let Some(call) = lane.calls.borrow_mut().pop_front_if(|c| c.end <= sent) else { return false };
-        if call.over {
+    /// Reports the reply to the oldest written call. Returns false if there is no such call.
+    fn handle_reply(&self, connection: &Connection, reply: Reply) -> bool {
+        let sent = connection.sent.get();
+        let Some(call) = connection.calls.borrow_mut().pop_front_if(|c| c.end <= sent) else { return false };
+        if call.expired {
             return true;
         }
         match reply {
-            Reply::Total(t) => {
-                lane.served.set(true);
-                self.told(call.name, t, Outcome::Passed)
+            Reply::Total(total) => {
+                connection.served.set(true);
+                self.report(call.name, total, Outcome::Passed)
             }
-            Reply::Busy | Reply::Refused => self.told(call.name, 0.0, Outcome::Full),
+            Reply::Busy | Reply::Refused => self.report(call.name, 0.0, Outcome::Full),
         }
         true
     }
 
-    /// Whether what was written here has its answers, or has waited for them in vain.
-    fn all_answered(&self, lane: &Lane) -> bool {
-        lane.calls.borrow().iter().all(|c| c.over || c.end > lane.sent.get())
+    /// Whether all written calls have their replies or have expired.
+    fn all_answered(&self, connection: &Connection) -> bool {
+        connection.calls.borrow().iter().all(|c| c.expired || c.end > connection.sent.get())
     }
 
-    /// Writes what the machine takes now.
-    fn send(&self, lane: &Lane) {
-        if lane.leaving.get() {
+    /// Writes as many bytes as the kernel accepts now.
+    fn send(&self, connection: &Connection) {
+        if connection.draining.get() {
             return;
         }
-        let (to, mut unsent) = (lane.to.borrow(), lane.unsent.borrow_mut());
+        let (writer, mut unsent) = (connection.writer.borrow(), connection.unsent.borrow_mut());
         while !unsent.is_empty() {
-            // full, or broken, which the reader finds out
-            let Some(Ok(n)) = to.as_ref().map(|to| to.try_write(&unsent)) else { return };
+            // the buffer is full, or the connection is broken, which the reading task notices
+            let Some(Ok(n)) = writer.as_ref().map(|writer| writer.try_write(&unsent)) else { return };
             unsent.drain(..n);
-            lane.sent.set(lane.sent.get() + n as u64);
+            connection.sent.set(connection.sent.get() + n as u64);
         }
     }
 }
 
 impl CounterSide for Counter {
     fn add(&self, name: u64, amount: f64, life: Span) {
-        let lane = &self.lanes[(name >> 1) as usize % LANES];
-        let (word, amount) = (format!("{name:x}"), format!("{}", amount as f32));
+        let connection = &self.connections[(name >> 1) as usize % CONNECTIONS];
+        let (key, amount) = (format!("{name:x}"), format!("{}", amount as f32));
         let life = format!("{}", ((life.secs() * 1e3).round() as i64).max(1));
-        let mut unsent = lane.unsent.borrow_mut();
-        let (before, start) = (unsent.len(), lane.put.get());
-        write_call(&mut unsent, &["CNT.ADD", &word, &amount, &life]);
+        let mut unsent = connection.unsent.borrow_mut();
+        let (before, start) = (unsent.len(), connection.queued.get());
+        write_call(&mut unsent, &["CNT.ADD", &key, &amount, &life]);
         let end = start + (unsent.len() - before) as u64;
-        lane.put.set(end);
-        let call = Call { name, until: Instant::now() + self.wait, start, end, over: false };
-        let mut calls = lane.calls.borrow_mut();
-        if calls.iter().all(|c| c.over) {
-            lane.woken.notify_one();
+        connection.queued.set(end);
+        let call = Call { name, deadline: Instant::now() + self.reply_timeout, start, end, expired: false };
+        let mut calls = connection.calls.borrow_mut();
+        if calls.iter().all(|c| c.expired) {
+            connection.call_added.notify_one();
         }
         calls.push_back(call);
     }
     fn flush(&self) {
-        self.lanes.iter().for_each(|lane| self.send(lane));
+        self.connections.iter().for_each(|connection| self.send(connection));
     }
 }
--- a/gateway/src/protocol/discovery.rs
+++ b/gateway/src/protocol/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the watch on the list of srvs, opened anew whenever it ends or falls silent.
+//! The client of discovery. It watches the server list, and opens the watch again whenever it ends or falls silent.
 
 use super::Exchange;
 use bytes::Bytes;
@@ -21,17 +21,18 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// An empty line comes every two seconds; after two that did not, the connection is taken to be dead. What a
-/// new one brings is then still in time: news counts as told six seconds after it is made.
-const SILENCE: Duration = Duration::from_millis(4500);
+/// Discovery sends an empty line every two seconds. After two missing lines the connection is considered dead. The new
+/// connection then still delivers changes in time: they are due six seconds after they are made.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(4500);
 
-/// Between two tries: doubled from the first to the second figure. The agent is on this machine and answers
-/// at no cost.
+/// The pause between two attempts. It doubles from the first to the second value. The discovery agent is on the same
+/// machine, so that attempts are cheap.
 const BACK_OFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
-/// The longest line: some thousands of srvs.
-const LONGEST_LINE: usize = 4 << 20;
+/// The longest line in bytes; room for some thousands of servers.
+const MAX_LINE_BYTES: usize = 4 << 20;
 
+/// A message of discovery.
 #[derive(Deserialize)]
 pub struct WireMembers {
     generation: u64,
@@ -40,6 +41,7 @@
     instances: Vec<WireMember>,
 }
 
+/// A server in a message of discovery.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireMember {
@@ -52,26 +54,30 @@
     started_at_ms: Option<u64>,
 }
 
-/// A version of the list: whole, or what changed.
+/// A version of the server list: the whole list, or the changes since the version before.
 pub struct Members {
+    /// The number of this version.
     pub generation: u64,
-    pub whole: bool,
+    /// Whether this is the whole list.
+    pub is_full: bool,
+    /// The servers.
     pub entries: Vec<ServerListEntry>,
-    /// What is wrong with entries that were left out.
+    /// The errors of entries that were left out.
     pub faults: Vec<String>,
 }
 
 impl WireMembers {
+    /// Converts the message; `zones` are the known zones.
     pub fn members(self, zones: &[String]) -> Members {
-        let (generation, whole) = (self.generation, self.reset);
-        let mut m = Members { generation, whole, entries: Vec::new(), faults: Vec::new() };
+        let (generation, is_full) = (self.generation, self.reset);
+        let mut members = Members { generation, is_full, entries: Vec::new(), faults: Vec::new() };
         for entry in self.instances {
             match entry.entry(zones) {
-                Ok(e) => m.entries.push(e),
-                Err(fault) => m.faults.push(fault),
+                Ok(e) => members.entries.push(e),
+                Err(fault) => members.faults.push(fault),
             }
         }
-        m
+        members
     }
 }
 
@@ -81,11 +87,11 @@
             "active" => ServerState::Ready,
             "leaving" => ServerState::Draining,
             "left" => ServerState::Gone,
-            _ => ServerState::Draining, // whatever it is in, it does not say that it takes new work
+            _ => ServerState::Draining, // an unknown state does not say that it accepts new requests
         };
         let addr = self.host_port.parse::<SocketAddr>();
-        let addr = addr.map_err(|_| format!("`hostPort`: `{}` is no address", self.host_port))?;
-        let born = self.started_at_ms.filter(|ms| *ms > 0);
+        let addr = addr.map_err(|_| format!("`hostPort`: `{}` is not an address", self.host_port))?;
+        let started_at_ms = self.started_at_ms.filter(|ms| *ms > 0);
         let zone = zones.iter().position(|z| Some(z) == self.zone.as_ref());
         let server_entry = ServerEntry {
             server: 0,
@@ -93,112 +99,126 @@
             cell: self.cell.unwrap_or_default(),
             state,
             weight: self.weight.unwrap_or(1.0),
-            started_at: born.map(|ms| Timestamp::default() + Span::millis(ms as i64)),
+            started_at: started_at_ms.map(|ms| Timestamp::default() + Span::millis(ms as i64)),
         };
         Ok(ServerListEntry { name: self.instance_id, addr, server_entry })
     }
 }
 
+/// The client of discovery.
 pub struct Discovery {
     exchange: Rc<Exchange>,
     addr: Cell<SocketAddr>,
-    moved: Notify,
+    address_changed: Notify,
     zones: Vec<String>,
-    connect_wait: Duration,
+    connect_timeout: Duration,
     generation: Cell<Option<u64>>,
     answered: Cell<bool>,
 }
 
 impl Discovery {
+    /// Starts the watch. `known` is the server list to begin with.
     pub fn start(
         exchange: &Rc<Exchange>,
         addr: SocketAddr,
         zones: Vec<String>,
-        connect_wait: Span,
+        connect_timeout: Span,
         known: Option<Members>,
     ) -> Rc<Discovery> {
-        let generation = Cell::new(known.as_ref().map(|k| k.generation));
-        let connect_wait = duration(connect_wait);
+        let generation = Cell::new(known.as_ref().map(|known| known.generation));
+        let connect_timeout = duration(connect_timeout);
         let exchange = exchange.clone();
-        if let Some(k) = known {
-            exchange.update_servers(ListKind::Cached, k.entries);
+        if let Some(known) = known {
+            exchange.update_servers(ListKind::Cached, known.entries);
         }
-        let (addr, moved, answered) = (Cell::new(addr), Notify::new(), Cell::new(false));
-        let d = Rc::new(Discovery { exchange, addr, moved, zones, connect_wait, generation, answered });
-        tokio::task::spawn_local(d.clone().follow());
-        d
+        let (addr, address_changed, answered) = (Cell::new(addr), Notify::new(), Cell::new(false));
+        let discovery = Rc::new(Discovery {
+            exchange,
+            addr,
+            address_changed,
+            zones,
+            connect_timeout,
+            generation,
+            answered,
+        });
+        tokio::task::spawn_local(discovery.clone().run());
+        discovery
     }
 
-    /// Discovery has another address: the list as it is serves until the watch there goes on from it.
-    pub fn move_to(&self, addr: SocketAddr) {
+    /// Sets another address of discovery. The current list stays in use until the watch at the new address continues
+    /// it.
+    pub fn set_address(&self, addr: SocketAddr) {
         if self.addr.replace(addr) != addr {
-            self.moved.notify_one();
+            self.address_changed.notify_one();
         }
     }
 
-    /// Whether the watch has brought a line.
-    pub fn answered(&self) -> bool {
+    /// Whether a line was received from the watch.
+    pub fn has_answered(&self) -> bool {
         self.answered.get()
     }
 
-    async fn follow(self: Rc<Discovery>) {
+    /// Keeps the watch open.
+    async fn run(self: Rc<Discovery>) {
         let mut pause = BACK_OFF.0;
         loop {
             let addr = self.addr.get();
-            let ending = EndLog::new("discovery", addr);
+            let end_log = EndLog::new("discovery", addr);
             let lines = Cell::new(0u64);
             tokio::select! {
-                why = self.watch(addr, &lines) => ending.set_reason(why),
-                _ = self.moved.notified() => {
-                    ending.set_reason(EndReason::Moved);
+                reason = self.watch(addr, &lines) => end_log.set_reason(reason),
+                _ = self.address_changed.notified() => {
+                    end_log.set_reason(EndReason::Moved);
                     pause = BACK_OFF.0;
                     continue;
                 }
             }
-            drop(ending);
+            drop(end_log);
             if lines.get() > 1 {
                 pause = BACK_OFF.0;
             }
             tokio::select! {
                 _ = tokio::time::sleep(pause) => pause = (pause * 2).min(BACK_OFF.1),
-                _ = self.moved.notified() => pause = BACK_OFF.0,
+                _ = self.address_changed.notified() => pause = BACK_OFF.0,
             }
         }
     }
 
+    /// Opens a connection and watches on it until it ends.
     async fn watch(&self, addr: SocketAddr, lines: &Cell<u64>) -> EndReason {
-        let stream = match connect(addr, self.connect_wait, None).await {
+        let stream = match connect(addr, self.connect_timeout, None).await {
             Ok(stream) => stream,
             Err(e) => return EndReason::from_connect_error(&e),
         };
-        let Ok((mut send, conn)) = http1::handshake(TokioIo::new(stream)).await else {
+        let Ok((mut send, connection)) = http1::handshake(TokioIo::new(stream)).await else {
             return EndReason::PeerReset;
         };
-        // ended with this future, also where that is dropped
-        let conn = std::pin::pin!(conn);
+        // dropped together with this future
+        let connection = std::pin::pin!(connection);
         tokio::select! {
             biased;
-            why = self.lines(&mut send, lines) => why,
-            _ = conn => EndReason::PeerReset,
+            reason = self.read_lines(&mut send, lines) => reason,
+            _ = connection => EndReason::PeerReset,
         }
     }
 
-    async fn lines(&self, send: &mut http1::SendRequest<Empty<Bytes>>, lines: &Cell<u64>) -> EndReason {
+    /// Requests the watch and applies its lines until it ends.
+    async fn read_lines(&self, send: &mut http1::SendRequest<Empty<Bytes>>, lines: &Cell<u64>) -> EndReason {
         let path = match self.generation.get() {
-            Some(g) => format!("/catalog/members?watch=1&from={g}"),
+            Some(generation) => format!("/catalog/members?watch=1&from={generation}"),
             None => "/catalog/members?watch=1".to_string(),
         };
-        let Ok(mut req) = Request::get(path).body(Empty::new()) else { return EndReason::Unexpected };
-        req.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
-        let answer = match timeout(SILENCE, send.send_request(req)).await {
+        let Ok(mut request) = Request::get(path).body(Empty::new()) else { return EndReason::Unexpected };
+        request.headers_mut().insert(HOST, HeaderValue::from_static("discovery"));
+        let response = match timeout(SILENCE_TIMEOUT, send.send_request(request)).await {
             Err(_) => return EndReason::Silent,
             Ok(Err(_)) => return EndReason::PeerReset,
-            Ok(Ok(answer)) if answer.status() != StatusCode::OK => return EndReason::Unexpected,
-            Ok(Ok(answer)) => answer,
+            Ok(Ok(response)) if response.status() != StatusCode::OK => return EndReason::Unexpected,
+            Ok(Ok(response)) => response,
         };
-        let (mut body, mut text) = (answer.into_body(), Vec::new());
+        let (mut body, mut text) = (response.into_body(), Vec::new());
         loop {
-            let data = match timeout(SILENCE, body.frame()).await {
+            let data = match timeout(SILENCE_TIMEOUT, body.frame()).await {
                 Err(_) => return EndReason::Silent,
                 Ok(None) => return EndReason::PeerClosed,
                 Ok(Some(Err(_))) => return EndReason::PeerReset,
@@ -212,27 +232,30 @@
                 if line.trim_ascii().is_empty() {
                     continue;
                 }
-                if let Err(e) = self.news(&line) {
+                if let Err(e) = self.apply(&line) {
                     log::warn!("discovery: {e}");
-                    // nothing after a line that was not understood can be relied on: the whole list again
+                    // after a line that could not be parsed the state is unknown: request the whole list again
                     self.generation.set(None);
                     return EndReason::Malformed;
                 }
             }
-            if text.len() > LONGEST_LINE {
+            if text.len() > MAX_LINE_BYTES {
                 return EndReason::Malformed;
             }
         }
     }
 
-    fn news(&self, line: &[u8]) -> Result<(), String> {
-        let wire: WireMembers = serde_json::from_slice(line).map_err(|e| e.to_string())?;
-        let news = wire.members(&self.zones);
-        news.faults.iter().for_each(|f| log::warn!("discovery: an entry left out: {f}"));
-        self.generation.set(Some(news.generation));
-        if news.whole || !news.entries.is_empty() {
-            self.exchange
-                .update_servers(if news.whole { ListKind::Full } else { ListKind::Delta }, news.entries);
+    /// Applies one message.
+    fn apply(&self, line: &[u8]) -> Result<(), String> {
+        let message: WireMembers = serde_json::from_slice(line).map_err(|e| e.to_string())?;
+        let members = message.members(&self.zones);
+        members.faults.iter().for_each(|fault| log::warn!("discovery: entry ignored: {fault}"));
+        self.generation.set(Some(members.generation));
+        if members.is_full || !members.entries.is_empty() {
+            self.exchange.update_servers(
+                if members.is_full { ListKind::Full } else { ListKind::Delta },
+                members.entries,
+            );
         }
         Ok(())
     }
--- a/gateway/src/protocol/mod.rs
+++ b/gateway/src/protocol/mod.rs
@@ -1,29 +1,38 @@
+//! The protocol of the gateway towards clients, servers, the counter and discovery.
+
 pub mod client;
 pub mod counter;
 pub mod discovery;
 pub mod resp;
-pub mod srv;
+pub mod server;
 
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use lupinledge_proxy::exchange;
-use srv::Edge;
+use server::GatewayProtocol;
 
-pub type Exchange = exchange::Exchange<Edge>;
+/// The exchange of the gateway.
+pub type Exchange = exchange::Exchange<GatewayProtocol>;
 
-/// What goes on from the client to a srv, as it came.
-pub struct Carried {
+/// The parts of a request that are forwarded to a server unchanged.
+pub struct ForwardedRequest {
+    /// The method.
     pub method: Method,
+    /// The path and query.
     pub uri: Uri,
+    /// The request id.
     pub id: HeaderValue,
+    /// The idempotency key.
     pub key: Option<HeaderValue>,
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// What a srv made for a req.
+/// A server's successful response.
 #[derive(Debug)]
-pub struct Made {
-    pub kind: Option<HeaderValue>,
+pub struct ServerResponse {
+    /// Its content type.
+    pub content_type: Option<HeaderValue>,
     pub body: Bytes,
 }
--- a/gateway/tests/sockets.rs
+++ b/gateway/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Starts the program among stand-ins and speaks to it over sockets.
+//! Starts the program with fake servers, discovery and counter, and tests it over sockets.
 
 use lupinledge_example::discovery::{entry, Discovery};
 use lupinledge_example::http::{Client, Message};
@@ -17,44 +17,45 @@
 use test_case::test_case;
 
 const ANSWER: Manner = Manner::Answer(Duration::ZERO);
-/// What has not come by then never does, however busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
+/// The limit for all waits; on a busy machine too, what has not happened by then never does.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// Waits until something holds; fails when it never does.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds; fails if it never does.
+fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < LONG, "never: {what}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "never: {what}");
         sleep(ms(5));
     }
 }
 
-/// A connection of a client that waits for long.
-fn client(addr: SocketAddr) -> Client {
-    Client::within(addr, LONG).expect("a connection")
+/// A client connection with the long timeout.
+fn connect(addr: SocketAddr) -> Client {
+    Client::within(addr, TIMEOUT).expect("a connection")
 }
 
-/// A span without the time for which the program, this thread and the stand-ins named waited for a processor: what
-/// a machine that is busy with other things adds. The bounds on it are those of an idle machine.
-struct Lap<'a> {
+/// Measures time without the time for which the program, this thread and the given fakes waited for a processor,
+/// which a busy machine adds. Tests can thus use the limits of an idle machine.
+struct Stopwatch<'a> {
     start: Instant,
     program: PathBuf,
     others: Vec<&'a dyn Fn() -> Duration>,
     waited: Duration,
 }
 
-impl<'a> Lap<'a> {
-    fn start(program: PathBuf, others: &[&'a dyn Fn() -> Duration]) -> Lap<'a> {
-        let mut lap = Lap { start: Instant::now(), program, others: others.to_vec(), waited: Duration::ZERO };
-        lap.waited = lap.waits();
-        lap
+impl<'a> Stopwatch<'a> {
+    fn start(program: PathBuf, others: &[&'a dyn Fn() -> Duration]) -> Stopwatch<'a> {
+        let mut stopwatch =
+            Stopwatch { start: Instant::now(), program, others: others.to_vec(), waited: Duration::ZERO };
+        stopwatch.waited = stopwatch.waits();
+        stopwatch
     }
     fn waits(&self) -> Duration {
-        waits::of(&self.program) + waits::here() + self.others.iter().map(|o| o()).sum::<Duration>()
+        waits::of(&self.program) + waits::here() + self.others.iter().map(|other| other()).sum::<Duration>()
     }
     fn passed(&self) -> Duration {
         let waited = self.waits().saturating_sub(self.waited);
@@ -62,7 +63,7 @@
     }
 }
 
-/// The program, killed when dropped.
+/// The running program, killed when dropped.
 struct Gateway {
     child: Child,
     addr: SocketAddr,
@@ -72,43 +73,44 @@
     counter: Counter,
 }
 
-/// The example's configuration with changes, in a file of its own. Spans that a test is not about are long.
+/// Writes the example configuration with changes to a file of its own. Timeouts that a test is not about are long.
 fn configuration(change: impl FnOnce(&mut Value)) -> std::path::PathBuf {
     static FILES: AtomicU64 = AtomicU64::new(0);
-    let mut v: Value = serde_json::from_str(include_str!("../../example/config.json")).expect("JSON");
-    v["listen"] = json!("127.0.0.1:0");
-    v["settings"]["familyInfo"]["countWait"] = json!(10);
-    wait(&mut v, 20.0, 60.0);
-    change(&mut v);
-    let nth = FILES.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("lupinledge-{}-{nth}.json", std::process::id()));
-    std::fs::write(&path, v.to_string()).expect("a configuration file");
+    let mut config: Value = serde_json::from_str(include_str!("../../example/config.json")).expect("JSON");
+    config["listen"] = json!("127.0.0.1:0");
+    config["settings"]["familyInfo"]["countWait"] = json!(10);
+    set_deadlines(&mut config, 20.0, 60.0);
+    change(&mut config);
+    let index = FILES.fetch_add(1, Ordering::Relaxed);
+    let path = std::env::temp_dir().join(format!("lupinledge-{}-{index}.json", std::process::id()));
+    std::fs::write(&path, config.to_string()).expect("a configuration file");
     path
 }
 
-/// With these times, in seconds, within which an answer is worth something, and after which its client is gone.
-fn wait(v: &mut Value, slo: f64, deadline: f64) {
-    let classes = v["settings"]["classes"].as_array_mut().expect("frontends");
+/// Sets the time in seconds within which an answer is useful, and the one after which its client is gone.
+fn set_deadlines(config: &mut Value, slo: f64, deadline: f64) {
+    let classes = config["settings"]["classes"].as_array_mut().expect("frontends");
     classes.iter_mut().for_each(|c| (c["slo"], c["deadline"]) = (json!(slo), json!(deadline)));
 }
 
 fn program(path: &std::path::Path) -> Command {
-    let mut c = Command::new(env!("CARGO_BIN_EXE_lupinledge"));
-    c.env("EDGE_CONFIG", path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-    c
+    let mut command = Command::new(env!("CARGO_BIN_EXE_lupinledge"));
+    command.env("EDGE_CONFIG", path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
 }
 
 impl Gateway {
-    /// With these srvs, each in a zone of its own.
-    fn start(srvs: &[SocketAddr]) -> Gateway {
-        Gateway::with(srvs, |_| {})
+    /// Starts the program with these servers, each in a zone of its own.
+    fn start(servers: &[SocketAddr]) -> Gateway {
+        Gateway::with(servers, |_| {})
     }
 
-    fn with(srvs: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Gateway {
+    /// Starts the program with these servers and a changed configuration.
+    fn with(servers: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Gateway {
         let discovery = Discovery::start("127.0.0.1:0").expect("discovery");
         let counter = Counter::start("127.0.0.1:0", counter::Manner::Answer).expect("counter");
-        if !srvs.is_empty() {
-            discovery.put(srvs.iter().enumerate().map(|(i, s)| row(i, *s, "active")).collect());
+        if !servers.is_empty() {
+            discovery.put(servers.iter().enumerate().map(|(i, s)| server_entry(i, *s, "active")).collect());
         }
         let path = configuration(|v| {
             v["discovery"] = json!(discovery.addr.to_string());
@@ -117,10 +119,10 @@
         });
         let mut child = program(&path).spawn().expect("the program");
         let log = Arc::new(Mutex::new(String::new()));
-        let (to, from) = (log.clone(), child.stderr.take().expect("its log"));
+        let (log_writer, stderr) = (log.clone(), child.stderr.take().expect("its log"));
         spawn(move || {
-            BufReader::new(from).lines().map_while(Result::ok).for_each(|l| {
-                let mut log = to.lock().unwrap();
+            BufReader::new(stderr).lines().map_while(Result::ok).for_each(|l| {
+                let mut log = log_writer.lock().unwrap();
                 log.push_str(&l);
                 log.push('\n');
             })
@@ -131,7 +133,7 @@
         until("it listens", || listens(&log.lock().unwrap()).is_some());
         let addr = listens(&log.lock().unwrap()).expect("its address");
         let gateway = Gateway { child, addr, path, log, discovery, counter };
-        if !srvs.is_empty() {
+        if !servers.is_empty() {
             until("it is ready", || gateway.health() == 200);
         }
         gateway
@@ -140,27 +142,27 @@
     fn health(&self) -> u16 {
         self.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n").status()
     }
-    /// One req on a connection of its own.
+    /// Sends one request on a connection of its own.
     fn ask(&self, bytes: &[u8]) -> Message {
-        client(self.addr).ask(bytes).expect("an answer").expect("a whole answer")
+        connect(self.addr).ask(bytes).expect("a response").expect("a whole response")
     }
-    /// Begins a span, see `Lap`.
-    fn lap<'a>(&self, others: &[&'a dyn Fn() -> Duration]) -> Lap<'a> {
-        Lap::start(self.proc(), others)
+    /// Starts a stopwatch.
+    fn stopwatch<'a>(&self, others: &[&'a dyn Fn() -> Duration]) -> Stopwatch<'a> {
+        Stopwatch::start(self.proc(), others)
     }
     fn proc(&self) -> PathBuf {
         PathBuf::from(format!("/proc/{}", self.child.id()))
     }
-    /// Its exit, and the span until then.
-    fn exit(&mut self, lap: &Lap) -> (ExitStatus, Duration) {
+    /// Waits for the exit; returns its status and the time until then.
+    fn wait_exit(&mut self, stopwatch: &Stopwatch) -> (ExitStatus, Duration) {
         let start = Instant::now();
         loop {
-            // the machine's count of its waits goes with the process
-            let passed = lap.passed();
+            // read before: the kernel's count of the waits disappears with the process
+            let passed = stopwatch.passed();
             if let Some(status) = self.child.try_wait().expect("its state") {
                 return (status, passed);
             }
-            assert!(start.elapsed() < LONG, "never: its exit");
+            assert!(start.elapsed() < TIMEOUT, "never: its exit");
             sleep(ms(5));
         }
     }
@@ -171,7 +173,7 @@
         let kill = Command::new("sh").arg("-c").arg(format!("kill -{name} {}", self.child.id())).status();
         assert!(kill.expect("a shell").success());
     }
-    /// A counter's figure from the last line of counters.
+    /// The value of a count in the last line of counters.
     fn count(&self, name: &str) -> Option<u64> {
         let log = self.log();
         let line = log.lines().rev().find(|l| l.contains(" counters "))?;
@@ -186,21 +188,21 @@
     }
 }
 
-fn row(i: usize, addr: SocketAddr, lifecycle: &str) -> Value {
+fn server_entry(i: usize, addr: SocketAddr, lifecycle: &str) -> Value {
     entry(&format!("s{i}"), addr, ["east", "west"][i % 2], lifecycle, 0)
 }
 
-fn srv(manner: Manner) -> Srv {
-    Srv::start("127.0.0.1:0", manner).expect("a srv")
+fn start_server(manner: Manner) -> Srv {
+    Srv::start("127.0.0.1:0", manner).expect("a server")
 }
 
-/// An address at which nobody listens.
-fn nobody() -> SocketAddr {
+/// An address at which no process listens.
+fn unused_addr() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address")
 }
 
-/// A req with an id never used before.
-fn req(frontend: &str, plan: &str, wait: &str) -> String {
+/// A request with a new id.
+fn request(frontend: &str, plan: &str, deadline: &str) -> String {
     static IDS: AtomicU64 = AtomicU64::new(1);
     let id = IDS.fetch_add(1, Ordering::Relaxed);
     let method = if frontend == "quote" { "GET" } else { "POST" };
@@ -209,18 +211,18 @@
     let customer = 0xb4d65521_u64 + (plan == "team") as u64 + 2 * (plan == "free") as u64;
     format!(
         "{method} /{frontend}/7?client={customer:016x} HTTP/1.1\r\nHost: api.internal\r\n\
-         X-Request-Id: {id:016x}\r\nPlan: {plan}\r\nX-Deadline: {wait}\r\n{key}{body}\
+         X-Request-Id: {id:016x}\r\nPlan: {plan}\r\nX-Deadline: {deadline}\r\n{key}{body}\
          Quota-Info: units=1,spread=1,first=0\r\n\r\n{}",
         if body.is_empty() { "" } else { "hello" }
     )
 }
 
 #[test]
-fn a_req_goes_on_as_it_came_and_its_answer_comes_back() {
-    let s = srv(ANSWER);
-    let g = Gateway::start(&[s.addr]);
-    let answer = g.ask(req("order", "house", "45.500").as_bytes());
-    let seen = s.seen().remove(0);
+fn request_and_response_are_forwarded_unchanged() {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::start(&[server.addr]);
+    let answer = gateway.ask(request("order", "house", "45.500").as_bytes());
+    let seen = server.seen().remove(0);
     assert_eq!(
         (answer.status(), seen.start.as_str()),
         (200, "POST /order/7?client=00000000b4d65521 HTTP/1.1")
@@ -228,160 +230,162 @@
     let id = seen.header("x-request-id").expect("an id").to_string();
     assert_eq!(answer.text(), format!("made for {id}\n"));
     assert!(seen.header("idempotency-key").is_some_and(|k| k.starts_with('k')));
-    let wait: f64 = seen.header("x-deadline").and_then(|w| w.parse().ok()).expect("a wait");
-    assert!(wait > 0.0 && wait <= 45.5);
+    let deadline: f64 = seen.header("x-deadline").and_then(|w| w.parse().ok()).expect("a deadline");
+    assert!(deadline > 0.0 && deadline <= 45.5);
     assert_eq!(seen.body, b"hello");
 }
 
-/// Nothing depends on how either side's bytes are cut.
+/// The result does not depend on how the bytes of either side are split.
 #[test]
 fn split_writes() {
-    let s = srv(Manner::Trickle);
-    let g = Gateway::start(&[s.addr]);
-    let mut c = client(g.addr);
+    let server = start_server(Manner::Trickle);
+    let gateway = Gateway::start(&[server.addr]);
+    let mut client = connect(gateway.addr);
     for _ in 0..2 {
-        let (text, start) = (req("order", "team", "60"), Instant::now());
+        let (text, start) = (request("order", "team", "60"), Instant::now());
         let mut left = text.as_bytes();
-        // in one go what is left then: the gateway bounds the time for a whole req
+        // the rest in one write, since the gateway limits the time for a whole request
         while start.elapsed() < ms(500) && !left.is_empty() {
-            c.write(&left[..1]).unwrap();
+            client.write(&left[..1]).unwrap();
             left = &left[1..];
             sleep(Duration::from_micros(200));
         }
-        c.write(left).unwrap();
-        assert_eq!(c.answer().unwrap().expect("an answer").status(), 200);
+        client.write(left).unwrap();
+        assert_eq!(client.answer().unwrap().expect("a response").status(), 200);
     }
-    assert_eq!((s.seen().len(), s.connections()), (2, 1), "the connection to the srv is used again");
+    assert_eq!((server.seen().len(), server.connections()), (2, 1), "the connection to the server is reused");
 }
 
 #[test_case("/quote", "/nothing", 404; "an unknown frontend")]
 #[test_case("X-Request-Id", "X-Other", 400; "no id")]
 #[test_case("client=00000000b4d65521", "client=b4d65521", 400; "a short customer")]
 #[test_case("client=00000000b4d65521", "client=+0000000b4d65521", 400; "a sign in the customer")]
-#[test_case("client=00000000b4d65521", "client=ffffffffffffffff", 400; "a customer past all")]
+#[test_case("client=00000000b4d65521", "client=ffffffffffffffff", 400; "a customer that is too large")]
 #[test_case("Plan: house", "Plan: none", 400; "an unknown plan")]
-#[test_case("X-Deadline: 60", "X-Deadline: soon", 400; "no seconds to wait")]
-#[test_case("X-Deadline: 60", "X-Deadline: NaN", 400; "a wait that is no number")]
-#[test_case("X-Deadline: 60", "X-Deadline: -1", 400; "a wait below nothing")]
+#[test_case("X-Deadline: 60", "X-Deadline: soon", 400; "a deadline that is not in seconds")]
+#[test_case("X-Deadline: 60", "X-Deadline: NaN", 400; "a deadline that is not a number")]
+#[test_case("X-Deadline: 60", "X-Deadline: -1", 400; "a negative deadline")]
 #[test_case("units=1", "units=x", 400; "no units")]
-#[test_case("units=1", "units=4.5", 400; "units past the largest")]
-#[test_case("units=1", "units=-1", 400; "units below nothing")]
-#[test_case("units=1", "units=NaN", 400; "units that are no number")]
-#[test_case("spread=1", "spread=2", 400; "a set past the gateways")]
-#[test_case("spread=1", "spread=0.5", 400; "a part of a gateway")]
-#[test_case("first=0", "first=1", 400; "a first gateway that is not there")]
-#[test_case("first=0", "first=x", 400; "a first gateway that is no number")]
+#[test_case("units=1", "units=4.5", 400; "units above the maximum")]
+#[test_case("units=1", "units=-1", 400; "negative units")]
+#[test_case("units=1", "units=NaN", 400; "units that are not a number")]
+#[test_case("spread=1", "spread=2", 400; "a spread above the number of gateways")]
+#[test_case("spread=1", "spread=0.5", 400; "a fractional spread")]
+#[test_case("first=0", "first=1", 400; "a first gateway that does not exist")]
+#[test_case("first=0", "first=x", 400; "a first gateway that is not a number")]
 #[test_case("spread=1,", "", 400; "no spread")]
 #[test_case("GET /quote", "POST /quote", 405; "a method that is not the frontend's")]
-#[test_case("GET /quote", "POST /order", 400; "no mark on a uniqued req")]
+#[test_case("GET /quote", "POST /order", 400; "no idempotency key on a deduplicated request")]
 #[test_case("Host: api.internal", "Host api.internal", 400; "a header without a colon")]
-#[test_case("HTTP/1.1", "SPEECH/9", 400; "no HTTP")]
-#[test_case("GET /quote", "POST /notice", 200; "a sound one, for comparison")]
-fn malformed(from: &str, to: &str, status: u16) {
-    let s = srv(ANSWER);
-    let g = Gateway::start(&[s.addr]);
-    let text = req("quote", "house", "60").replace(from, to);
-    assert_eq!(g.ask(text.as_bytes()).status(), status, "{text}");
-    assert_eq!(s.seen().len(), (status == 200) as usize);
-    g.signal("USR1");
-    until("counters", || g.count("taken").is_some());
-    assert_eq!(g.count("taken"), Some((status == 200) as u64));
-}
-
-/// A req that may hide another one in its body goes nowhere, nor does one whose body is not as long as told.
+#[test_case("HTTP/1.1", "SPEECH/9", 400; "not HTTP")]
+#[test_case("GET /quote", "POST /notice", 200; "a valid request, for comparison")]
+fn malformed_requests_are_refused(from: &str, to: &str, status: u16) {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::start(&[server.addr]);
+    let text = request("quote", "house", "60").replace(from, to);
+    assert_eq!(gateway.ask(text.as_bytes()).status(), status, "{text}");
+    assert_eq!(server.seen().len(), (status == 200) as usize);
+    gateway.signal("USR1");
+    until("counters", || gateway.count("taken").is_some());
+    assert_eq!(gateway.count("taken"), Some((status == 200) as u64));
+}
+
+/// A request that may smuggle another one in its body must not be forwarded, and neither one whose body does not have
+/// the announced length.
 #[test_case("Content-Length: 5\r\nTransfer-Encoding: chunked", "0\r\n\r\n"; "two lengths")]
-#[test_case("Transfer-Encoding: chunked\r\nContent-Length: 5", "0\r\n\r\n"; "the other way round")]
+#[test_case("Transfer-Encoding: chunked\r\nContent-Length: 5", "0\r\n\r\n"; "two lengths in the other order")]
 #[test_case("Content-Length: 2", "hello"; "a body past its length")]
-#[test_case("Content-Length: -5", "hello"; "a length below nothing")]
-#[test_case("Content-Length: 99999999999999999999", "hello"; "a length past all")]
-fn doubtful_framing(lengths: &str, body: &str) {
-    let s = srv(ANSWER);
-    let g = Gateway::start(&[s.addr]);
-    let text = req("notice", "house", "60").replace("Content-Length: 5", lengths);
-    let text = text.strip_suffix("hello").unwrap().to_string() + body + &req("quote", "house", "60");
-    let mut c = client(g.addr);
-    c.write(text.as_bytes()).unwrap();
-    assert_eq!(c.answer().unwrap().expect("an answer").status(), 400);
-    assert!(!matches!(c.answer(), Ok(Some(_))), "the connection ends");
-    assert_eq!(s.seen().len(), 0);
-}
-
-/// Pipelined reqs are reqs all the same.
+#[test_case("Content-Length: -5", "hello"; "a negative length")]
+#[test_case("Content-Length: 99999999999999999999", "hello"; "a length that is too large")]
+fn ambiguous_framing_is_refused(lengths: &str, body: &str) {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::start(&[server.addr]);
+    let text = request("notice", "house", "60").replace("Content-Length: 5", lengths);
+    let text = text.strip_suffix("hello").unwrap().to_string() + body + &request("quote", "house", "60");
+    let mut client = connect(gateway.addr);
+    client.write(text.as_bytes()).unwrap();
+    assert_eq!(client.answer().unwrap().expect("a response").status(), 400);
+    assert!(!matches!(client.answer(), Ok(Some(_))), "the connection is closed");
+    assert_eq!(server.seen().len(), 0);
+}
+
+/// Pipelined requests are answered in order.
 #[test]
-fn reqs_behind_one_another() {
-    let s = srv(ANSWER);
-    let g = Gateway::start(&[s.addr]);
-    let mut c = client(g.addr);
-    c.write((req("notice", "house", "60") + &req("quote", "house", "60")).as_bytes()).unwrap();
-    assert_eq!([0; 2].map(|_| c.answer().unwrap().expect("an answer").status()), [200, 200]);
+fn pipelined_requests() {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::start(&[server.addr]);
+    let mut client = connect(gateway.addr);
+    client.write((request("notice", "house", "60") + &request("quote", "house", "60")).as_bytes()).unwrap();
+    assert_eq!([0; 2].map(|_| client.answer().unwrap().expect("a response").status()), [200, 200]);
 }
 
-/// An id that is open, or was lately, belongs to that req alone.
+/// The id of an open or a recent request must not be used again.
 #[test]
-fn an_id_had_before() {
-    let s = srv(Manner::Held);
-    let g = Gateway::start(&[s.addr]);
-    let text = req("quote", "house", "60");
-    let mut c = client(g.addr);
-    c.write(text.as_bytes()).unwrap();
-    until("it is out", || !s.seen().is_empty());
-    assert_eq!(g.ask(text.as_bytes()).status(), 409, "while it is open");
-    s.now(ANSWER);
-    assert_eq!(c.answer().unwrap().expect("its answer").status(), 200);
-    assert_eq!(g.ask(text.as_bytes()).status(), 409, "when it is answered");
-    assert_eq!(s.seen().len(), 1);
-}
-
-/// Who says nothing, never ends a head or a body, or asked once and stays, is ended in time; others go on.
+fn repeated_request_id() {
+    let server = start_server(Manner::Held);
+    let gateway = Gateway::start(&[server.addr]);
+    let text = request("quote", "house", "60");
+    let mut client = connect(gateway.addr);
+    client.write(text.as_bytes()).unwrap();
+    until("it is dispatched", || !server.seen().is_empty());
+    assert_eq!(gateway.ask(text.as_bytes()).status(), 409, "while the request is open");
+    server.now(ANSWER);
+    assert_eq!(client.answer().unwrap().expect("its response").status(), 200);
+    assert_eq!(gateway.ask(text.as_bytes()).status(), 409, "after the request is answered");
+    assert_eq!(server.seen().len(), 1);
+}
+
+/// A client that sends nothing, never completes a head or a body, or stays after a request, is disconnected in time.
+/// Other clients are served meanwhile.
 #[test_case(b""; "nothing")]
 #[test_case(b"GET /quote/7 HTTP/1.1\r\n"; "a head without an end")]
 #[test_case(b"POST /notice/7?client=00000000b4d65521 HTTP/1.1\r\nX-Request-Id: 1\r\nPlan: house\r\n\
-    X-Deadline: 9\r\nQuota-Info: units=1,spread=1,first=0\r\nContent-Length: 60000\r\n\r\n"; "a body without one")]
-fn endless(begin: &[u8]) {
-    let s = srv(ANSWER);
-    let g = Gateway::start(&[s.addr]);
-    let (start, proc) = (Instant::now(), g.proc());
-    let mut stayed = client(g.addr);
-    assert_eq!(stayed.ask(req("quote", "house", "60").as_bytes()).unwrap().unwrap().status(), 200);
-    let mut bad = client(g.addr);
-    bad.write(begin).unwrap();
-    let (addr, drips, program) = (g.addr, !begin.is_empty(), proc.clone());
-    let ended = spawn(move || {
-        let lap = Lap::start(program, &[]);
-        while drips && start.elapsed() < LONG && bad.write(b"a").is_ok() {
+    X-Deadline: 9\r\nQuota-Info: units=1,spread=1,first=0\r\nContent-Length: 60000\r\n\r\n"; "a body without an end")]
+fn stalled_clients_are_disconnected(begin: &[u8]) {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::start(&[server.addr]);
+    let (start, proc) = (Instant::now(), gateway.proc());
+    let mut idle_client = connect(gateway.addr);
+    assert_eq!(idle_client.ask(request("quote", "house", "60").as_bytes()).unwrap().unwrap().status(), 200);
+    let mut stalled = connect(gateway.addr);
+    stalled.write(begin).unwrap();
+    let (addr, keeps_writing, program) = (gateway.addr, !begin.is_empty(), proc.clone());
+    let stalled_client = spawn(move || {
+        let stopwatch = Stopwatch::start(program, &[]);
+        while keeps_writing && start.elapsed() < TIMEOUT && stalled.write(b"a").is_ok() {
             sleep(ms(100));
         }
-        let got = bad.answer();
-        (got.ok().flatten().map(|a| a.status()), lap.passed())
+        let response = stalled.answer();
+        (response.ok().flatten().map(|a| a.status()), stopwatch.passed())
     });
-    let left = spawn(move || {
-        let lap = Lap::start(proc, &[]);
-        let closed = stayed.answer().is_ok_and(|a| a.is_none());
-        (closed, start.elapsed(), lap.passed())
+    let idle_client_thread = spawn(move || {
+        let stopwatch = Stopwatch::start(proc, &[]);
+        let closed = idle_client.answer().is_ok_and(|a| a.is_none());
+        (closed, start.elapsed(), stopwatch.passed())
     });
-    while !ended.is_finished() || !left.is_finished() {
-        let c = client(addr).ask(req("quote", "house", "60").as_bytes());
-        assert_eq!(c.unwrap().unwrap().status(), 200);
+    while !stalled_client.is_finished() || !idle_client_thread.is_finished() {
+        let response = connect(addr).ask(request("quote", "house", "60").as_bytes());
+        assert_eq!(response.unwrap().unwrap().status(), 200);
         sleep(ms(50));
     }
-    let (status, after) = ended.join().unwrap();
+    let (status, after) = stalled_client.join().unwrap();
     assert!(status.is_none_or(|s| s >= 400) && after < ms(3000), "{status:?} after {after:?}");
-    let (closed, since, after) = left.join().unwrap();
+    let (closed, elapsed, after) = idle_client_thread.join().unwrap();
     assert!(closed, "closed, not reset");
-    assert!(since > ms(2000) && after < ms(3500), "after {since:?}, {after:?}");
+    assert!(elapsed > ms(2000) && after < ms(3500), "after {elapsed:?}, {after:?}");
 }
 
-/// Hundreds that say nothing hold nobody up.
+/// Hundreds of silent connections must not block other clients.
 #[test]
-fn silent_crowd() {
-    let s = srv(ANSWER);
-    let g = Gateway::with(&[s.addr], |v| v["limits"]["sockets"] = json!(64));
-    let silent: Vec<_> = (0..300).map(|_| std::net::TcpStream::connect(g.addr).unwrap()).collect();
+fn many_silent_connections() {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::with(&[server.addr], |v| v["limits"]["sockets"] = json!(64));
+    let silent: Vec<_> = (0..300).map(|_| std::net::TcpStream::connect(gateway.addr).unwrap()).collect();
     for _ in 0..10 {
-        let waited = || s.waited();
-        let lap = g.lap(&[&waited]);
-        assert_eq!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
-        let passed = lap.passed();
+        let waited = || server.waited();
+        let stopwatch = gateway.stopwatch(&[&waited]);
+        assert_eq!(gateway.ask(request("quote", "house", "60").as_bytes()).status(), 200);
+        let passed = stopwatch.passed();
         assert!(passed < ms(1500), "{passed:?}");
     }
     assert_eq!(silent.len(), 300);
@@ -389,228 +393,240 @@
 
 #[test_case("Content-Length: 65537\r\n\r\n", 413; "announced")]
 #[test_case("Transfer-Encoding: chunked\r\n\r\n10001\r\n", 413; "in chunks")]
-#[test_case("Content-Length: 65536\r\n\r\n", 200; "the largest that fits")]
-fn largest_body(head: &str, status: u16) {
-    let s = srv(ANSWER);
-    let g = Gateway::start(&[s.addr]);
-    let mut text = req("notice", "house", "60").replace("Content-Length: 5\r\n", "").into_bytes();
+#[test_case("Content-Length: 65536\r\n\r\n", 200; "the largest allowed")]
+fn body_size_limit(head: &str, status: u16) {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::start(&[server.addr]);
+    let mut text = request("notice", "house", "60").replace("Content-Length: 5\r\n", "").into_bytes();
     text.truncate(text.len() - "\r\nhello".len());
     text.extend_from_slice(head.as_bytes());
     text.resize(text.len() + if status == 200 { 65536 } else { 65537 }, b'x');
-    let mut c = client(g.addr);
-    let _ = c.write(&text); // the answer may come, and the connection end, before all of it is written
-    assert_eq!(c.answer().unwrap().expect("an answer").status(), status);
-    assert_eq!(s.seen().iter().filter(|m| m.body.len() == 65536).count(), (status == 200) as usize);
+    let mut client = connect(gateway.addr);
+    let _ = client.write(&text); // the response may arrive, and the connection be closed, before all of it is written
+    assert_eq!(client.answer().unwrap().expect("a response").status(), status);
+    assert_eq!(server.seen().iter().filter(|m| m.body.len() == 65536).count(), (status == 200) as usize);
 }
 
-/// What never ran may go to another srv, also where a repeat is forbidden; what may have run may not.
+/// A request that has not run may be sent to another server, even if it must not be repeated. One that may have run
+/// must not, unless it is replayable.
 #[test_case("notice", None, 200; "refused")]
-#[test_case("notice", Some(Manner::Full), 200; "turned away")]
+#[test_case("notice", Some(Manner::Full), 200; "server full")]
 #[test_case("notice", Some(Manner::Reset), 502; "reset after the last byte")]
-#[test_case("notice", Some(Manner::HalfAnswer), 502; "broken off within the answer")]
+#[test_case("notice", Some(Manner::HalfAnswer), 502; "broken off within the response")]
 #[test_case("notice", Some(Manner::Error), 502; "an error")]
-#[test_case("notice", Some(Manner::Silent), 502; "no answer")]
+#[test_case("notice", Some(Manner::Silent), 502; "no response")]
 #[test_case("quote", Some(Manner::Reset), 200; "reset, replayable")]
-#[test_case("quote", Some(Manner::Silent), 200; "no answer, replayable")]
-#[test_case("order", Some(Manner::Reset), 502; "reset, uniqued, the other srv in another group")]
-fn bad_srv(frontend: &str, manner: Option<Manner>, status: u16) {
-    let (bad, good) = (manner.map(srv), srv(ANSWER));
-    let at = bad.as_ref().map_or_else(nobody, |s| s.addr);
-    // where no answer may come, the client's time and that in which one is worth something are what is met
-    let (slo, left, most) = match (manner, frontend) {
+#[test_case("quote", Some(Manner::Silent), 200; "no response, replayable")]
+#[test_case("order", Some(Manner::Reset), 502; "reset, deduplicated, the other server in another deduplication scope")]
+fn failing_server(frontend: &str, manner: Option<Manner>, status: u16) {
+    let (bad, good) = (manner.map(start_server), start_server(ANSWER));
+    let bad_addr = bad.as_ref().map_or_else(unused_addr, |s| s.addr);
+    // if there may be no response, the deadlines of the client and of a useful answer decide
+    let (slo, deadline, limit) = match (manner, frontend) {
         (Some(Manner::Silent), "notice") | (_, "order") => (1.5, 2.0, ms(2100)),
         (Some(Manner::Silent), _) => (3.0, 6.0, ms(6100)),
         _ => (20.0, 60.0, ms(1300)),
     };
-    let g = Gateway::with(&[at, good.addr], |v| wait(v, slo, 60.0));
+    let gateway = Gateway::with(&[bad_addr, good.addr], |v| set_deadlines(v, slo, 60.0));
     let (mut worst, mut ids) = (200, 0);
-    // each srv is tried within some reqs; once the bad one is known, it is spared for a while
+    // each server is tried within some requests; once its failures are noticed, the failing one is avoided for a while
     for _ in 0..12 {
         let waited = || good.waited() + bad.as_ref().map_or(Duration::ZERO, Srv::waited);
-        let lap = g.lap(&[&waited]);
-        let got = g.ask(req(frontend, "house", &left.to_string()).as_bytes()).status();
-        let passed = lap.passed();
-        assert!(passed < most, "answered in time: {passed:?}");
-        assert!(got == 200 || got == status, "{got}");
-        (worst, ids) = (worst.max(got), ids + 1);
+        let stopwatch = gateway.stopwatch(&[&waited]);
+        let response_status =
+            gateway.ask(request(frontend, "house", &deadline.to_string()).as_bytes()).status();
+        let passed = stopwatch.passed();
+        assert!(passed < limit, "answered in time: {passed:?}");
+        assert!(response_status == 200 || response_status == status, "{response_status}");
+        (worst, ids) = (worst.max(response_status), ids + 1);
     }
     let seen = [bad.map(|b| b.seen()).unwrap_or_default(), good.seen()];
     let by_id = seen.each_ref().map(|s| {
         let ids: BTreeSet<&str> = s.iter().filter_map(|m| m.header("x-request-id")).collect();
         ids
     });
-    assert_eq!(by_id[0].union(&by_id[1]).count(), ids, "each req came to a srv");
+    assert_eq!(by_id[0].union(&by_id[1]).count(), ids, "each request was sent to a server");
     assert_eq!(worst, status);
     if status == 502 {
-        assert_eq!(by_id[0].intersection(&by_id[1]).count(), 0, "none ran at both");
-        assert!(frontend == "order" || seen[0].len() + seen[1].len() == ids, "none came twice");
+        assert_eq!(by_id[0].intersection(&by_id[1]).count(), 0, "no request ran at both servers");
+        assert!(frontend == "order" || seen[0].len() + seen[1].len() == ids, "no request was sent twice");
     }
 }
 
-/// What is no whole answer may have run: no repeat, no wait until the client's time is up, and its connection ends.
+/// A request with a malformed or incomplete response may have run: it is not repeated, the client does not have to
+/// wait until its deadline, and the connection to the server is closed.
 #[test_case(Manner::Spoilt("what is this?\r\n\r\n"); "noise")]
-#[test_case(Manner::Spoilt("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"); "a status that is no number")]
+#[test_case(Manner::Spoilt("HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok"); "a status that is not a number")]
 #[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nA: b\r\n"); "a head without an end")]
 #[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort"); "a body too short")]
-#[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); "a length below nothing")]
+#[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); "a negative length")]
 #[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"); "two lengths")]
 #[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
-    "a length beside chunks")]
+    "a length and chunks")]
 #[test_case(Manner::Spoilt("HTTP/1.1 200 OK\r\n\r\nok"); "no length")]
 #[test_case(Manner::Flood; "an endless body")]
-fn spoilt_answer(manner: Manner) {
-    let s = srv(manner);
-    let g = Gateway::start(&[s.addr]);
+fn malformed_responses(manner: Manner) {
+    let server = start_server(manner);
+    let gateway = Gateway::start(&[server.addr]);
     for nth in 1..=3 {
-        let waited = || s.waited();
-        let lap = g.lap(&[&waited]);
-        assert_eq!(g.ask(req("notice", "house", "60").as_bytes()).status(), 502);
-        let passed = lap.passed();
+        let waited = || server.waited();
+        let stopwatch = gateway.stopwatch(&[&waited]);
+        assert_eq!(gateway.ask(request("notice", "house", "60").as_bytes()).status(), 502);
+        let passed = stopwatch.passed();
         assert!(passed < ms(1200), "{passed:?}");
-        assert_eq!((s.seen().len(), s.connections()), (nth, nth), "once each, on connections of their own");
+        assert_eq!(
+            (server.seen().len(), server.connections()),
+            (nth, nth),
+            "each request once, on a connection of its own"
+        );
     }
-    s.now(ANSWER);
-    until("it is trusted again", || g.ask(req("notice", "house", "60").as_bytes()).status() == 200);
-}
-
-/// A good answer stays one whatever comes with it, and none of that is taken for the next req's.
-#[test_case("", "", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"; "a second answer behind it")]
-#[test_case("", "", "noise"; "noise behind it")]
-#[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", "", ""; "told ahead")]
-#[test_case("", "X-Load: TEXT inflight=?, \u{e9}\r\n", ""; "a load report that can't be read")]
-#[test_case("", "Billed-Units: many\r\n", ""; "units that are no number")]
-#[test_case("", "Billed-Units: 1e30\r\n", ""; "units past all")]
-#[test_case("", "Billed-Units: -5\r\n", ""; "units below nothing")]
-fn more_than_an_answer(front: &'static str, headers: &'static str, behind: &'static str) {
-    let s = srv(Manner::Around(front, headers, behind));
-    let g = Gateway::with(&[s.addr], |v| {
+    server.now(ANSWER);
+    until("the server is used again", || {
+        gateway.ask(request("notice", "house", "60").as_bytes()).status() == 200
+    });
+}
+
+/// A valid response is forwarded whatever bytes surround it, and these must not be taken for the next response.
+#[test_case("", "", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"; "a second response after it")]
+#[test_case("", "", "noise"; "noise after it")]
+#[test_case("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", "", ""; "informational responses")]
+#[test_case("", "X-Load: TEXT inflight=?, \u{e9}\r\n", ""; "a malformed load report")]
+#[test_case("", "Billed-Units: many\r\n", ""; "units that are not a number")]
+#[test_case("", "Billed-Units: 1e30\r\n", ""; "units that are too large")]
+#[test_case("", "Billed-Units: -5\r\n", ""; "negative units")]
+fn bytes_around_a_response(before: &'static str, headers: &'static str, after: &'static str) {
+    let server = start_server(Manner::Around(before, headers, after));
+    let gateway = Gateway::with(&[server.addr], |v| {
         v["settings"]["familyInfo"]["costAfter"] = json!(true);
         v["settings"]["packages"][0]["storeSize"] = json!(50);
     });
     for _ in 0..20 {
-        let text = req("quote", "free", "60");
-        let answer = g.ask(text.as_bytes());
+        let text = request("quote", "free", "60");
+        let answer = gateway.ask(text.as_bytes());
         let id = text.split("X-Request-Id: ").nth(1).unwrap().split('\r').next().unwrap();
         assert_eq!((answer.status(), answer.text()), (200, format!("made for {id}\n")));
-        sleep(ms(5)); // a connection is used again after a rest
+        sleep(ms(5)); // a connection is reused only after it has been idle for a moment
     }
-    assert_eq!(s.connections(), if behind.is_empty() { 1 } else { 20 });
+    assert_eq!(server.connections(), if after.is_empty() { 1 } else { 20 });
 }
 
-/// A connection reset before it took a byte, whenever that shows: no req runs twice, each is answered.
+/// A server resets connections before it accepts a byte. No request may run twice, and each must be answered.
 #[test]
 fn reset_before_the_last_byte() {
-    let (bad, good) = (srv(Manner::ResetFirst), srv(ANSWER));
-    let g = Gateway::start(&[bad.addr, good.addr]);
+    let (bad, good) = (start_server(Manner::ResetFirst), start_server(ANSWER));
+    let gateway = Gateway::start(&[bad.addr, good.addr]);
     let answers: Vec<u16> =
-        (0..20).map(|_| g.ask(req("notice", "house", "60").as_bytes()).status()).collect();
+        (0..20).map(|_| gateway.ask(request("notice", "house", "60").as_bytes()).status()).collect();
     assert!(answers.iter().all(|s| *s == 200 || *s == 502), "{answers:?}");
     assert_eq!(good.seen().len(), answers.iter().filter(|s| **s == 200).count());
     assert!(bad.connections() > 0 && bad.seen().is_empty());
 }
 
-/// What the settings to come would have decided otherwise is counted; the program decides as before.
+/// Differences from what planned settings would decide are counted, and the program decides as before.
 #[test]
-fn watching_for_settings_to_come() {
-    let (bad, worse) = (srv(Manner::Error), srv(Manner::Error));
-    let g = Gateway::with(&[bad.addr, worse.addr], |v| {
+fn planned_settings_are_only_counted() {
+    let (bad, worse) = (start_server(Manner::Error), start_server(Manner::Error));
+    let gateway = Gateway::with(&[bad.addr, worse.addr], |v| {
         let mut plans = v["settings"]["packages"].clone();
         (plans[2]["capRate"], plans[2]["neverOverDepth"]) = (json!(0.001), json!(8));
         v["watch"] = json!({"limits": {"maxAttempts": 1}, "packages": plans});
     });
-    assert_ne!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
+    assert_ne!(gateway.ask(request("quote", "house", "60").as_bytes()).status(), 200);
     let dispatches = bad.seen().len() + worse.seen().len();
     assert!(dispatches > 1);
-    g.signal("USR1");
-    until("its counters", || g.count("watch.attempts").is_some());
-    let counts = ["attempts", "ceiling", "second_copy", "repeat"].map(|k| g.count(&format!("watch.{k}")));
+    gateway.signal("USR1");
+    until("its counters", || gateway.count("watch.attempts").is_some());
+    let counts =
+        ["attempts", "ceiling", "second_copy", "repeat"].map(|k| gateway.count(&format!("watch.{k}")));
     assert_eq!(counts, [Some(dispatches as u64 - 1), Some(1), Some(0), Some(0)]);
 }
 
-/// The srv starts to drain while a connection to it comes up: the req doesn't go there any more.
+/// A server starts to drain while a connection to it is being opened: the request must not be sent to it any more.
 #[test]
 fn drain_while_connecting() {
     let (late, open) = Srv::start_late("127.0.0.1:0").unwrap();
-    let (other, good) = (srv(ANSWER), srv(ANSWER));
-    let mut g = Gateway::with(&[late.addr, other.addr], |v| {
+    let (other, good) = (start_server(ANSWER), start_server(ANSWER));
+    let mut gateway = Gateway::with(&[late.addr, other.addr], |v| {
         v["settings"]["limits"]["connectTimeout"] = json!(60);
         v["settings"]["limits"]["keepalive"] = json!(120);
     });
-    let addr = g.addr;
-    let ask = move || client(addr).ask(req("notice", "house", "60").as_bytes()).unwrap().unwrap().status();
+    let addr = gateway.addr;
+    let ask =
+        move || connect(addr).ask(request("notice", "house", "60").as_bytes()).unwrap().unwrap().status();
     let mut asked = vec![spawn(ask)];
-    until("a connection to it is begun, and one to the other is there", || {
+    until("a connection to it is being opened, and the other server is used", || {
         let begun = connecting_to(late.addr);
         if asked.last().is_some_and(|a| a.is_finished()) || begun && asked.len() < 6 {
             asked.push(spawn(ask));
         }
         begun && !other.seen().is_empty()
     });
-    g.discovery.put(vec![
-        row(0, late.addr, "leaving"),
-        row(1, other.addr, "left"),
-        row(2, good.addr, "active"),
+    gateway.discovery.put(vec![
+        server_entry(0, late.addr, "leaving"),
+        server_entry(1, other.addr, "left"),
+        server_entry(2, good.addr, "active"),
     ]);
-    // the other one's connection goes with it, idle or used
+    // the connection to the removed server is closed with it, idle or used
     let followed = format!("ended srv {} code=", other.addr);
-    until("the new list is followed", || g.log().contains(&followed));
+    until("the new list is applied", || gateway.log().contains(&followed));
     open.send(()).unwrap();
-    until("the connection came up", || late.connections() > 0);
+    until("the connection is open", || late.connections() > 0);
     assert!(asked.into_iter().all(|a| [200, 429, 502].contains(&a.join().unwrap())));
-    assert_eq!(g.ask(req("notice", "house", "60").as_bytes()).status(), 200);
-    g.signal("TERM");
-    let lap = g.lap(&[]);
-    assert!(g.exit(&lap).0.success());
+    assert_eq!(gateway.ask(request("notice", "house", "60").as_bytes()).status(), 200);
+    gateway.signal("TERM");
+    let stopwatch = gateway.stopwatch(&[]);
+    assert!(gateway.wait_exit(&stopwatch).0.success());
     assert_eq!(late.seen().len(), 0);
 }
 
-/// Whether some connection to this address waits to come up.
+/// Whether a connection to this address is being opened.
 fn connecting_to(addr: SocketAddr) -> bool {
     let to = format!("0100007F:{:04X}", addr.port());
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the machine's connections");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the kernel's connection table");
     table.lines().any(|l| l.split_whitespace().skip(2).take(2).eq([to.as_str(), "02"]))
 }
 
-/// A client that leaves: its dispatch is given up, nothing more is sent for it, its lease comes back.
+/// When a client leaves, its dispatch is cancelled, nothing more is sent for it, and its lease is returned.
 #[test]
 fn client_gone() {
-    let s = srv(Manner::Silent);
-    let mut g = Gateway::start(&[s.addr]);
-    let mut c = client(g.addr);
-    c.write(req("quote", "team", "60").as_bytes()).unwrap();
-    until("it is out", || s.seen().len() == 1);
-    until("its lease is taken", || g.counter.sum() > 0.5);
-    drop(c);
-    until("its connection to the srv ends", || g.log().contains("ended srv"));
-    until("its lease is back", || g.counter.sum() < 0.5);
-    // it takes reqs in for 0.7 s yet, and ends with nothing to send
-    g.signal("TERM");
-    let lap = g.lap(&[]);
-    assert!(g.exit(&lap).0.success());
-    until("counters", || g.count("left") == Some(1));
-    assert_eq!(s.seen().len(), 1);
-    assert_eq!((g.count("taken"), g.count("dispatch.cancelled")), (Some(1), Some(1)));
-}
-
-/// A counter that turns calls away or says nothing: reqs are answered all the same, each in its time.
+    let server = start_server(Manner::Silent);
+    let mut gateway = Gateway::start(&[server.addr]);
+    let mut client = connect(gateway.addr);
+    client.write(request("quote", "team", "60").as_bytes()).unwrap();
+    until("it is dispatched", || server.seen().len() == 1);
+    until("its lease is taken", || gateway.counter.sum() > 0.5);
+    drop(client);
+    until("its connection to the server is closed", || gateway.log().contains("ended srv"));
+    until("its lease is returned", || gateway.counter.sum() < 0.5);
+    // it accepts requests for another 0.7 s, and ends with nothing to send
+    gateway.signal("TERM");
+    let stopwatch = gateway.stopwatch(&[]);
+    assert!(gateway.wait_exit(&stopwatch).0.success());
+    until("counters", || gateway.count("left") == Some(1));
+    assert_eq!(server.seen().len(), 1);
+    assert_eq!((gateway.count("taken"), gateway.count("dispatch.cancelled")), (Some(1), Some(1)));
+}
+
+/// While the counter refuses calls or is silent, each request is still answered in time.
 #[test_case(counter::Manner::Busy; "busy")]
 #[test_case(counter::Manner::Silent; "silent")]
-fn sick_counter(manner: counter::Manner) {
-    let s = srv(ANSWER);
-    // the call's time is 80 ms, and that of a connection to be taken for dead is 640 ms, where nothing is said; who
-    // is turned away does not wait for either
+fn failing_counter(manner: counter::Manner) {
+    let server = start_server(ANSWER);
+    // with a silent counter a call times out after 80 ms, and a connection is considered dead after 640 ms; a refused
+    // call waits for neither
     let count_wait = if manner == counter::Manner::Silent { 0.08 } else { 10.0 };
-    let g = Gateway::with(&[s.addr], |v| v["settings"]["familyInfo"]["countWait"] = json!(count_wait));
-    until("all its connections are up", || g.counter.connections() == 4);
-    g.counter.now(manner);
-    // the stand-in that says nothing holds nobody up
+    let gateway =
+        Gateway::with(&[server.addr], |v| v["settings"]["familyInfo"]["countWait"] = json!(count_wait));
+    until("all its connections are open", || gateway.counter.connections() == 4);
+    gateway.counter.now(manner);
+    // the silent fake does not delay others
     let silent = manner == counter::Manner::Silent;
-    let waited = || s.waited() + if silent { Duration::ZERO } else { g.counter.waited() };
+    let waited = || server.waited() + if silent { Duration::ZERO } else { gateway.counter.waited() };
     let (start, mut passed) = (Instant::now(), 0);
     for (nth, plan) in ["team", "free"].into_iter().cycle().enumerate() {
-        let lap = g.lap(&[&waited]);
-        let status = g.ask(req("quote", plan, "60").as_bytes()).status();
-        let took = lap.passed();
+        let stopwatch = gateway.stopwatch(&[&waited]);
+        let status = gateway.ask(request("quote", plan, "60").as_bytes()).status();
+        let took = stopwatch.passed();
         assert!(took < ms(350) && (status == 200 || status == 429), "{status} after {took:?}");
         passed += (status == 200) as usize;
         if start.elapsed() > ms(2500) && nth > 20 {
@@ -618,367 +634,377 @@
         }
         sleep(ms(20));
     }
-    assert!(passed > 4, "by the room left: {passed}");
+    assert!(passed > 4, "passed by the remaining quota: {passed}");
     if manner == counter::Manner::Silent {
-        until("a silent connection is replaced", || g.log().contains("code=silent"));
-        assert!(g.counter.connections() > 4);
+        until("a silent connection is replaced", || gateway.log().contains("code=silent"));
+        assert!(gateway.counter.connections() > 4);
     } else {
-        assert_eq!(g.counter.connections(), 4);
+        assert_eq!(gateway.counter.connections(), 4);
     }
-    g.counter.now(counter::Manner::Answer);
-    let calls = g.counter.calls();
+    gateway.counter.now(counter::Manner::Answer);
+    let calls = gateway.counter.calls();
     until("the counter is used again", || {
-        g.ask(req("quote", "team", "60").as_bytes());
-        g.counter.calls() > calls + 5
+        gateway.ask(request("quote", "team", "60").as_bytes());
+        gateway.counter.calls() > calls + 5
     });
 }
 
-/// A spoilt answer of the counter: the amount was added, and is not added again; others go on elsewhere.
+/// After a malformed reply of the counter, the amount counts as added and is not added again; the other connections
+/// are not affected.
 #[test]
-fn spoilt_counter() {
-    let s = srv(ANSWER);
-    let g = Gateway::with(&[s.addr], |v| {
+fn malformed_counter_replies() {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::with(&[server.addr], |v| {
         v["settings"]["packages"][0]["storeSize"] = json!(10000);
         v["settings"]["packages"][0]["unitsPerS"] = json!(0.001);
     });
-    until("all its connections are up", || g.counter.connections() == 4);
+    until("all its connections are open", || gateway.counter.connections() == 4);
     let (mut asked, mut passed) = (0, 0);
     let mut ask = |manner: counter::Manner| {
-        g.counter.now(manner);
-        passed += (g.ask(req("quote", "free", "60").as_bytes()).status() == 200) as usize;
+        gateway.counter.now(manner);
+        passed += (gateway.ask(request("quote", "free", "60").as_bytes()).status() == 200) as usize;
         asked += 1;
     };
-    let spoilt = || g.log().matches("code=malformed").count();
+    let malformed = || gateway.log().matches("code=malformed").count();
     for nth in 1..=20 {
         ask(counter::Manner::Answer);
-        until("a spoilt answer", || {
+        until("a malformed reply", || {
             ask(counter::Manner::Spoilt);
-            spoilt() >= nth
+            malformed() >= nth
         });
         ask(counter::Manner::Answer);
     }
     assert!(3 * passed > 2 * asked, "{passed} of {asked}");
-    assert!(g.counter.connections() > 4 + 10);
-    g.counter.now(counter::Manner::Answer);
-    // what was turned away meanwhile is told with a next call
+    assert!(gateway.counter.connections() > 4 + 10);
+    gateway.counter.now(counter::Manner::Answer);
+    // amounts that were not counted meanwhile are sent with a later call
     for _ in 0..40 {
-        passed += (g.ask(req("quote", "free", "60").as_bytes()).status() == 200) as usize;
+        passed += (gateway.ask(request("quote", "free", "60").as_bytes()).status() == 200) as usize;
     }
-    let sum = || (g.counter.sum() - passed as f64).abs() < 0.5;
-    until("each amount is there", sum);
-    g.signal("TERM");
-    until("all is told", || g.counter.open() == 0);
-    assert!(sum(), "{} for {passed}", g.counter.sum());
+    let all_counted = || (gateway.counter.sum() - passed as f64).abs() < 0.5;
+    until("each amount is counted", all_counted);
+    gateway.signal("TERM");
+    until("all calls are sent", || gateway.counter.open() == 0);
+    assert!(all_counted(), "{} for {passed}", gateway.counter.sum());
 }
 
-/// A counter's answer that no call asked for is not taken for the next call's, and ends its connection.
+/// A reply of the counter without a call must not be taken for the next call's reply; it closes the connection.
 #[test]
-fn counter_answers_twice() {
-    let s = srv(ANSWER);
-    let g = Gateway::with(&[s.addr], |v| v["settings"]["packages"][0]["storeSize"] = json!(1000));
-    g.counter.now(counter::Manner::Twice);
+fn counter_replies_twice() {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::with(&[server.addr], |v| v["settings"]["packages"][0]["storeSize"] = json!(1000));
+    gateway.counter.now(counter::Manner::Twice);
     for nth in 1..=10 {
-        assert_eq!(g.ask(req("quote", "free", "60").as_bytes()).status(), 200);
-        until("its connection ends", || g.log().matches("code=stray").count() == nth);
+        assert_eq!(gateway.ask(request("quote", "free", "60").as_bytes()).status(), 200);
+        until("its connection is closed", || gateway.log().matches("code=stray").count() == nth);
     }
 }
 
-/// A quota holds, and a denial says when to come back.
+/// A quota is enforced, and a denial says when to retry.
 #[test]
 fn quota() {
-    let s = srv(ANSWER);
-    // it fills by nothing, however long this takes
-    let g = Gateway::with(&[s.addr], |v| v["settings"]["packages"][0]["unitsPerS"] = json!(0.001));
-    let answers: Vec<Message> = (0..40).map(|_| g.ask(req("quote", "free", "60").as_bytes())).collect();
+    let server = start_server(ANSWER);
+    // it is practically not refilled, however long the test takes
+    let gateway = Gateway::with(&[server.addr], |v| v["settings"]["packages"][0]["unitsPerS"] = json!(0.001));
+    let answers: Vec<Message> =
+        (0..40).map(|_| gateway.ask(request("quote", "free", "60").as_bytes())).collect();
     let passed = answers.iter().filter(|a| a.status() == 200).count();
-    // a store of 4; twice that where the window's name rolls just now
+    // a store of 4; twice that if the window of the name changes during the test
     assert!((3..=8).contains(&passed), "{passed}");
-    assert_eq!(s.seen().len(), passed);
+    assert_eq!(server.seen().len(), passed);
     let hint = answers.iter().filter(|a| a.status() == 429).find_map(|a| a.header("retry-after"));
     assert!(hint.and_then(|h| h.parse::<f64>().ok()).is_some_and(|h| h > 0.0 && h <= 0.5), "{hint:?}");
 }
 
-/// A store fills at its rate: no faster, however long the reqs take, and what was denied is served later.
+/// A store is refilled at its rate and not faster, however long the requests take; denied requests pass later.
 #[test]
-fn a_quota_fills_again() {
-    let s = srv(ANSWER);
-    let g = Gateway::start(&[s.addr]);
+fn quota_is_refilled() {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::start(&[server.addr]);
     let began = Instant::now();
-    let ask = || g.ask(req("quote", "free", "60").as_bytes()).status();
+    let ask = || gateway.ask(request("quote", "free", "60").as_bytes()).status();
     let mut passed = (0..40).filter(|_| ask() == 200).count();
     let first = passed;
-    until("it fills", || {
+    until("it is refilled", || {
         passed += usize::from(ask() == 200);
         passed >= first + 4
     });
-    // a store of 4 at 2 a second; twice that where the window's name rolls just now
+    // a store of 4, refilled by 2 per second; 4 more if the window of the name changes during the test
     let most = 8.0 + 2.0 * began.elapsed().as_secs_f64();
     assert!(first >= 3 && passed as f64 <= most, "{passed} of {most}");
-    assert_eq!(s.seen().len(), passed);
+    assert_eq!(server.seen().len(), passed);
 }
 
-/// At SIGTERM under load: all that was taken is answered, connections end, the exit is clean.
+/// At SIGTERM under load all accepted requests are answered, the connections are closed, and the exit is clean.
 #[test]
 fn sigterm_under_load() {
-    let s = srv(Manner::Answer(ms(40)));
-    let mut g = Gateway::start(&[s.addr]);
+    let server = start_server(Manner::Answer(ms(40)));
+    let mut gateway = Gateway::start(&[server.addr]);
     let (ended, asked) = (Arc::new(Mutex::new(None::<Instant>)), Arc::new(AtomicU64::new(0)));
     let clients: Vec<_> = (0..8)
         .map(|_| {
-            let (addr, ended, asked) = (g.addr, ended.clone(), asked.clone());
+            let (addr, ended, asked) = (gateway.addr, ended.clone(), asked.clone());
             spawn(move || {
-                // the front hears of the end within 0.4 s, and the gateway stays for 0.7 s: who was held up and
-                // comes behind that is owed nothing
+                // the load balancer in front notices the end within 0.4 s, and the gateway accepts connections for
+                // 0.7 s: clients that are delayed beyond that need not be served
                 let since = move || ended.lock().unwrap().map_or(Duration::ZERO, |e| e.elapsed());
                 let gone = || since() >= ms(700);
                 let (mut answers, mut closes) = (0, 0);
-                let mut link: Option<Client> = None;
+                let mut connection: Option<Client> = None;
                 while since() <= ms(400) || closes == 0 {
-                    assert!(since() < LONG, "never: the end");
-                    let mut c = match link.take().map_or_else(|| Client::within(addr, LONG), Ok) {
+                    assert!(since() < TIMEOUT, "never: the end of the program");
+                    let mut client = match connection.take().map_or_else(|| Client::within(addr, TIMEOUT), Ok)
+                    {
                         Ok(c) => c,
                         Err(_) if gone() => return (answers, closes, true),
-                        Err(e) => panic!("still taken in: {e}"),
+                        Err(e) => panic!("connections are still accepted: {e}"),
                     };
-                    let wrote = c.write(req("quote", "house", "60").as_bytes());
+                    let wrote = client.write(request("quote", "house", "60").as_bytes());
                     let late = gone();
-                    let a = match wrote.and_then(|_| c.answer()) {
+                    let a = match wrote.and_then(|_| client.answer()) {
                         Ok(Some(a)) => a,
                         _ if late => return (answers, closes, true),
-                        lost => panic!("not lost: {lost:?}"),
+                        lost => panic!("the response was lost: {lost:?}"),
                     };
                     assert!([200, 429].contains(&a.status()));
                     answers += 1;
                     asked.fetch_add(1, Ordering::Relaxed);
                     match a.header("connection") {
                         Some("close") => closes += 1,
-                        _ => link = Some(c),
+                        _ => connection = Some(client),
                     }
                 }
                 (answers, closes, false)
             })
         })
         .collect();
-    let idle = client(g.addr);
+    let idle = connect(gateway.addr);
     until("it is under load", || asked.load(Ordering::Relaxed) > 40);
     *ended.lock().unwrap() = Some(Instant::now());
-    g.signal("TERM");
+    gateway.signal("TERM");
     let sums = clients.into_iter().map(|c| c.join().expect("all answered"));
     let (answers, closes, late) = sums.fold((0, 0, true), |a, c| (a.0 + c.0, a.1 + c.1, a.2 && c.2));
     assert!((closes > 0 || late) && answers > closes);
-    let lap = g.lap(&[]);
-    let (status, _) = g.exit(&lap);
+    let stopwatch = gateway.stopwatch(&[]);
+    let (status, _) = gateway.wait_exit(&stopwatch);
     assert!(status.success(), "{status}");
     drop(idle);
-    until("counters at exit", || g.count("passed").is_some());
-    let all = ["passed", "denied"].map(|n| g.count(n).expect("counters at exit"));
-    assert_eq!((g.count("taken"), all[0] + all[1]), (Some(answers), answers));
+    until("counters at exit", || gateway.count("passed").is_some());
+    let all = ["passed", "denied"].map(|n| gateway.count(n).expect("counters at exit"));
+    assert_eq!((gateway.count("taken"), all[0] + all[1]), (Some(answers), answers));
 }
 
-/// At SIGTERM with all descriptors in use, what waits to be accepted is answered as well.
+/// At SIGTERM with all descriptors in use, the connections in the accept queue are served as well.
 #[test]
 fn sigterm_with_a_full_queue() {
-    let s = srv(ANSWER);
-    let mut g = Gateway::with(&[s.addr], |v| {
+    let server = start_server(ANSWER);
+    let mut gateway = Gateway::with(&[server.addr], |v| {
         v["limits"]["sockets"] = json!(48);
         v["settings"]["familyInfo"]["countWait"] = json!(1.5);
         v["settings"]["packages"][0]["storeSize"] = json!(1000);
     });
-    // each req holds its connection until its call is given up, long after the last is accepted
-    g.counter.now(counter::Manner::Silent);
+    // each request keeps its connection until its counter call times out, long after the last one is accepted
+    gateway.counter.now(counter::Manner::Silent);
     let clients: Vec<_> = (0..60)
         .map(|_| {
-            let mut c = client(g.addr);
-            c.write(req("quote", "free", "60").as_bytes()).unwrap();
-            c
+            let mut client = connect(gateway.addr);
+            client.write(request("quote", "free", "60").as_bytes()).unwrap();
+            client
         })
         .collect();
-    let waited = || s.waited();
-    let lap = g.lap(&[&waited]);
-    g.signal("TERM");
-    for mut c in clients {
-        let status = c.answer().expect("not lost").expect("a whole answer").status();
+    let waited = || server.waited();
+    let stopwatch = gateway.stopwatch(&[&waited]);
+    gateway.signal("TERM");
+    for mut client in clients {
+        let status = client.answer().expect("a response").expect("a whole response").status();
         assert!([200, 429].contains(&status), "{status}");
     }
-    let (status, passed) = g.exit(&lap);
+    let (status, passed) = gateway.wait_exit(&stopwatch);
     assert!(status.success() && passed < ms(4500), "{status} after {passed:?}");
 }
 
-/// SIGHUP under load: discovery and the counter have other addresses in the file, twice; no req is lost and no
-/// count told twice or not at all. Between them a file that can't be used: all stays as it is.
+/// SIGHUP under load: the addresses of discovery and the counter change in the file, twice. No request may be lost,
+/// and no amount may be counted twice or not at all. An invalid file in between must change nothing.
 #[test]
 fn new_configuration_under_load() {
-    let (first, second) = (srv(Manner::Answer(ms(10))), srv(Manner::Answer(ms(10))));
-    let mut g = Gateway::with(&[first.addr], |v| {
+    let (first, second) = (start_server(Manner::Answer(ms(10))), start_server(Manner::Answer(ms(10))));
+    let mut gateway = Gateway::with(&[first.addr], |v| {
         v["settings"]["packages"][0]["storeSize"] = json!(10000);
         v["settings"]["packages"][0]["unitsPerS"] = json!(0.001);
     });
-    let over = Arc::new(AtomicU64::new(0));
+    let stop = Arc::new(AtomicU64::new(0));
     let clients: Vec<_> = (0..4)
         .map(|_| {
-            let (addr, over) = (g.addr, over.clone());
+            let (addr, stop) = (gateway.addr, stop.clone());
             spawn(move || {
-                let (mut c, mut passed) = (client(addr), 0);
-                while over.load(Ordering::Relaxed) == 0 {
-                    let a = c.ask(req("quote", "free", "60").as_bytes()).unwrap().expect("not lost");
+                let (mut client, mut passed) = (connect(addr), 0);
+                while stop.load(Ordering::Relaxed) == 0 {
+                    let a = client.ask(request("quote", "free", "60").as_bytes()).unwrap().expect("not lost");
                     passed += (a.status() == 200) as usize;
                 }
                 passed
             })
         })
         .collect();
-    let served = |what: &str| {
+    let wait_under_load = |what: &str| {
         let seen = first.seen().len();
         until(what, || first.seen().len() > seen + 20);
     };
-    served("it is under load");
+    wait_under_load("it is under load");
     for turn in 0..2 {
         if turn == 1 {
-            std::fs::write(&g.path, "{\"listen\": ").unwrap();
-            g.signal("HUP");
-            until("the file is not taken", || g.log().contains("configuration not taken"));
+            std::fs::write(&gateway.path, "{\"listen\": ").unwrap();
+            gateway.signal("HUP");
+            until("the file is refused", || gateway.log().contains("configuration not taken"));
         }
-        let watches = g.discovery.watches();
-        g.discovery.go("127.0.0.1:0", LONG).unwrap();
-        g.counter.go("127.0.0.1:0", LONG).unwrap();
-        let (path, d, c) = (g.path.clone(), g.discovery.addr.to_string(), g.counter.addr.to_string());
+        let watches = gateway.discovery.watches();
+        gateway.discovery.go("127.0.0.1:0", TIMEOUT).unwrap();
+        gateway.counter.go("127.0.0.1:0", TIMEOUT).unwrap();
+        let (path, d, c) =
+            (gateway.path.clone(), gateway.discovery.addr.to_string(), gateway.counter.addr.to_string());
         std::fs::copy(configuration(|v| (v["discovery"], v["counter"]) = (json!(d), json!(c))), path)
             .unwrap();
-        g.signal("HUP");
-        until("the watch moves", || g.discovery.watches() > watches);
-        until("the counter is used at its new address", || g.counter.calls_here() > 20);
-        until("all have moved", || g.log().matches("code=moved").count() == 5 * (turn + 1));
-        served("it goes on under load");
+        gateway.signal("HUP");
+        until("the watch uses the new address", || gateway.discovery.watches() > watches);
+        until("the counter is used at its new address", || gateway.counter.calls_here() > 20);
+        until("all connections use the new addresses", || {
+            gateway.log().matches("code=moved").count() == 5 * (turn + 1)
+        });
+        wait_under_load("it is still under load");
     }
-    g.discovery.put(vec![row(0, first.addr, "left"), row(1, second.addr, "active")]);
-    until("news come from the new address", || !second.seen().is_empty());
-    over.store(1, Ordering::Relaxed);
+    gateway.discovery.put(vec![server_entry(0, first.addr, "left"), server_entry(1, second.addr, "active")]);
+    until("changes arrive from the new address", || !second.seen().is_empty());
+    stop.store(1, Ordering::Relaxed);
     let passed: usize = clients.into_iter().map(|c| c.join().expect("all answered")).sum();
-    let moved = g.log().matches("code=moved").count();
-    assert_eq!(moved, 2 * 5, "four connections to the counter and a watch, twice: {}", g.log());
-    let calls = g.log().matches("ended counter").count();
-    assert_eq!(calls, 8, "none ended otherwise");
+    let moved = gateway.log().matches("code=moved").count();
+    assert_eq!(moved, 2 * 5, "four connections to the counter and a watch, twice: {}", gateway.log());
+    let calls = gateway.log().matches("ended counter").count();
+    assert_eq!(calls, 8, "no other connection ended");
     assert_eq!(passed, first.seen().len() + second.seen().len());
-    until("each unit is counted once", || (g.counter.sum() - passed as f64).abs() < 0.5);
+    until("each unit is counted once", || (gateway.counter.sum() - passed as f64).abs() < 0.5);
 }
 
-/// A client that has begun a req and never ends it holds nobody up.
+/// A client that never completes its request must not delay the end of the program.
 #[test]
-fn sigterm_beside_an_unfinished_req() {
-    let s = srv(ANSWER);
-    let mut g = Gateway::start(&[s.addr]);
-    let mut c = client(g.addr);
-    c.write(b"GET /quote/7?client=").unwrap();
+fn sigterm_with_an_unfinished_request() {
+    let server = start_server(ANSWER);
+    let mut gateway = Gateway::start(&[server.addr]);
+    let mut client = connect(gateway.addr);
+    client.write(b"GET /quote/7?client=").unwrap();
     sleep(ms(100));
-    let lap = g.lap(&[]);
-    g.signal("TERM");
-    let (status, passed) = g.exit(&lap);
+    let stopwatch = gateway.stopwatch(&[]);
+    gateway.signal("TERM");
+    let (status, passed) = gateway.wait_exit(&stopwatch);
     assert!(status.success() && passed < ms(4000), "{status} after {passed:?}");
 }
 
-/// More connections than descriptors: each is served in its turn, idle and unfinished ones make room.
+/// With more connections than descriptors each request is served in turn, and idle and unfinished connections are
+/// closed.
 #[test]
 fn descriptors_used_up() {
-    let s = srv(Manner::Answer(ms(30)));
-    let g = Gateway::with(&[s.addr], |v| v["limits"]["sockets"] = json!(64));
-    let mut stalled: Vec<Client> = (0..40).map(|_| client(g.addr)).collect();
-    stalled.iter_mut().for_each(|c| c.write(b"GET /quo").unwrap());
+    let server = start_server(Manner::Answer(ms(30)));
+    let gateway = Gateway::with(&[server.addr], |v| v["limits"]["sockets"] = json!(64));
+    let mut stalled: Vec<Client> = (0..40).map(|_| connect(gateway.addr)).collect();
+    stalled.iter_mut().for_each(|client| client.write(b"GET /quo").unwrap());
     let clients: Vec<_> = (0..80)
         .map(|_| {
-            let addr = g.addr;
+            let addr = gateway.addr;
             spawn(move || {
-                let mut c = client(addr);
-                c.ask(req("quote", "house", "60").as_bytes()).unwrap().expect("an answer").status()
+                let mut client = connect(addr);
+                client.ask(request("quote", "house", "60").as_bytes()).unwrap().expect("a response").status()
             })
         })
         .collect();
     let answers: Vec<u16> = clients.into_iter().map(|c| c.join().expect("answered")).collect();
     assert!(answers.iter().all(|a| [200, 429].contains(a)), "{answers:?}");
     assert!(answers.contains(&200));
-    assert_eq!(g.health(), 200);
-    let held = std::fs::read_dir(format!("/proc/{}/fd", g.child.id())).unwrap().count();
+    assert_eq!(gateway.health(), 200);
+    let held = std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id())).unwrap().count();
     assert!(held <= 64, "{held} descriptors");
 }
 
-/// A new id at an old address is another srv: nothing goes on over connections to the old one.
+/// A new server id at an old address is another server: connections to the old one are not reused.
 #[test]
-fn a_new_srv_at_an_old_address() {
-    let s = srv(ANSWER);
-    let g = Gateway::start(&[s.addr]);
-    assert_eq!(g.ask(req("notice", "house", "60").as_bytes()).status(), 200);
-    g.discovery.put(vec![row(0, s.addr, "left"), row(1, s.addr, "active")]);
-    until("the idle connection goes", || {
-        g.log().contains("ended srv") && g.log().contains("code=closed-here")
+fn new_server_at_an_old_address() {
+    let server = start_server(ANSWER);
+    let gateway = Gateway::start(&[server.addr]);
+    assert_eq!(gateway.ask(request("notice", "house", "60").as_bytes()).status(), 200);
+    gateway.discovery.put(vec![server_entry(0, server.addr, "left"), server_entry(1, server.addr, "active")]);
+    until("the idle connection is closed", || {
+        gateway.log().contains("ended srv") && gateway.log().contains("code=closed-here")
+    });
+    // the new server is cold, and gets its first request some time after its start
+    until("the new server is used", || {
+        gateway.ask(request("notice", "house", "60").as_bytes()).status() == 200
     });
-    // the new one is cold, and takes its first req some time after its start
-    until("the new one is used", || g.ask(req("notice", "house", "60").as_bytes()).status() == 200);
-    assert_eq!(s.connections(), 2);
+    assert_eq!(server.connections(), 2);
 }
 
-/// Connections to srvs go before the srv closes them, and are used again until then.
+/// Idle connections to servers are reused, and closed before the server closes them.
 #[test]
 fn idle_connections() {
-    let s = srv(ANSWER);
-    let g = Gateway::with(&[s.addr], |v| v["settings"]["limits"]["keepalive"] = json!(4));
+    let server = start_server(ANSWER);
+    let gateway = Gateway::with(&[server.addr], |v| v["settings"]["limits"]["keepalive"] = json!(4));
     for _ in 0..3 {
-        assert_eq!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
-        sleep(ms(5)); // a connection is used again after a rest
+        assert_eq!(gateway.ask(request("quote", "house", "60").as_bytes()).status(), 200);
+        sleep(ms(5)); // a connection is reused only after it has been idle for a moment
     }
-    assert_eq!(s.connections(), 1);
-    until("it is closed", || g.log().contains("code=idle"));
-    assert_eq!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
-    assert_eq!(s.connections(), 2);
+    assert_eq!(server.connections(), 1);
+    until("it is closed", || gateway.log().contains("code=idle"));
+    assert_eq!(gateway.ask(request("quote", "house", "60").as_bytes()).status(), 200);
+    assert_eq!(server.connections(), 2);
 }
 
-/// `/_health` waits for a list; a watch that falls silent is opened anew and goes on.
+/// `/_health` waits for a server list. A watch that falls silent is opened again and continues.
 #[test]
 fn discovery_late_and_silent() {
-    let (first, second) = (srv(ANSWER), srv(ANSWER));
-    let g = Gateway::start(&[]);
+    let (first, second) = (start_server(ANSWER), start_server(ANSWER));
+    let gateway = Gateway::start(&[]);
     sleep(ms(200));
-    assert_eq!(g.health(), 503);
-    g.discovery.put(vec![row(0, first.addr, "active")]);
-    until("it is ready", || g.health() == 200);
-    g.discovery.mute(true);
-    let watches = g.discovery.watches();
-    until("the watch is opened anew", || g.discovery.watches() > watches);
-    g.discovery.put(vec![row(0, first.addr, "left"), row(1, second.addr, "active")]);
-    g.discovery.mute(false);
-    until("the new list is followed", || {
-        assert_eq!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
+    assert_eq!(gateway.health(), 503);
+    gateway.discovery.put(vec![server_entry(0, first.addr, "active")]);
+    until("it is ready", || gateway.health() == 200);
+    gateway.discovery.mute(true);
+    let watches = gateway.discovery.watches();
+    until("the watch is opened again", || gateway.discovery.watches() > watches);
+    gateway.discovery.put(vec![server_entry(0, first.addr, "left"), server_entry(1, second.addr, "active")]);
+    gateway.discovery.mute(false);
+    until("the new list is applied", || {
+        assert_eq!(gateway.ask(request("quote", "house", "60").as_bytes()).status(), 200);
         !second.seen().is_empty()
     });
 }
 
-/// An old list serves while discovery is down.
+/// The configured list is used while discovery is down.
 #[test]
 fn known_list() {
-    let s = srv(ANSWER);
-    let known = json!({"generation": 3, "reset": true, "instances": [row(0, s.addr, "active")]});
-    let g = Gateway::with(&[], |v| {
-        v["discovery"] = json!(nobody().to_string());
+    let server = start_server(ANSWER);
+    let known =
+        json!({"generation": 3, "reset": true, "instances": [server_entry(0, server.addr, "active")]});
+    let gateway = Gateway::with(&[], |v| {
+        v["discovery"] = json!(unused_addr().to_string());
         v["known"] = known;
     });
-    until("it is ready", || g.health() == 200);
-    assert_eq!(g.ask(req("quote", "house", "60").as_bytes()).status(), 200);
+    until("it is ready", || gateway.health() == 200);
+    assert_eq!(gateway.ask(request("quote", "house", "60").as_bytes()).status(), 200);
 }
 
 #[test_case(|v| v["listen"] = json!("somewhere"), "`listen`"; "no address")]
 #[test_case(|v| v["seed"] = json!("zz"), "`seed`"; "no seed")]
 #[test_case(|v| v["limits"]["sockets"] = json!(10), "`limits.sockets`"; "too few descriptors")]
 #[test_case(|v| v["counter"] = Value::Null, "`counter`"; "no counter")]
-#[test_case(|v| v["settings"]["classes"][1]["slo"] = json!("x"), "`classes.slo`"; "a text for a number")]
-#[test_case(|v| v["settings"]["zones"] = json!([1]), "`zones`"; "a number for a name")]
+#[test_case(|v| v["settings"]["classes"][1]["slo"] = json!("x"), "`classes.slo`"; "a string instead of a number")]
+#[test_case(|v| v["settings"]["zones"] = json!([1]), "`zones`"; "a number instead of a name")]
 #[test_case(|v| v["known"] = json!({"generation": 1}), "`known`"; "a list without entries")]
 #[test_case(|v| v["known"] = json!({"generation": 1, "instances": [{"instanceId": "a", "hostPort": "b",
     "lifecycle": "active"}]}), "`hostPort`"; "an entry without an address")]
-#[test_case(|v| v["settings"]["clientHabits"] = json!({"marksRetry": 1}), "`clientHabits.marksRetry`"; "no flag")]
+#[test_case(|v| v["settings"]["clientHabits"] = json!({"marksRetry": 1}), "`clientHabits.marksRetry`"; "not a boolean")]
 #[test_case(|v| v["watch"] = json!({"limits": {"mayDuplicates": false}}), "`watch`: `limits.mayDuplicates`";
-    "a change of a setting that is none")]
+    "a change of an unknown setting")]
 #[test_case(|v| v["settings"]["packages"][1]["capRate"] = json!(3), "`packages.neverOverDepth`"; "no burst")]
 #[test_case(|v| v["settings"]["packages"][0]["atOnce"] = json!(-1), "`packages.atOnce`"; "a count below 0")]
-#[test_case(|v| v["watch"] = json!({"classes": []}), "`watch`: `classes`"; "other frontends to come")]
-#[test_case(|v| v["watch"] = json!({"rules": {"tipAfter": "x"}}), "`watch`: `rules.tipAfter`"; "a text to come")]
+#[test_case(|v| v["watch"] = json!({"classes": []}), "`watch`: `classes`"; "planned settings with other frontends")]
+#[test_case(|v| v["watch"] = json!({"rules": {"tipAfter": "x"}}), "`watch`: `rules.tipAfter`"; "planned settings with a string")]
 #[test_case(|v| { v.as_object_mut().unwrap().remove("settings"); }, "`settings`"; "no settings")]
 fn bad_configuration(change: fn(&mut Value), named: &str) {
     let out = program(&configuration(change)).output().expect("the program");
