--- a/gateway/src/program/start.rs
+++ b/gateway/src/program/start.rs
@@ -62,9 +62,7 @@
         ((config.sockets - RESERVED_DESCRIPTORS) / 4, (config.sockets - RESERVED_DESCRIPTORS) * 3 / 4);
     let exchange = Exchange::new(config.terms.clone(), clock, counters.clone());
     if let Some(planned_terms) = config.planned_terms {
-        log::info!(
-            "planned settings are evaluated: decisions stay as before, differences are counted as watch.*"
-        );
+        log::info!("watching for settings to come: decided as before, counted as watch.*");
         exchange.set_observer(Box::new(ShadowObserver::new(planned_terms, counters.clone())));
     }
     let protocol = GatewayProtocol { max_units: config.terms.max_units };
@@ -99,7 +97,7 @@
     let (reload_discovery, reload_counter) = (discovery.clone(), counter.clone());
     signals.on_hangup(move || match config::read() {
         Ok(new) => {
-            log::info!("configuration reloaded: discovery {}, counter {:?}", new.discovery, new.counter);
+            log::info!("configuration read anew: discovery {}, counter {:?}", new.discovery, new.counter);
             reload_discovery.set_address(new.discovery);
             reload_counter.iter().zip(new.counter).for_each(|(c, addr)| c.set_address(addr));
         }
@@ -136,7 +134,7 @@
         _ = accept.as_mut() => {}
         _ = signals.wait_end() => {}
         // no request can be answered without it, so the program must fail
-        result = &mut exchange_task => return Err(format!("the decision module ended: {result:?}")),
+        result = &mut exchange_task => return Err(format!("the decisions ended: {result:?}")),
     }
     log::info!("ending");
     clients.start_closing();
--- a/gateway/src/protocol/discovery.rs
+++ b/gateway/src/protocol/discovery.rs
@@ -249,7 +249,7 @@
     fn apply(&self, line: &[u8]) -> Result<(), String> {
         let message: WireMembers = serde_json::from_slice(line).map_err(|e| e.to_string())?;
         let members = message.members(&self.zones);
-        members.faults.iter().for_each(|fault| log::warn!("discovery: entry ignored: {fault}"));
+        members.faults.iter().for_each(|fault| log::warn!("discovery: an entry left out: {fault}"));
         self.generation.set(Some(members.generation));
         if members.is_full || !members.entries.is_empty() {
             self.exchange.update_servers(
--- a/proxy/src/exchange.rs
+++ b/proxy/src/exchange.rs
@@ -631,7 +631,7 @@
         let closed = self.requests.borrow().get(&id).is_none_or(|r| r.reply_to.is_none());
         let took = self.clock.now() - active.sent_at;
         let ended = Ended { id, nth, outcome: Outcome::Cancelled, took, closed, billed: 0.0 };
-        log::debug!("cancelled {id}/{nth} at server {}", active.server);
+        log::debug!("cancelled {id}/{nth} at srv {}", active.server);
         self.push_event(Event::Ended(ended, Vec::new()));
         self.maybe_finished.borrow_mut().push(id);
     }
