--- a/src/admission.rs
+++ b/src/admission.rs
@@ -120,7 +120,7 @@
     pub(crate) fn share(&self, c: usize) -> f64 {
         let cust = &self.customers[c];
         let prior = 0.5 * self.terms.plans[cust.plan].burst.max(1.0);
-        let alone = if self.costly_outage(c) { 0.85 } else { 1.0 }; // each gateway's estimate includes idle times of the others
+        let alone = if self.costly_outage(c) { 0.85 } else { 1.0 }; // each estimate includes the others' idle times
         alone * ((cust.own_use + prior / cust.spread) / (cust.all_use + prior)).clamp(0.5 / cust.spread, 1.0)
     }
 
