--- a/drift-detection/tests/cost.rs
+++ b/drift-detection/tests/cost.rs
@@ -35,7 +35,7 @@
             ("r".into(), "z".into(), None, None, None);
         let (core, ready, leaving, load) = (i < 5, true, false, 0);
         let card = Card { core, region, zone, client_address, control_address, ready, leaving, drift, load };
-        let digest = Digest { state: (1, 1), fingerprint: fingerprint, ..Digest::default() };
+        let digest = Digest { state: (1, 1), fingerprint, ..Digest::default() };
         Member {
             node: i,
             incarnation: 1,
