--- a/simulation/src/cluster.rs
+++ b/simulation/src/cluster.rs
@@ -28,12 +28,13 @@
     pub(crate) seeds_by_node: BTreeMap<Node, Vec<Node>>,
     pub(crate) flaw: Flaw,
     /// Number of members that may have lost their disk at once.
-    pub(crate) tolerate: usize,
-    /// When the cuts end, and when losses and delays return to normal.
-    pub(crate) heal_at: (f64, f64),
+    pub(crate) max_lost_disks: usize,
+    /// `.0`: when the cuts end. `.1`: when losses and delays return to normal.
+    pub(crate) cuts_and_degradation_end_at: (f64, f64),
     /// Until this time the first process that votes for a new epoch is killed.
     pub(crate) kill_on_vote_until: f64,
-    pub(crate) replacements: u32,
+    /// Number of machines that were lost for good and replaced.
+    pub(crate) lost_machine_replacements: u32,
     /// Orderly shutdowns that are planned or in progress.
     pub(crate) shutdowns: Vec<PlannedShutdown>,
     /// Number of machines that were replaced in an orderly way.
@@ -49,7 +50,7 @@
         let cores: Vec<Node> = (1..=schedule.cores.1 as Node).map(|n| 10 * n).collect();
         let edges: Vec<Node> = (1..=schedule.edges as Node).map(|n| 1000 + 10 * n).collect();
         let seeds = cores[..schedule.cores.0].to_vec();
-        let tolerate = (cores.len() - 1) / 2;
+        let max_lost_disks = (cores.len() - 1) / 2;
         let world = World::new(schedule.seed, net, ReferenceModel::default());
         let mut cluster = Cluster {
             world,
@@ -58,10 +59,10 @@
             seeds,
             seeds_by_node: BTreeMap::new(),
             flaw,
-            tolerate,
-            heal_at: (0.0, 0.0),
+            max_lost_disks,
+            cuts_and_degradation_end_at: (0.0, 0.0),
             kill_on_vote_until: 0.0,
-            replacements: 0,
+            lost_machine_replacements: 0,
             shutdowns: Vec::new(),
             graceful_replacements: 0,
             sent_configs: Vec::new(),
@@ -81,9 +82,9 @@
         for node in self.cores.clone() {
             if self.world.process(node).is_none() {
                 let seeds = self.seeds_by_node.get(&node).unwrap_or(&self.seeds);
-                let (tolerate, flaw) = (self.tolerate, self.flaw);
+                let (max_lost_disks, flaw) = (self.max_lost_disks, self.flaw);
                 self.world.start(node, |context| {
-                    Process::Core(Box::new(Core::new(node, context, seeds, tolerate, flaw)))
+                    Process::Core(Box::new(Core::new(node, context, seeds, max_lost_disks, flaw)))
                 });
                 self.disturb(0.0);
             }
@@ -115,9 +116,9 @@
 
     /// Number of members that are lost for good, or whose disk is empty because they have not recovered yet.
     pub(crate) fn impaired_members(&self) -> usize {
-        let empty =
+        let has_no_saved_state =
             |node| self.world.machines.get(node).is_none_or(|machine| machine.disk.saved_state.is_none());
-        self.members().iter().filter(|&node| !self.cores.contains(node) || empty(node)).count()
+        self.members().iter().filter(|&node| !self.cores.contains(node) || has_no_saved_state(node)).count()
     }
 
     /// Whether the members are exactly the present core machines, and no membership change is in progress.
@@ -126,7 +127,7 @@
         unchanging && self.members() == self.cores.iter().copied().collect()
     }
 
-    /// The nodes that considered themselves leaders with a majority when they last ran.
+    /// The nodes that considered themselves leaders with a majority when their replicas last handled an input.
     pub fn leaders(&self) -> Vec<Node> {
         let leads = |node: &Node| self.world.process(*node)?.core()?.leading_epoch();
         self.cores.iter().copied().filter(|node| leads(node).is_some()).collect()
@@ -147,10 +148,10 @@
                 self.start_cores();
             }
             let now = self.world.now;
-            if now >= self.heal_at.0 {
+            if now >= self.cuts_and_degradation_end_at.0 {
                 self.world.net.cuts.clear();
             }
-            if now >= self.heal_at.1 {
+            if now >= self.cuts_and_degradation_end_at.1 {
                 (self.world.net.loss_percent, self.world.net.late_percent) = (1, 0);
             }
             self.advance_shutdowns();
@@ -217,7 +218,7 @@
     /// Ends all faults and starts all processes that are down.
     pub fn heal(&mut self) {
         let now = self.world.now;
-        self.heal_at = (now, now);
+        self.cuts_and_degradation_end_at = (now, now);
         self.world.net.cuts.clear();
         (self.world.net.loss_percent, self.world.net.late_percent) = (1, 0);
         for machine in self.world.machines.values_mut() {
--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -40,8 +40,8 @@
     /// The epoch, with its holder, that this process held or received a message from last.
     last_holder: (u64, Node),
     pub(crate) counter_holder: CounterHolder,
-    /// The epoch that the counters belong to, and when to poll them next.
-    pub(crate) counter_state: (Option<u64>, f64),
+    /// `.0`: the epoch that the counters belong to. `.1`: when to poll the gateways for them next.
+    pub(crate) counter_epoch_and_next_poll: (Option<u64>, f64),
     last_ticket: u64,
     pending: BTreeMap<u64, Pending>,
     pub(crate) changes: ChangeQueue<Command>,
@@ -82,7 +82,7 @@
             leading_epoch: None,
             last_holder: (0, 0),
             counter_holder: CounterHolder::default(),
-            counter_state: (None, now),
+            counter_epoch_and_next_poll: (None, now),
             last_ticket: 0,
             pending: BTreeMap::new(),
             changes: ChangeQueue::default(),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The epoch that this process led with a majority when it last ran.
+    /// The epoch that this process led with a majority when its replica last handled an input.
     pub fn leading_epoch(&self) -> Option<u64> {
         self.leading_epoch
     }
@@ -107,7 +107,7 @@
 
     pub(crate) fn next_wake(&self) -> f64 {
         let callers = self.callers.values().map(|caller| caller.1).fold(f64::INFINITY, f64::min);
-        self.replica.next_wake().min(self.disseminator.next_wake()).min(self.counter_state.1).min(callers)
+        self.replica.next_wake().min(self.disseminator.next_wake()).min(self.counter_epoch_and_next_poll.1).min(callers)
     }
 
     pub(crate) fn tick(&mut self, now: f64, out: &mut Effects) {
@@ -115,7 +115,7 @@
         if now >= self.disseminator.next_wake() {
             send_gossip(self.disseminator.tick(now), out);
         }
-        if now >= self.counter_state.1 {
+        if now >= self.counter_epoch_and_next_poll.1 {
             self.poll_counters(now, out);
         }
         self.expire_callers(now, out);
@@ -231,7 +231,7 @@
         }
         let previous = std::mem::replace(&mut self.leading_epoch, self.replica.leading_epoch(now));
         if previous != self.leading_epoch {
-            self.counter_state.1 = now;
+            self.counter_epoch_and_next_poll.1 = now;
         }
         self.publish(now, out);
     }
@@ -306,7 +306,9 @@
         callers.filter_map(|caller| self.callers.remove(&caller)).map(|caller| caller.0).collect()
     }
 
-    /// The reply of a process that is not the leader: a redirect to the holder if one is known, else unknown.
+    /// The reply of a process that is not the leader: a redirect to the leader that its replica knows, else to the
+    /// published holder; [`Reply::Unknown`] without either. The published holder counts only if it is listed as alive, its
+    /// epoch is not older than the last one seen, and the replica is isolated from it.
     fn redirect(&self, now: f64) -> Reply {
         let (epoch, published) = self.disseminator.store().epoch();
         let alive = |m: &Member| m.card.core && m.standing == Standing::Alive;
@@ -393,7 +395,7 @@
 }
 
 impl Command {
-    /// The command in the form that documents decide on.
+    /// Converts to the command type of the config crate.
     pub fn as_order(&self) -> lupinledge_config::Order<'_> {
         use lupinledge_config::Order;
         match self {
--- a/simulation/src/core_counters.rs
+++ b/simulation/src/core_counters.rs
@@ -17,16 +17,16 @@
 impl Core {
     /// Switches to the counters of the epoch that this process leads; `None` if it leads none.
     fn start_counters(&mut self, now: f64) -> Option<u64> {
-        let unheld = self.counter_state.0.filter(|_| self.flaw == Flaw::CountsUnheld);
+        let unheld = self.counter_epoch_and_next_poll.0.filter(|_| self.flaw == Flaw::CountsUnheld);
         let epoch = self.replica.leading_epoch(now).or(unheld)?;
         self.counter_holder.start_epoch(now, epoch);
-        self.counter_state.0 = Some(epoch);
+        self.counter_epoch_and_next_poll.0 = Some(epoch);
         Some(epoch)
     }
 
     /// Asks gateways for missing handovers, and answers the calls that waited once the totals are complete.
     pub(crate) fn poll_counters(&mut self, now: f64, out: &mut Effects) {
-        self.counter_state.1 = now + POLL_INTERVAL;
+        self.counter_epoch_and_next_poll.1 = now + POLL_INTERVAL;
         let Some(epoch) = self.start_counters(now) else { return };
         let status = |m: &Member| {
             let (alive, gone) = (m.standing == Standing::Alive, m.standing == Standing::Gone);
@@ -36,7 +36,7 @@
             self.disseminator.membership().members().filter(|m| !m.card.core).map(status).collect();
         let handover = self.counter_holder.poll(now, &gateways);
         if matches!(handover, HandoverStatus::Collecting(_)) {
-            self.counter_state.1 = now + COLLECT_INTERVAL;
+            self.counter_epoch_and_next_poll.1 = now + COLLECT_INTERVAL;
         }
         match handover {
             HandoverStatus::Serving(_) if self.flaw == Flaw::CountsAsked => {}
--- a/simulation/src/partitions.rs
+++ b/simulation/src/partitions.rs
@@ -193,7 +193,7 @@
         members.iter().filter(reachable).count() <= members.len() / 2
     }
 
-    /// Whether a node leads or tries to lead, and is not cut off from a majority.
+    /// Whether a node considers itself the leader and can reach a majority of the members.
     fn leads_with_majority(&self, node: Node) -> bool {
         let core = self.cluster.world.process(node).and_then(Process::core);
         core.and_then(|core| core.replica.leader(0.0)).is_some_and(|(holder, _)| holder == node)
@@ -329,7 +329,7 @@
             }
         }
         let now = self.cluster.world.now;
-        self.cluster.heal_at.0 = now + CUT_DURATION;
+        self.cluster.cuts_and_degradation_end_at.0 = now + CUT_DURATION;
         self.cut_at = now;
         for &a in &isolated {
             for &b in &rest {
@@ -408,7 +408,7 @@
             self.cluster.kill_edge(edge);
             self.dead_edge = Some((edge, self.cluster.world.now));
         }
-        let remaining = self.cluster.heal_at.0 - self.cluster.world.now;
+        let remaining = self.cluster.cuts_and_degradation_end_at.0 - self.cluster.world.now;
         self.run((remaining - CHECK_INTERVAL).max(0.0));
         if self.dead_edge.take().is_some() {
             self.cluster.start_edges();
--- a/simulation/src/planned_shutdowns.rs
+++ b/simulation/src/planned_shutdowns.rs
@@ -40,7 +40,7 @@
     /// Adds a new core machine, and later shuts an old one down for good.
     pub(crate) fn graceful_replace(&mut self, index: u8, holder: bool) {
         let Some(node) = self.shutdown_candidate(index, holder) else { return };
-        let in_progress = self.cores.len() > 2 * self.tolerate + 1;
+        let in_progress = self.cores.len() > 2 * self.max_lost_disks + 1;
         if in_progress
             || self.graceful_replacements == MAX_GRACEFUL_REPLACEMENTS
             || self.impaired_members() > 0
@@ -83,7 +83,7 @@
             } else if shutdown.requested && (may_stop || self.flaw == Flaw::LeavesAtOnce) {
                 self.shut_down(shutdown, up_to_date);
             } else if (ended || now >= shutdown.at)
-                && (shutdown.restart || self.impaired_members() < self.tolerate)
+                && (shutdown.restart || self.impaired_members() < self.max_lost_disks)
             {
                 // It is removed while it was down, or was too slow: one more member is lost.
                 self.shut_down(shutdown, false);
@@ -105,7 +105,7 @@
         }
         self.cores.retain(|&other| other != node);
         let members = self.members();
-        let wanted = 2 * self.tolerate + 1;
+        let wanted = 2 * self.max_lost_disks + 1;
         if orderly && members.contains(&node) && members.len() > wanted {
             let text = format!("{node} shut down in an orderly way and is still a member: {members:?}");
             self.world.observer.fail(text);
--- a/simulation/src/process.rs
+++ b/simulation/src/process.rs
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The edge process, if it is one.
+    /// The edge process, or `None` for a core process.
     pub fn edge(&self) -> Option<&Edge> {
         match self {
             Process::Core(_) => None,
--- a/simulation/src/reference_model.rs
+++ b/simulation/src/reference_model.rs
@@ -83,8 +83,8 @@
     pub last_voter: Option<Node>,
     /// The index and document that each run holds.
     held: BTreeMap<(Node, u64), (u64, Rc<Document>)>,
-    /// The replies to all commands, by id.
-    pub(crate) answers: BTreeMap<u64, Reply>,
+    /// The replies to all commands, by command id.
+    pub(crate) replies_by_command: BTreeMap<u64, Reply>,
     /// The replies since the caller last took them: time, node, command id and reply. `None` if they are not recorded.
     pub(crate) replies: Option<Vec<(f64, Node, u64, Reply)>>,
     /// The model of the counters.
@@ -283,17 +283,17 @@
             (Command::Get, _) => self.coverage.reads += 1,
             (_, Answer::Refused { .. }) => self.coverage.refusals += 1,
             (Command::Put(body), _) => {
-                self.acknowledged(now, index);
+                self.record_acknowledgement(now, index);
                 let base = versions(&body).0;
                 if *self.acked_by_base.entry(base).or_insert_with(|| body.clone()) != body {
                     self.fail(format!("two configurations are acknowledged on base {base}"));
                 }
             }
-            _ => self.acknowledged(now, index),
+            _ => self.record_acknowledgement(now, index),
         }
     }
 
-    fn acknowledged(&mut self, now: f64, index: u64) {
+    fn record_acknowledgement(&mut self, now: f64, index: u64) {
         self.coverage.acks += 1;
         self.acks.push((now, index));
     }
@@ -375,7 +375,7 @@
             Observation::SupportedEpoch { epoch, durable } => self.supported_epoch(node, epoch, durable),
             Observation::StateLearned => drop(self.wiped.remove(&node)),
             Observation::Replied(id, reply) => {
-                self.answers.insert(id, reply.clone());
+                self.replies_by_command.insert(id, reply.clone());
                 self.replies.iter_mut().for_each(|kept| kept.push((now, node, id, reply.clone())));
                 self.replied(now, node, id, reply);
             }
--- a/simulation/src/resends.rs
+++ b/simulation/src/resends.rs
@@ -103,9 +103,10 @@
     /// The bodies that were acknowledged, by base and by version, also if the reply was lost.
     acked_by_base: BTreeMap<u64, Rc<[u8]>>,
     acked_by_version: BTreeMap<u64, Rc<[u8]>>,
-    /// The bodies that were refused and acknowledged, also if the reply was lost.
-    refused: BTreeSet<Rc<[u8]>>,
-    acked: BTreeSet<Rc<[u8]>>,
+    /// The bodies that were refused, also if the reply was lost.
+    refused_bodies: BTreeSet<Rc<[u8]>>,
+    /// The bodies that were acknowledged, also if the reply was lost. A body in both sets is a violation.
+    acked_bodies: BTreeSet<Rc<[u8]>>,
     bodies_made: u64,
     healed: bool,
     coverage: ResendCoverage,
@@ -127,8 +128,8 @@
             zones: BTreeMap::new(),
             acked_by_base: BTreeMap::new(),
             acked_by_version: BTreeMap::new(),
-            refused: BTreeSet::new(),
-            acked: BTreeSet::new(),
+            refused_bodies: BTreeSet::new(),
+            acked_bodies: BTreeSet::new(),
             bodies_made: 0,
             healed: false,
             coverage: ResendCoverage::default(),
@@ -204,7 +205,7 @@
         for tracked in &mut commands {
             for nth in 0..tracked.attempts.len() {
                 let Attempt { id, sent_at, reply_lost, reply_seen } = tracked.attempts[nth];
-                let Some(reply) = cluster.world.observer.answers.get(&id).filter(|_| !reply_seen).cloned()
+                let Some(reply) = cluster.world.observer.replies_by_command.get(&id).filter(|_| !reply_seen).cloned()
                 else {
                     continue;
                 };
@@ -256,7 +257,7 @@
         let error = |what: &str| Err(format!("version {version} on base {base}: {what}"));
         match answer {
             Answer::Done => {
-                self.coverage.accepted += u64::from(self.acked.insert(body.clone()));
+                self.coverage.accepted += u64::from(self.acked_bodies.insert(body.clone()));
                 self.coverage.repeated +=
                     u64::from(tracked.attempts[..nth].iter().any(|a| a.reply_seen && a.reply_lost));
                 self.coverage.replaced += u64::from(newest != version);
@@ -267,10 +268,10 @@
                     return error("acknowledged, although another body was acknowledged with its version");
                 }
             }
-            Answer::Refused { .. } => self.coverage.refused += u64::from(self.refused.insert(body.clone())),
+            Answer::Refused { .. } => self.coverage.refused += u64::from(self.refused_bodies.insert(body.clone())),
             Answer::Config(_) => {}
         }
-        match self.refused.contains(body) && self.acked.contains(body) {
+        match self.refused_bodies.contains(body) && self.acked_bodies.contains(body) {
             true => error("refused and acknowledged"),
             false => Ok(()),
         }
@@ -279,7 +280,7 @@
     /// Checks the committed documents against the answers.
     fn check_state(&self, cluster: &Cluster) -> Result<(), String> {
         let model = &cluster.world.observer;
-        if let Some(body) = model.bodies().find(|body| self.refused.contains(*body)) {
+        if let Some(body) = model.bodies().find(|body| self.refused_bodies.contains(*body)) {
             let text = String::from_utf8_lossy(&body[..body.len().min(50)]).into_owned();
             return Err(format!("refused and in force: {text}"));
         }
--- a/simulation/src/schedule.rs
+++ b/simulation/src/schedule.rs
@@ -50,7 +50,7 @@
     Cut(u16, u16),
     /// Each route is cut with a probability of one quarter, in one direction only.
     CutOneWay(u16),
-    /// Sets the percentages of messages that are lost and that are late.
+    /// Sets the percentages of messages that are lost and that are late, for this many milliseconds.
     DegradeNetwork(u8, u8, u16),
     /// An edge process is killed.
     KillEdge(u8),
--- a/simulation/src/steps.rs
+++ b/simulation/src/steps.rs
@@ -95,7 +95,7 @@
                 let duration = f64::from(duration) / 1000.0;
                 (self.world.net.loss_percent, self.world.net.late_percent) =
                     (loss_percent.into(), late_percent.into());
-                self.heal_at.1 = self.world.now + duration;
+                self.cuts_and_degradation_end_at.1 = self.world.now + duration;
                 self.disturb(duration + CHECK_INTERVAL);
             }
             Step::KillEdge(index) => self.kill_edge(self.edge_at(index)),
@@ -150,7 +150,7 @@
 
     /// Wipes a core machine, unless that is more than the cluster tolerates now.
     fn wipe(&mut self, node: Node) {
-        if self.impaired_members() < self.tolerate && self.membership_settled() {
+        if self.impaired_members() < self.max_lost_disks && self.membership_settled() {
             self.world.wipe(node);
             self.world.observer.disk_wiped(node);
             self.disturb(0.0);
@@ -159,21 +159,21 @@
 
     /// Removes a core machine for good, and adds an empty one at a new address.
     fn replace(&mut self, node: Node) {
-        if self.replacements == MAX_REPLACEMENTS || self.impaired_members() > 0 || !self.membership_settled()
+        if self.lost_machine_replacements == MAX_REPLACEMENTS || self.impaired_members() > 0 || !self.membership_settled()
         {
             return;
         }
-        self.replacements += 1;
+        self.lost_machine_replacements += 1;
         self.kill(node);
         self.cores.retain(|&other| other != node);
-        self.add_core(node % 100 + 100 * self.replacements);
+        self.add_core(node % 100 + 100 * self.lost_machine_replacements);
     }
 
     /// Keeps the cuts for at least `duration` milliseconds from now on.
     fn disturb_network(&mut self, duration: u16) {
         let duration = f64::from(duration) / 1000.0;
-        self.heal_at.0 = self.heal_at.0.max(self.world.now + duration);
-        let remaining = self.heal_at.0 - self.world.now;
+        self.cuts_and_degradation_end_at.0 = self.cuts_and_degradation_end_at.0.max(self.world.now + duration);
+        let remaining = self.cuts_and_degradation_end_at.0 - self.world.now;
         self.disturb(remaining + CHECK_INTERVAL);
     }
 }
