--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -107,7 +107,11 @@
 
     pub(crate) fn next_wake(&self) -> f64 {
         let callers = self.callers.values().map(|caller| caller.1).fold(f64::INFINITY, f64::min);
-        self.replica.next_wake().min(self.disseminator.next_wake()).min(self.counter_epoch_and_next_poll.1).min(callers)
+        self.replica
+            .next_wake()
+            .min(self.disseminator.next_wake())
+            .min(self.counter_epoch_and_next_poll.1)
+            .min(callers)
     }
 
     pub(crate) fn tick(&mut self, now: f64, out: &mut Effects) {
--- a/simulation/src/resends.rs
+++ b/simulation/src/resends.rs
@@ -205,7 +205,8 @@
         for tracked in &mut commands {
             for nth in 0..tracked.attempts.len() {
                 let Attempt { id, sent_at, reply_lost, reply_seen } = tracked.attempts[nth];
-                let Some(reply) = cluster.world.observer.replies_by_command.get(&id).filter(|_| !reply_seen).cloned()
+                let Some(reply) =
+                    cluster.world.observer.replies_by_command.get(&id).filter(|_| !reply_seen).cloned()
                 else {
                     continue;
                 };
@@ -268,7 +269,9 @@
                     return error("acknowledged, although another body was acknowledged with its version");
                 }
             }
-            Answer::Refused { .. } => self.coverage.refused += u64::from(self.refused_bodies.insert(body.clone())),
+            Answer::Refused { .. } => {
+                self.coverage.refused += u64::from(self.refused_bodies.insert(body.clone()))
+            }
             Answer::Config(_) => {}
         }
         match self.refused_bodies.contains(body) && self.acked_bodies.contains(body) {
--- a/simulation/src/steps.rs
+++ b/simulation/src/steps.rs
@@ -159,7 +159,9 @@
 
     /// Removes a core machine for good, and adds an empty one at a new address.
     fn replace(&mut self, node: Node) {
-        if self.lost_machine_replacements == MAX_REPLACEMENTS || self.impaired_members() > 0 || !self.membership_settled()
+        if self.lost_machine_replacements == MAX_REPLACEMENTS
+            || self.impaired_members() > 0
+            || !self.membership_settled()
         {
             return;
         }
@@ -172,7 +174,8 @@
     /// Keeps the cuts for at least `duration` milliseconds from now on.
     fn disturb_network(&mut self, duration: u16) {
         let duration = f64::from(duration) / 1000.0;
-        self.cuts_and_degradation_end_at.0 = self.cuts_and_degradation_end_at.0.max(self.world.now + duration);
+        self.cuts_and_degradation_end_at.0 =
+            self.cuts_and_degradation_end_at.0.max(self.world.now + duration);
         let remaining = self.cuts_and_degradation_end_at.0 - self.world.now;
         self.disturb(remaining + CHECK_INTERVAL);
     }
--- a/soak/src/backend.rs
+++ b/soak/src/backend.rs
@@ -22,9 +22,9 @@
 /// Work is divided into slices of this length; between them the server checks whether the connection was closed.
 const WORK_SLICE: Duration = Duration::from_millis(10);
 
-/// One of this many bodies is long.
+/// One of this many bodies may be long.
 const LONG_BODY_INTERVAL: usize = 25;
-/// Maximum sizes of bodies in bytes.
+/// The number of filler bytes in a body is less than this, for most bodies and for those that may be long.
 const MAX_SHORT_BODY: usize = 4000;
 const MAX_LONG_BODY: usize = 900_000;
 
@@ -92,7 +92,8 @@
     hash(body)
 }
 
-/// The body of the answer to a request; one in `LONG_BODY_INTERVAL` is long.
+/// The body of the answer to a request: its id and filler bytes. One in `LONG_BODY_INTERVAL` may have almost
+/// `MAX_LONG_BODY` filler bytes.
 pub fn body_for(id: &str) -> String {
     let hash_value = hash(id) as usize;
     let max_length =
@@ -100,7 +101,8 @@
     format!("{id} {}", "z".repeat(hash_value / LONG_BODY_INTERVAL % max_length))
 }
 
-/// The body that a client sends with a request; one in `LONG_BODY_INTERVAL` is long.
+/// The body that a client sends with a request: its id and filler bytes. One in `LONG_BODY_INTERVAL` may have almost
+/// `MAX_LONG_BODY` filler bytes.
 pub fn request_body(id: &str) -> String {
     let hash_value = hash((id, 1)) as usize;
     let max_length =
@@ -123,7 +125,8 @@
     message.header(OPERATION_KEY).unwrap_or(id)
 }
 
-/// The stamp and the body of the answer to a request.
+/// The answer to a request. `stamp` is the value of the header Lupinledge-Server-Stamp; for keyed operations it
+/// identifies the execution.
 struct Reply {
     stamp: String,
     body: String,
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -5,7 +5,7 @@
     FREE, HOME, HOMED, LIMITED, MAX_ATTEMPTS, MOVING, READ, ROTATING, UNKNOWN_KEY, ZONES,
 };
 use crate::operation_checks::Operations;
-use crate::record::{Arrival, Ending, Observations, Process, Seconds, SentRequest, Version};
+use crate::record::{Arrival, Observations, Outcome, Process, Seconds, SentRequest, Version};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// How many requests may miss a promise whose rule itself tolerates some misses.
@@ -93,12 +93,12 @@
         }
         violations.extend(self.observations.arrivals.iter().filter_map(|a| self.check_evacuation(a)));
         violations.extend(self.check_lost());
-        let undisturbed = |edge, at: Seconds, ended: Seconds| {
-            self.edge_undisturbed(edge, at - CONTACT, ended + HARNESS_DELAY)
+        let undisturbed = |edge, at: Seconds, ended_at: Seconds| {
+            self.edge_undisturbed(edge, at - CONTACT, ended_at + HARNESS_DELAY)
         };
         violations.extend(
             Operations::new(self.observations)
-                .check_lost(|request| undisturbed(request.edge, request.at, request.ended)),
+                .check_lost(|request| undisturbed(request.edge, request.at, request.ended_at)),
         );
         violations.extend(self.check_quota());
         violations.extend(self.check_budget());
@@ -106,7 +106,7 @@
         violations
     }
 
-    /// A request with its ending and its arrivals at servers, for the report.
+    /// A request with its outcome and its arrivals at servers, for the report.
     fn describe(&self, request: &SentRequest) -> String {
         let arrivals = self.by_id.get(request.id.as_str()).into_iter().flatten();
         let arrivals: Vec<String> = arrivals
@@ -114,8 +114,8 @@
                 format!("{}@{:.3}-{:.3} ran={} stopped={}", a.server, a.at, a.worked_until, a.ran, a.stopped)
             })
             .collect();
-        let SentRequest { id, path, edge, at, ended, ending, .. } = request;
-        format!("{id} {path} edge {edge} {at:.3}-{ended:.3} {ending:?} {arrivals:?}")
+        let SentRequest { id, path, edge, at, ended_at, outcome, .. } = request;
+        format!("{id} {path} edge {edge} {at:.3}-{ended_at:.3} {outcome:?} {arrivals:?}")
     }
 
     /// Rules that one request can break regardless of time.
@@ -125,22 +125,22 @@
         if !request.repeatable && runs > 1 {
             violations.push(format!("TWICE: ran {runs} times"));
         }
-        match &request.ending {
-            Ending::Answered { fault: Some(fault), .. } => violations.push(format!("MIXED: {fault}")),
-            Ending::Answered { status: 408 | 421 | 429 | 503, .. } if !request.repeatable && runs > 0 => {
+        match &request.outcome {
+            Outcome::Answered { fault: Some(fault), .. } => violations.push(format!("MIXED: {fault}")),
+            Outcome::Answered { status: 408 | 421 | 429 | 503, .. } if !request.repeatable && runs > 0 => {
                 violations.push("REFUSED: answered as not executed, but a server ran it".into());
             }
-            Ending::Answered { status: 200..300, .. } if runs == 0 => {
+            Outcome::Answered { status: 200..300, .. } if runs == 0 => {
                 violations.push("MIXED: answered with success, but no server ran it".into())
             }
-            Ending::Answered { status: status @ (400 | 401 | 403 | 404 | 409 | 413 | 431), .. }
+            Outcome::Answered { status: status @ (400 | 401 | 403 | 404 | 409 | 413 | 431), .. }
                 if self.is_always_allowed(request) =>
             {
                 violations.push(format!("DENIED: an allowed request was answered {status}"));
             }
             _ => {}
         }
-        if request.key == UNKNOWN_KEY && runs > 0 {
+        if request.api_key == UNKNOWN_KEY && runs > 0 {
             violations.push("ROUTE: ran with a key that no configuration contains".into());
         }
         let servers: BTreeSet<&str> =
@@ -153,8 +153,8 @@
 
     /// CONFIG: a request gets its final answer in time.
     fn check_answer_received(&self, request: &SentRequest) -> Option<String> {
-        let silent = request.ending == Ending::Silent
-            && self.edge_undisturbed(request.edge, request.at, request.ended);
+        let silent = request.outcome == Outcome::Silent
+            && self.edge_undisturbed(request.edge, request.at, request.ended_at);
         silent.then(|| "CONFIG: no answer until long after the deadline".into())
     }
 
@@ -163,28 +163,31 @@
     fn is_always_allowed(&self, request: &SentRequest) -> bool {
         let first_acknowledged =
             self.observations.versions.iter().filter_map(|v| v.acknowledged).fold(f64::INFINITY, f64::min);
-        (request.key == FREE.1 || request.key == LIMITED.1) && first_acknowledged < request.at
+        (request.api_key == FREE.1 || request.api_key == LIMITED.1) && first_acknowledged < request.at
     }
 
     /// The versions that an undisturbed edge process may apply to a request of this span.
-    fn may_be_in_force(&self, at: Seconds, ended: Seconds) -> Vec<&Version> {
+    fn may_be_in_force(&self, at: Seconds, ended_at: Seconds) -> Vec<&Version> {
         let applied = |v: &&Version| v.acknowledged.is_some_and(|t| t + CONFIG_APPLY + HARNESS_DELAY < at);
         let newest = self.observations.versions.iter().filter(applied).map(|v| v.number).max().unwrap_or(0);
-        let is_candidate = |v: &&Version| v.number >= newest && v.sent_at < ended && !v.refused;
+        let is_candidate = |v: &&Version| v.number >= newest && v.sent_at < ended_at && !v.refused;
         self.observations.versions.iter().filter(is_candidate).collect()
     }
 
     /// CONFIG: an undisturbed edge process doesn't run what only an outdated configuration allows.
     fn check_versions(&self, request: &SentRequest) -> Vec<String> {
-        if !self.edge_and_core_undisturbed(request.edge, request.at - CONFIG_APPLY, request.ended) {
+        if !self.edge_and_core_undisturbed(request.edge, request.at - CONFIG_APPLY, request.ended_at) {
             return Vec::new();
         }
-        let candidates = self.may_be_in_force(request.at, request.ended);
+        let candidates = self.may_be_in_force(request.at, request.ended_at);
         let mut violations = Vec::new();
         let keys: Vec<&str> = candidates.iter().map(|v| v.key.as_str()).chain([FREE.1, LIMITED.1]).collect();
         let mut runs = self.runs(&request.id).peekable();
-        if request.key != UNKNOWN_KEY && runs.peek().is_some() && !keys.contains(&request.key.as_str()) {
-            violations.push(format!("CONFIG: ran with a key that had been removed, {}", request.key));
+        if request.api_key != UNKNOWN_KEY
+            && runs.peek().is_some()
+            && !keys.contains(&request.api_key.as_str())
+        {
+            violations.push(format!("CONFIG: ran with a key that had been removed, {}", request.api_key));
         }
         if request.path.starts_with(MOVING) {
             let misrouted = runs.filter(|run| !candidates.iter().any(|v| v.moving_to == run.service));
@@ -241,15 +244,15 @@
 
     /// LOST: an undisturbed edge process doesn't end a connection without an answer.
     fn check_lost(&self) -> Vec<String> {
-        let broken = self.observations.requests.iter().filter(|request| request.ending == Ending::Broken);
+        let broken = self.observations.requests.iter().filter(|request| request.outcome == Outcome::Broken);
         let excused = |request: &&SentRequest| {
-            !self.edge_undisturbed(request.edge, request.at - CONTACT, request.ended + HARNESS_DELAY)
+            !self.edge_undisturbed(request.edge, request.at - CONTACT, request.ended_at + HARNESS_DELAY)
         };
         let lost: Vec<&SentRequest> = broken
             .filter(|request| !excused(request))
             .filter(|request| {
                 self.by_id.contains_key(request.id.as_str())
-                    || request.ended - request.at > SLACK + HARNESS_DELAY
+                    || request.ended_at - request.at > SLACK + HARNESS_DELAY
             })
             .collect();
         lost.into_iter().map(|request| format!("LOST: no answer: {}", self.describe(request))).collect()
@@ -304,10 +307,10 @@
     /// GONE: work on repeatable requests ends soon after their clients have left an undisturbed edge process.
     fn check_gone(&self) -> Option<String> {
         let abandoned = |request: &&SentRequest| {
-            request.ending == Ending::Left && request.repeatable && request.path.starts_with(READ)
+            request.outcome == Outcome::Left && request.repeatable && request.path.starts_with(READ)
         };
         let undisturbed =
-            |request: &&SentRequest| self.edge_undisturbed(request.edge, request.at, request.ended + 1.0);
+            |request: &&SentRequest| self.edge_undisturbed(request.edge, request.at, request.ended_at + 1.0);
         let abandoned: Vec<&SentRequest> =
             self.observations.requests.iter().filter(abandoned).filter(undisturbed).collect();
         let late = |request: &&SentRequest| {
@@ -315,20 +318,20 @@
                 .get(request.id.as_str())
                 .into_iter()
                 .flatten()
-                .any(|a| a.at > request.ended + 0.5 + HARNESS_DELAY)
+                .any(|a| a.at > request.ended_at + 0.5 + HARNESS_DELAY)
         };
         let late = abandoned.iter().copied().filter(late).count();
         let long_runs: Vec<&Arrival> = abandoned
             .iter()
             .flat_map(|request| {
-                self.runs(&request.id).filter(|a| a.worked_until > request.ended + 0.5).copied()
+                self.runs(&request.id).filter(|a| a.worked_until > request.ended_at + 0.5).copied()
             })
             .collect();
         let continued = abandoned
             .iter()
             .filter(|request| {
                 self.runs(&request.id)
-                    .any(|a| !a.stopped && a.worked_until > request.ended + 0.5 + HARNESS_DELAY)
+                    .any(|a| !a.stopped && a.worked_until > request.ended_at + 0.5 + HARNESS_DELAY)
             })
             .count();
         if late > TOLERATED_REQUESTS {
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -4,7 +4,7 @@
 use crate::backend::{body_for, request_body};
 use crate::cluster::Cluster;
 use crate::configuration::{FREE, HOMED, HOST, LIMITED, MOVING, PAY, READ, UNKNOWN_KEY};
-use crate::record::{Ending, Record, Seconds, SentRequest};
+use crate::record::{Outcome, Record, Seconds, SentRequest};
 use lupinledge_example::http::{Client, Message};
 use socket2::SockRef;
 use std::io::{ErrorKind, Read, Write};
@@ -59,7 +59,7 @@
     id: String,
     path: String,
     repeatable: bool,
-    key: String,
+    api_key: String,
 }
 
 impl Request {
@@ -68,11 +68,11 @@
             if self.repeatable { ("GET", String::new()) } else { ("POST", request_body(&self.id)) };
         let length =
             if self.repeatable { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
-        let (path, id, key) = (&self.path, &self.id, &self.key);
+        let (path, id, api_key) = (&self.path, &self.id, &self.api_key);
         let deadline = DEADLINE.as_millis();
         format!(
             "{method} {path} HTTP/1.1\r\nHost: {HOST}\r\nLupinledge-Attempt-Id: {id}\r\nLupinledge-Deadline-Ms: {deadline}\r\n\
-             Authorization: Token {key}\r\n{length}\r\n{body}"
+             Authorization: Token {api_key}\r\n{length}\r\n{body}"
         )
         .into_bytes()
     }
@@ -102,13 +102,13 @@
             _ => (MOVING, true),
         };
         let limited_from = KEY_DRAWS - OTHER_KEY_DRAWS - self.context.limited;
-        let key = match self.rng.u8(0..KEY_DRAWS) {
+        let api_key = match self.rng.u8(0..KEY_DRAWS) {
             nth if nth < limited_from => FREE.1.to_string(),
             nth if nth < KEY_DRAWS - OTHER_KEY_DRAWS => LIMITED.1.to_string(),
             16 => UNKNOWN_KEY.to_string(),
-            _ => self.context.rotating_key.lock().map(|key| key.clone()).unwrap_or_default(),
+            _ => self.context.rotating_key.lock().map(|api_key| api_key.clone()).unwrap_or_default(),
         };
-        Request { path: format!("{prefix}{id}"), id, repeatable, key }
+        Request { path: format!("{prefix}{id}"), id, repeatable, api_key }
     }
 
     /// Gets the addresses of edge processes from the directory; the previous ones are kept if no core member answers.
@@ -159,11 +159,11 @@
         let (abandons, mut keep_alive) = (self.rng.u8(0..25) == 0, false);
         let written = connection.write(&request.bytes());
         let at = record.now();
-        let ending = match written {
-            Err(_) => Ending::Unsent,
+        let outcome = match written {
+            Err(_) => Outcome::Unsent,
             Ok(()) if abandons => {
                 sleep(Duration::from_millis(self.rng.u64(1..60)));
-                Ending::Left
+                Outcome::Left
             }
             Ok(()) => {
                 let answer = connection.answer();
@@ -173,37 +173,37 @@
                 classify_answer(&request, answer)
             }
         };
-        let ended = record.now();
-        let answered = keep_alive && matches!(ending, Ending::Answered { fault: None, .. });
+        let ended_at = record.now();
+        let answered = keep_alive && matches!(outcome, Outcome::Answered { fault: None, .. });
         if answered && self.rng.u8(0..12) > 0 {
             self.connection = Some((front, connection));
         } else if !answered {
             self.resolved_at = None;
         }
-        let Request { id, path, repeatable, key } = request;
+        let Request { id, path, repeatable, api_key } = request;
         let deadline = at + DEADLINE.as_secs_f64();
         record.observations().requests.push(SentRequest {
             id,
             path,
             repeatable,
-            key,
+            api_key,
             edge,
             at,
-            ended,
+            ended_at,
             deadline,
-            ending,
+            outcome,
         });
     }
 }
 
-/// The ending of a request by what was read from its connection.
-fn classify_answer(request: &Request, answer: std::io::Result<Option<Message>>) -> Ending {
+/// Derives how a request ended from the result of reading its connection.
+fn classify_answer(request: &Request, answer: std::io::Result<Option<Message>>) -> Outcome {
     match answer {
         Ok(Some(answer)) => {
-            Ending::Answered { status: answer.status(), fault: answer_fault(&request.id, &answer) }
+            Outcome::Answered { status: answer.status(), fault: answer_fault(&request.id, &answer) }
         }
-        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ending::Silent,
-        Ok(None) | Err(_) => Ending::Broken,
+        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Outcome::Silent,
+        Ok(None) | Err(_) => Outcome::Broken,
     }
 }
 
--- a/soak/src/cluster.rs
+++ b/soak/src/cluster.rs
@@ -63,10 +63,10 @@
 /// The last octet of the first address for machines that replace core members.
 const FIRST_SUCCESSOR_OCTET: u8 = 200;
 /// The file with the process ids of all processes started.
-const STARTED_FILE: &str = "started";
+const PROCESS_IDS_FILE: &str = "started";
 
-/// How long a process may take to exit after SIGTERM before it is killed. It breaks a promise already when it takes
-/// longer than the grace.
+/// How long a process may take to exit after SIGTERM before it is killed. A process that takes longer than
+/// [`bounds::GRACE`](crate::configuration::bounds::GRACE) already violates a checked bound.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Paths of the programs under test.
@@ -153,9 +153,9 @@
     [64 + (id >> 8) as u8 % 128, id as u8]
 }
 
-/// Starts a shell that waits for the end of this process and then kills the processes listed in [`STARTED_FILE`].
+/// Starts a shell that waits for the end of this process and then kills the processes listed in [`PROCESS_IDS_FILE`].
 fn spawn_watchdog(folder: &Path) -> eyre::Result<Child> {
-    let started = folder.join(STARTED_FILE);
+    let started = folder.join(PROCESS_IDS_FILE);
     File::create(&started)?;
     let script = "while kill -0 $1; do sleep 1; done; xargs kill -KILL < \"$2\"";
     let mut command = Command::new("sh");
@@ -345,7 +345,7 @@
         command.env("LUPINLEDGE_NODE_FILE", &path).env("LUPINLEDGE_CUTS_FILE", self.cuts_path());
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
         let child = command.spawn().wrap_err_with(|| program.display().to_string())?;
-        let mut started = OpenOptions::new().append(true).open(self.folder.join(STARTED_FILE))?;
+        let mut started = OpenOptions::new().append(true).open(self.folder.join(PROCESS_IDS_FILE))?;
         writeln!(started, "{}", child.id())?;
         Ok(child)
     }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,5 @@
-//! The fault injector: injects random troubles of all kinds, several at a time, with calm periods in between.
+//! The fault injector: injects random troubles of all kinds, several at a time, with calm periods in between. A trouble is
+//! one injected fault with the span in which it affects a process or the whole system.
 
 use crate::checks::Scope;
 use crate::cluster::{Cluster, ClusterSize, Signal};
@@ -59,7 +60,7 @@
     ReplaceCore,
     /// Kills a core member for good, then replaces it by an empty machine at another address.
     LoseCore,
-    /// Stops any process with SIGSTOP, also while another trouble affects it.
+    /// Stops any process with SIGSTOP for a while, also during another trouble of that process.
     FreezeAny,
     /// Cuts an edge process off from the core.
     CutEdge,
@@ -483,8 +484,8 @@
 
     /// The last fault of a run: kills all core members, or all processes, at once, and may remove disks of the core.
     pub fn inject_closing_fault(&self, rng: &mut fastrand::Rng) {
-        let all = rng.bool();
-        let victims: Vec<Process> = match all {
+        let kills_all_processes = rng.bool();
+        let victims: Vec<Process> = match kills_all_processes {
             true => self.cluster.size().processes().collect(),
             false => self.cluster.size().core().collect(),
         };
--- a/soak/src/keyed_client.rs
+++ b/soak/src/keyed_client.rs
@@ -5,7 +5,7 @@
 use crate::client::{ClientContext, DEADLINE, DEADLINE_MARGIN};
 use crate::cluster::Cluster;
 use crate::configuration::{FREE, HOST, KEYED, LIMITED};
-use crate::record::{Ending, OperationProbe, OperationTry, Record, Seconds};
+use crate::record::{OperationProbe, OperationTry, Outcome, Record, Seconds};
 use lupinledge_example::http::{Client, Message};
 use std::io::ErrorKind;
 use std::sync::atomic::Ordering;
@@ -82,38 +82,39 @@
     };
     let written = connection.write(&operation.request(&attempt));
     let at = record.now();
-    let (ending, answer) = match (written, delivery.abandon_after) {
-        (Err(_), _) => (Ending::Unsent, None),
+    let (outcome, answer) = match (written, delivery.abandon_after) {
+        (Err(_), _) => (Outcome::Unsent, None),
         (Ok(()), Some(after)) => {
             sleep(after);
-            (Ending::Left, None)
+            (Outcome::Left, None)
         }
         (Ok(()), None) => classify_answer(&attempt, connection.answer()),
     };
-    let success = matches!(ending, Ending::Answered { status: 200..300, .. });
-    let ended = record.now();
+    let success = matches!(outcome, Outcome::Answered { status: 200..300, .. });
+    let ended_at = record.now();
     record.observations().operation_tries.push(OperationTry {
         operation: operation.name.clone(),
         attempt,
         edge: delivery.edge,
         at,
-        ended,
-        ending,
+        ended_at,
+        outcome,
         stamp: answer.as_ref().and_then(|a| a.header("lupinledge-server-stamp").map(str::to_string)),
         body: answer.map_or(0, |a| digest(&a.body)),
     });
     success
 }
 
-/// The ending of a try by what was read from its connection.
-fn classify_answer(attempt: &str, answer: std::io::Result<Option<Message>>) -> (Ending, Option<Message>) {
+/// Derives how a try ended from the result of reading its connection; also returns the answer, if there is one.
+fn classify_answer(attempt: &str, answer: std::io::Result<Option<Message>>) -> (Outcome, Option<Message>) {
     match answer {
         Ok(Some(answer)) => {
-            let ending = Ending::Answered { status: answer.status(), fault: answer_fault(attempt, &answer) };
-            (ending, Some(answer))
+            let outcome =
+                Outcome::Answered { status: answer.status(), fault: answer_fault(attempt, &answer) };
+            (outcome, Some(answer))
         }
-        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => (Ending::Silent, None),
-        Ok(None) | Err(_) => (Ending::Broken, None),
+        Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => (Outcome::Silent, None),
+        Ok(None) | Err(_) => (Outcome::Broken, None),
     }
 }
 
--- a/soak/src/operation_checks.rs
+++ b/soak/src/operation_checks.rs
@@ -1,22 +1,23 @@
-//! Checks on keyed operations: compares the servers' runs with the answers that clients received.
+//! Checks on keyed operations: compares their runs, which are executions by a server, with the answers that clients
+//! received.
 
 use crate::configuration::bounds::{CONTACT, KEY_WINDOW, SLACK};
-use crate::record::{Ending, Observations, OperationProbe, OperationRun, OperationTry, Seconds};
+use crate::record::{Observations, OperationProbe, OperationRun, OperationTry, Outcome, Seconds};
 use std::collections::{BTreeMap, HashMap};
 
 /// The runs and tries of keyed operations, indexed by operation and by try, and the checks on them.
 pub struct Operations<'a> {
     observations: &'a Observations,
-    runs: BTreeMap<&'a str, Vec<&'a OperationRun>>,
+    runs_of_operation: BTreeMap<&'a str, Vec<&'a OperationRun>>,
     tries: BTreeMap<&'a str, Vec<&'a OperationTry>>,
     runs_of_attempt: HashMap<&'a str, Vec<&'a OperationRun>>,
 }
 
 fn is_success(operation_try: &OperationTry) -> bool {
-    matches!(operation_try.ending, Ending::Answered { status: 200..300, .. })
+    matches!(operation_try.outcome, Outcome::Answered { status: 200..300, .. })
 }
 
-/// Whether two successes have the answer of the same run.
+/// Whether two successful tries got the same answer (stamp and body).
 fn same_answer(first: &OperationTry, second: &OperationTry) -> bool {
     first.stamp == second.stamp && first.body == second.body
 }
@@ -24,21 +25,21 @@
 impl<'a> Operations<'a> {
     /// Indexes runs and tries.
     pub fn new(observations: &'a Observations) -> Operations<'a> {
-        let mut runs: BTreeMap<&str, Vec<&OperationRun>> = BTreeMap::new();
+        let mut runs_of_operation: BTreeMap<&str, Vec<&OperationRun>> = BTreeMap::new();
         let mut tries: BTreeMap<&str, Vec<&OperationTry>> = BTreeMap::new();
         let mut runs_of_attempt: HashMap<&str, Vec<&OperationRun>> = HashMap::new();
         for run in &observations.operation_runs {
-            runs.entry(&run.operation).or_default().push(run);
+            runs_of_operation.entry(&run.operation).or_default().push(run);
             runs_of_attempt.entry(&run.attempt).or_default().push(run);
         }
         for operation_try in &observations.operation_tries {
             tries.entry(&operation_try.operation).or_default().push(operation_try);
         }
-        Operations { observations, runs, tries, runs_of_attempt }
+        Operations { observations, runs_of_operation, tries, runs_of_attempt }
     }
 
-    fn runs(&self, operation: &str) -> &[&'a OperationRun] {
-        self.runs.get(operation).map_or(&[], Vec::as_slice)
+    fn runs_of_operation(&self, operation: &str) -> &[&'a OperationRun] {
+        self.runs_of_operation.get(operation).map_or(&[], Vec::as_slice)
     }
 
     fn successes(&self, operation: &str) -> impl Iterator<Item = &&'a OperationTry> {
@@ -63,7 +64,7 @@
     /// TWICE: an operation doesn't run again within its key's window.
     fn check_twice(&self) -> Vec<String> {
         let mut violations = Vec::new();
-        for (operation, runs) in &self.runs {
+        for (operation, runs) in &self.runs_of_operation {
             let mut times: Vec<f64> = runs.iter().map(|run| run.at).collect();
             times.sort_by(f64::total_cmp);
             if times.windows(2).any(|pair| pair[1] - pair[0] < KEY_WINDOW) {
@@ -95,7 +96,7 @@
 
     /// Rules that the answer to one try can break.
     fn check_try(&self, operation_try: &OperationTry) -> Option<String> {
-        let Ending::Answered { status, fault } = &operation_try.ending else { return None };
+        let Outcome::Answered { status, fault } = &operation_try.outcome else { return None };
         let ran = self.runs_of_attempt.contains_key(operation_try.attempt.as_str());
         match status {
             _ if fault.is_some() => Some(format!("MIXED: {}", fault.unwrap_or_default())),
@@ -114,7 +115,7 @@
 
     /// Whether the answer has the stamp and body of a run of its operation.
     fn matches_a_run(&self, operation_try: &OperationTry) -> bool {
-        let runs = self.runs(&operation_try.operation);
+        let runs = self.runs_of_operation(&operation_try.operation);
         runs.iter()
             .any(|run| Some(&run.stamp) == operation_try.stamp.as_ref() && run.body == operation_try.body)
     }
@@ -141,10 +142,10 @@
             .observations
             .operation_tries
             .iter()
-            .filter(|operation_try| operation_try.ending == Ending::Broken);
+            .filter(|operation_try| operation_try.outcome == Outcome::Broken);
         let was_taken = |operation_try: &&OperationTry| {
             self.runs_of_attempt.contains_key(operation_try.attempt.as_str())
-                || operation_try.ended - operation_try.at > SLACK
+                || operation_try.ended_at - operation_try.at > SLACK
         };
         let lost = broken.filter(|operation_try| undisturbed(operation_try)).filter(was_taken);
         lost.map(|operation_try| {
@@ -164,11 +165,11 @@
         for (operation, tries) in &self.tries {
             let Some(first) = self.successes(operation).next() else { continue };
             let was_answered =
-                |operation_try: &&&OperationTry| matches!(operation_try.ending, Ending::Answered { .. });
+                |operation_try: &&&OperationTry| matches!(operation_try.outcome, Outcome::Answered { .. });
             let repeats =
-                tries.iter().filter(|operation_try| operation_try.at > first.ended).filter(was_answered);
+                tries.iter().filter(|operation_try| operation_try.at > first.ended_at).filter(was_answered);
             let undisturbed =
-                repeats.filter(|operation_try| self.undisturbed(first.at - CONTACT, operation_try.ended));
+                repeats.filter(|operation_try| self.undisturbed(first.at - CONTACT, operation_try.ended_at));
             for repeat in undisturbed {
                 all += 1;
                 answered += usize::from(is_success(repeat));
@@ -191,10 +192,10 @@
     /// An operation's tries and runs, for the report.
     fn describe(&self, operation: &str) -> String {
         let tries = self.tries.get(operation).into_iter().flatten().map(|operation_try| {
-            let OperationTry { attempt, edge, at, ended, ending, stamp, .. } = operation_try;
-            format!("{attempt} edge {edge} {at:.3}-{ended:.3} {ending:?} {stamp:?}")
+            let OperationTry { attempt, edge, at, ended_at, outcome, stamp, .. } = operation_try;
+            format!("{attempt} edge {edge} {at:.3}-{ended_at:.3} {outcome:?} {stamp:?}")
         });
-        let runs = self.runs(operation).iter().map(|run| {
+        let runs = self.runs_of_operation(operation).iter().map(|run| {
             let OperationRun { attempt, server, at, stamp, .. } = run;
             format!("{attempt} at {server} {at:.3} {stamp}")
         });
@@ -204,16 +205,16 @@
 
     /// A line of counts for the report: operations, runs, tries by ending, and undisturbed repeats.
     pub fn summary(&self) -> String {
-        let mut endings: BTreeMap<String, usize> = BTreeMap::new();
+        let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
         for operation_try in &self.observations.operation_tries {
-            let ending = match &operation_try.ending {
-                Ending::Answered { status, .. } => status.to_string(),
+            let outcome = match &operation_try.outcome {
+                Outcome::Answered { status, .. } => status.to_string(),
                 other => format!("{other:?}").to_lowercase(),
             };
-            *endings.entry(ending).or_default() += 1;
+            *outcomes.entry(outcome).or_default() += 1;
         }
         let (operations, runs) = (self.tries.len(), self.observations.operation_runs.len());
         let (answered, repeats) = self.undisturbed_repeats();
-        format!("operations={operations} operation_runs={runs} tries={endings:?} calm_repeats={answered}/{repeats}")
+        format!("operations={operations} operation_runs={runs} tries={outcomes:?} calm_repeats={answered}/{repeats}")
     }
 }
--- a/soak/src/record.rs
+++ b/soak/src/record.rs
@@ -9,7 +9,7 @@
 
 /// How a request of a well-behaved client ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ending {
+pub enum Outcome {
     /// A complete answer with this status, and what is wrong with it.
     Answered { status: u16, fault: Option<&'static str> },
     /// The whole request was sent, and the connection ended without an answer.
@@ -18,7 +18,7 @@
     Silent,
     /// The request could not be sent.
     Unsent,
-    /// The client closed the connection on purpose before an answer.
+    /// The client abandoned the request: it closed the connection on purpose before an answer. Reports print this name.
     Left,
 }
 
@@ -30,17 +30,17 @@
     pub path: String,
     /// Whether the route is idempotent.
     pub repeatable: bool,
-    /// The API key.
-    pub key: String,
+    /// The API key that the client sent.
+    pub api_key: String,
     /// Index of the edge process that accepted it.
     pub edge: usize,
     /// When its last byte was written.
     pub at: Seconds,
     /// When it was answered, or ended without an answer.
-    pub ended: Seconds,
+    pub ended_at: Seconds,
     /// When the deadline that the client sent expires.
     pub deadline: Seconds,
-    pub ending: Ending,
+    pub outcome: Outcome,
 }
 
 /// A request that reached a server, which ran or rejected it.
@@ -88,8 +88,8 @@
     pub edge: usize,
     /// When its last byte was written.
     pub at: Seconds,
-    pub ended: Seconds,
-    pub ending: Ending,
+    pub ended_at: Seconds,
+    pub outcome: Outcome,
     /// The server's stamp on the answer.
     pub stamp: Option<String>,
     /// Hash of the answer's body.
@@ -133,7 +133,7 @@
     pub revoked: Option<Seconds>,
 }
 
-/// A span in which the harness disturbed a process, or the system as a whole where no process is named.
+/// A trouble: the span of one injected fault, which affects `process`, or the whole system if that is `None`.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     pub description: String,
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -15,7 +15,7 @@
 use crate::operation_checks::Operations;
 use crate::operator::Operator;
 use crate::platform::Platform;
-use crate::record::{Ending, Observations, Process, Record, SentRequest};
+use crate::record::{Observations, Outcome, Process, Record, SentRequest};
 use eyre::{bail, WrapErr};
 use std::collections::{BTreeMap, HashMap};
 use std::path::PathBuf;
@@ -229,8 +229,8 @@
     Ok(())
 }
 
-/// RECOVER and CONFIG: traffic is served again in time, and the configuration can be read and is no older
-/// than what was acknowledged.
+/// Checks the promises RECOVER (traffic is served again in time) and CONFIG (the configuration can be read and is no
+/// older than the newest acknowledged one).
 fn check_recovery(
     record: &Record,
     operator: &Operator,
@@ -241,14 +241,18 @@
     let is_served = || {
         let (now, observations) = (record.now(), record.observations());
         // requests that a quota or an unknown key may refuse don't show whether the system serves
-        let unlimited = |request: &&SentRequest| request.key != LIMITED.1 && request.key != UNKNOWN_KEY;
+        let unlimited =
+            |request: &&SentRequest| request.api_key != LIMITED.1 && request.api_key != UNKNOWN_KEY;
         let recent_requests = observations
             .requests
             .iter()
             .filter(unlimited)
             .filter(|request| request.at > closing_fault_ended && request.at > now - 2.0);
         let (served, total) = recent_requests.fold((0, 0), |(served, total), request| {
-            (served + usize::from(matches!(request.ending, Ending::Answered { status: 200, .. })), total + 1)
+            (
+                served + usize::from(matches!(request.outcome, Outcome::Answered { status: 200, .. })),
+                total + 1,
+            )
         });
         total > 10 && served * 5 > total * 2
     };
@@ -309,13 +313,13 @@
     let mut violations = evidence.violations(scope);
     let (at, limited) = evidence.busiest_limited_window().unwrap_or_default();
     violations.extend(log_violations(cluster));
-    let mut endings: BTreeMap<String, usize> = BTreeMap::new();
+    let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
     for sent in &observations.requests {
-        let ending = match &sent.ending {
-            Ending::Answered { status, .. } => status.to_string(),
+        let outcome = match &sent.outcome {
+            Outcome::Answered { status, .. } => status.to_string(),
             other => format!("{other:?}").to_lowercase(),
         };
-        *endings.entry(ending).or_default() += 1;
+        *outcomes.entry(outcome).or_default() += 1;
     }
     let acknowledged = observations.versions.iter().filter(|v| v.acknowledged.is_some()).count();
     let (requests, runs, troubles) = (
@@ -324,7 +328,7 @@
         observations.troubles.len(),
     );
     let summary = format!(
-        "requests={requests} runs={runs} endings={endings:?} versions={acknowledged}/{} troubles={troubles} most_limited={limited}@{at:.1} {}",
+        "requests={requests} runs={runs} endings={outcomes:?} versions={acknowledged}/{} troubles={troubles} most_limited={limited}@{at:.1} {}",
         observations.versions.len(),
         Operations::new(&observations).summary()
     );
--- a/soak/tests/checks.rs
+++ b/soak/tests/checks.rs
@@ -7,21 +7,21 @@
 };
 use lupinledge_soak::operation_checks::Operations;
 use lupinledge_soak::record::{
-    Arrival, Ending, Evacuation, Observations, OperationProbe, OperationRun, OperationTry, Process,
+    Arrival, Evacuation, Observations, OperationProbe, OperationRun, OperationTry, Outcome, Process,
     SentRequest, Trouble, Version,
 };
 use test_case::test_case;
 
-fn answered(status: u16) -> Ending {
-    Ending::Answered { status, fault: None }
+fn answered(status: u16) -> Outcome {
+    Outcome::Answered { status, fault: None }
 }
 
 /// A request that is sent at `at`.
-fn sent(prefix: &str, at: f64, ending: Ending) -> SentRequest {
+fn sent(prefix: &str, at: f64, outcome: Outcome) -> SentRequest {
     let id = format!("id-{at}");
     let (path, repeatable) = (format!("{prefix}{id}"), prefix == READ || prefix == MOVING);
-    let (key, deadline, ended) = (FREE.1.to_string(), at + 2.0, at + 0.1);
-    SentRequest { id, path, repeatable, key, edge: 0, at, ended, deadline, ending }
+    let (api_key, deadline, ended_at) = (FREE.1.to_string(), at + 2.0, at + 0.1);
+    SentRequest { id, path, repeatable, api_key, edge: 0, at, ended_at, deadline, outcome }
 }
 
 /// The run of a request at a server.
@@ -79,15 +79,15 @@
 }
 
 /// Adds a try of an operation; a success has the stamp and body of the run at 24.0.
-fn add_operation_try(observations: &mut Observations, operation: &str, at: f64, ending: Ending) {
-    let success = matches!(ending, Ending::Answered { status: 200..300, .. });
+fn add_operation_try(observations: &mut Observations, operation: &str, at: f64, outcome: Outcome) {
+    let success = matches!(outcome, Outcome::Answered { status: 200..300, .. });
     observations.operation_tries.push(OperationTry {
         operation: operation.into(),
         attempt: attempt_id(operation, at),
         edge: 0,
         at,
-        ended: at + 0.5,
-        ending,
+        ended_at: at + 0.5,
+        outcome,
         stamp: success.then(|| "stamp-24".into()),
         body: if success { 24 } else { 0 },
     });
@@ -129,12 +129,12 @@
 #[test_case("TWICE", |observations| add_request(observations, sent(PAY, 30.0, answered(200)), &["i-1", "i-2"]); "ran twice")]
 #[test_case("REFUSED", |observations| add_request(observations, sent(PAY, 30.0, answered(503)), &["i-1"]); "refused but run")]
 #[test_case("MIXED", |observations| add_request(observations, sent(READ, 30.0, answered(200)), &[]); "a success without a run")]
-#[test_case("MIXED", |observations| add_request(observations, sent(READ, 30.0, Ending::Answered { status: 200, fault: Some("body") }), &["i-1"]); "a wrong body")]
+#[test_case("MIXED", |observations| add_request(observations, sent(READ, 30.0, Outcome::Answered { status: 200, fault: Some("body") }), &["i-1"]); "a wrong body")]
 #[test_case("DENIED", |observations| add_request(observations, sent(READ, 30.0, answered(404)), &[]); "an allowed request denied")]
 #[test_case("BUDGET", |observations| add_request(observations, sent(READ, 30.0, answered(200)), &["i-1", "i-2", "i-3"]); "too many servers")]
-#[test_case("CONFIG", |observations| add_request(observations, sent(READ, 30.0, Ending::Silent), &[]); "no answer")]
-#[test_case("LOST", |observations| add_request(observations, sent(PAY, 30.0, Ending::Broken), &["i-1"]); "connection broken")]
-#[test_case("ROUTE", |observations| add_request(observations, SentRequest { key: UNKNOWN_KEY.into(), ..sent(READ, 30.0, answered(200)) }, &["i-1"]); "an unknown key")]
+#[test_case("CONFIG", |observations| add_request(observations, sent(READ, 30.0, Outcome::Silent), &[]); "no answer")]
+#[test_case("LOST", |observations| add_request(observations, sent(PAY, 30.0, Outcome::Broken), &["i-1"]); "connection broken")]
+#[test_case("ROUTE", |observations| add_request(observations, SentRequest { api_key: UNKNOWN_KEY.into(), ..sent(READ, 30.0, answered(200)) }, &["i-1"]); "an unknown key")]
 #[test_case("ROUTE", |observations| observations.arrivals[0].service = "beta".into(); "another service")]
 #[test_case("HOME", |observations| observations.arrivals[2].zone = "south-1".into(); "outside the home regions")]
 #[test_case("UNASKED", |observations| observations.arrivals[0].fault = Some("a key was passed on"); "a key passed on")]
@@ -143,7 +143,7 @@
 #[test_case("CONFIG", |observations| {
     observations.versions.extend([version(3, 10.0), version(4, 11.0)]);
     let old = rotating_key(2, 0);
-    add_request(observations, SentRequest { key: old, ..sent(READ, 30.0, answered(200)) }, &["i-1"]);
+    add_request(observations, SentRequest { api_key: old, ..sent(READ, 30.0, answered(200)) }, &["i-1"]);
 }; "an older key")]
 #[test_case("EVAC", |observations| observations.evacuations.push(Evacuation { zone: "north-1".into(), acknowledged: Some(5.0), revoked: None }); "an evacuated zone")]
 #[test_case("QUOTA", |observations| for nth in 0..200 {
@@ -154,8 +154,8 @@
     add_request(observations, sent(READ, 30.0 + f64::from(nth) / 100.0, answered(200)), &["i-1", "i-2"]);
 }; "over the retry budget")]
 #[test_case("GONE", |observations| for nth in 0..8 {
-    let left = sent(READ, 30.0 + f64::from(nth), Ending::Left);
-    observations.arrivals.push(Arrival { worked_until: left.ended + 2.0, ..arrival_of(&left, "i-1") });
+    let left = sent(READ, 30.0 + f64::from(nth), Outcome::Left);
+    observations.arrivals.push(Arrival { worked_until: left.ended_at + 2.0, ..arrival_of(&left, "i-1") });
     observations.requests.push(left);
 }; "work for a client that has left")]
 #[test_case("TWICE", |observations| observations.operation_runs.push(operation_run("served", 25.0)); "a key ran twice")]
@@ -163,7 +163,7 @@
 #[test_case("MIXED", |observations| observations.operation_runs[0].stamp = "another".into(); "stamps of no run")]
 #[test_case("MIXED", |observations| observations.operation_runs[0].body = 7; "bodies of no run")]
 #[test_case("MIXED", |observations| observations.operation_runs[0].operation = "other".into(); "the run of another key")]
-#[test_case("MIXED", |observations| add_operation_try(observations, "other", 27.0, Ending::Answered { status: 200, fault: Some("body") }); "a keyed answer with a fault")]
+#[test_case("MIXED", |observations| add_operation_try(observations, "other", 27.0, Outcome::Answered { status: 200, fault: Some("body") }); "a keyed answer with a fault")]
 #[test_case("DENIED", |observations| add_operation_try(observations, "served", 27.0, answered(422)); "an allowed repeat refused as a different request")]
 #[test_case("DENIED", |observations| add_operation_try(observations, "other", 27.0, answered(400)); "an allowed key denied")]
 #[test_case("REFUSED", |observations| {
@@ -174,10 +174,10 @@
     add_operation_try(observations, "other", 27.0, answered(429));
     observations.operation_runs.push(operation_run("other", 27.0));
 }; "a key over quota but run")]
-#[test_case("LOST", |observations| add_operation_try(observations, "other", 27.0, Ending::Broken); "connection of a keyed request broken")]
+#[test_case("LOST", |observations| add_operation_try(observations, "other", 27.0, Outcome::Broken); "connection of a keyed request broken")]
 #[test_case("RECOVER", |observations| observations.operation_probes[0].operations.truncate(1); "no new key served")]
 #[test_case("RECOVER", |observations| observations.operation_probes[0].operations.clear(); "no new key tried")]
-#[test_case("RECOVER", |observations| observations.operation_tries[1].ending = answered(502); "a repeat not answered")]
+#[test_case("RECOVER", |observations| observations.operation_tries[1].outcome = answered(502); "a repeat not answered")]
 #[test_case("noted", |observations| observations.violations.push("noted".into()); "recorded during the run")]
 fn only_the_broken_rule_is_reported(rule: &str, change: Change) {
     let mut observations = run_without_violations();
@@ -229,7 +229,7 @@
 fn troubles_that_excuse_violations() {
     let broken = || {
         let mut observations = run_without_violations();
-        add_request(&mut observations, sent(PAY, 30.0, Ending::Broken), &["i-1"]);
+        add_request(&mut observations, sent(PAY, 30.0, Outcome::Broken), &["i-1"]);
         observations
     };
     let mut observations = broken();
@@ -254,7 +254,7 @@
 #[test]
 fn the_untimed_scope_omits_timed_checks() {
     let mut observations = run_without_violations();
-    add_request(&mut observations, sent(PAY, 30.0, Ending::Broken), &["i-1"]);
+    add_request(&mut observations, sent(PAY, 30.0, Outcome::Broken), &["i-1"]);
     add_request(&mut observations, sent(PAY, 31.0, answered(200)), &["i-1", "i-2"]);
     let violations = Evidence::new(&observations).violations(Scope::Untimed);
     assert!(violations.len() == 1 && violations[0].starts_with("TWICE"), "{violations:?}");
