--- a/gateway/tests/sockets.rs
+++ b/gateway/tests/sockets.rs
@@ -49,7 +49,8 @@
 
 impl<'a> Stopwatch<'a> {
     fn start(program: PathBuf, others: &[&'a dyn Fn() -> Duration]) -> Stopwatch<'a> {
-        let mut stopwatch = Stopwatch { start: Instant::now(), program, others: others.to_vec(), waited: Duration::ZERO };
+        let mut stopwatch =
+            Stopwatch { start: Instant::now(), program, others: others.to_vec(), waited: Duration::ZERO };
         stopwatch.waited = stopwatch.waits();
         stopwatch
     }
@@ -104,13 +105,16 @@
     /// Starts the program with these servers, each in a zone of its own.
     fn start(servers: &[SocketAddr]) -> Gateway {
         Gateway::with(servers, |_| {})
-    }/// Starts the program with these servers and a changed configuration.
+    }
+    /// Starts the program with these servers and a changed configuration.
 
     fn with(servers: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Gateway {
         let discovery = Discovery::start("127.0.0.1:0").expect("discovery");
         let counter = Counter::start("127.0.0.1:0", counter::Behaviour::Reply).expect("counter");
         if !servers.is_empty() {
-            discovery.update_entries(servers.iter().enumerate().map(|(i, s)| server_entry(i, *s, "active")).collect());
+            discovery.update_entries(
+                servers.iter().enumerate().map(|(i, s)| server_entry(i, *s, "active")).collect(),
+            );
         }
         let path = configuration(|v| {
             v["discovery"] = json!(discovery.addr.to_string());
@@ -253,7 +257,11 @@
         client.write(left).unwrap();
         assert_eq!(client.read_response().unwrap().expect("a response").status(), 200);
     }
-    assert_eq!((server.received().len(), server.connections()), (2, 1), "the connection to the server is reused");
+    assert_eq!(
+        (server.received().len(), server.connections()),
+        (2, 1),
+        "the connection to the server is reused"
+    );
 }
 
 #[test_case("/quote", "/nothing", 404; "an unknown frontend")]
@@ -346,7 +354,10 @@
     let gateway = Gateway::start(&[server.addr]);
     let (start, proc) = (Instant::now(), gateway.proc());
     let mut idle_client = connect(gateway.addr);
-    assert_eq!(idle_client.send_request(request("quote", "house", "60").as_bytes()).unwrap().unwrap().status(), 200);
+    assert_eq!(
+        idle_client.send_request(request("quote", "house", "60").as_bytes()).unwrap().unwrap().status(),
+        200
+    );
     let mut stalled = connect(gateway.addr);
     stalled.write(begin).unwrap();
     let (addr, keeps_writing, program) = (gateway.addr, !begin.is_empty(), proc.clone());
@@ -434,7 +445,8 @@
         let waited =
             || good.scheduling_delay() + bad.as_ref().map_or(Duration::ZERO, Server::scheduling_delay);
         let stopwatch = gateway.stopwatch(&[&waited]);
-        let response_status = gateway.ask(request(frontend, "house", &deadline.to_string()).as_bytes()).status();
+        let response_status =
+            gateway.ask(request(frontend, "house", &deadline.to_string()).as_bytes()).status();
         let passed = stopwatch.passed();
         assert!(passed < limit, "answered in time: {passed:?}");
         assert!(response_status == 200 || response_status == status, "{response_status}");
@@ -481,7 +493,9 @@
         );
     }
     server.set_behaviour(ANSWER);
-    until("the server is used again", || { gateway.ask(request("notice", "house", "60").as_bytes()).status() == 200});
+    until("the server is used again", || {
+        gateway.ask(request("notice", "house", "60").as_bytes()).status() == 200
+    });
 }
 
 /// A valid response is forwarded whatever bytes surround it, and these must not be taken for the next response.
@@ -534,7 +548,8 @@
     assert!(dispatches > 1);
     gateway.signal("USR1");
     until("its counters", || gateway.count("watch.attempts").is_some());
-    let counts = ["attempts", "ceiling", "second_copy", "repeat"].map(|k| gateway.count(&format!("watch.{k}")));
+    let counts =
+        ["attempts", "ceiling", "second_copy", "repeat"].map(|k| gateway.count(&format!("watch.{k}")));
     assert_eq!(counts, [Some(dispatches as u64 - 1), Some(1), Some(0), Some(0)]);
 }
 
@@ -548,8 +563,9 @@
         v["settings"]["limits"]["keepalive"] = json!(120);
     });
     let addr = gateway.addr;
-    let ask =
-        move || connect(addr).send_request(request("notice", "house", "60").as_bytes()).unwrap().unwrap().status();
+    let ask = move || {
+        connect(addr).send_request(request("notice", "house", "60").as_bytes()).unwrap().unwrap().status()
+    };
     let mut asked = vec![spawn(ask)];
     until("a connection to it is being opened, and the other server is used", || {
         let begun = connecting_to(late.addr);
@@ -612,12 +628,15 @@
     // with a silent counter a call times out after 80 ms, and a connection is considered dead after 640 ms; a refused
     // call waits for neither
     let count_wait = if manner == counter::Behaviour::Silent { 0.08 } else { 10.0 };
-    let gateway = Gateway::with(&[server.addr], |v| v["settings"]["familyInfo"]["countWait"] = json!(count_wait));
+    let gateway =
+        Gateway::with(&[server.addr], |v| v["settings"]["familyInfo"]["countWait"] = json!(count_wait));
     until("all its connections are open", || gateway.counter.connections() == 4);
     gateway.counter.set_behaviour(manner);
     // the silent fake does not delay others
     let silent = manner == counter::Behaviour::Silent;
-    let waited = || server.scheduling_delay() + if silent { Duration::ZERO } else { gateway.counter.scheduling_delay() };
+    let waited = || {
+        server.scheduling_delay() + if silent { Duration::ZERO } else { gateway.counter.scheduling_delay() }
+    };
     let (start, mut passed) = (Instant::now(), 0);
     for (nth, plan) in ["team", "free"].into_iter().cycle().enumerate() {
         let stopwatch = gateway.stopwatch(&[&waited]);
@@ -702,7 +721,8 @@
     let server = start_server(ANSWER);
     // it is practically not refilled, however long the test takes
     let gateway = Gateway::with(&[server.addr], |v| v["settings"]["packages"][0]["unitsPerS"] = json!(0.001));
-    let answers: Vec<Message> = (0..40).map(|_| gateway.ask(request("quote", "free", "60").as_bytes())).collect();
+    let answers: Vec<Message> =
+        (0..40).map(|_| gateway.ask(request("quote", "free", "60").as_bytes())).collect();
     let passed = answers.iter().filter(|a| a.status() == 200).count();
     // a store of 4; twice that if the window of the name changes during the test
     assert!((3..=8).contains(&passed), "{passed}");
@@ -748,7 +768,9 @@
                 let mut connection: Option<Client> = None;
                 while since() <= ms(400) || closes == 0 {
                     assert!(since() < TIMEOUT, "never: the end of the program");
-                    let mut client = match connection.take().map_or_else(|| Client::connect_with_timeout(addr, TIMEOUT), Ok)
+                    let mut client = match connection
+                        .take()
+                        .map_or_else(|| Client::connect_with_timeout(addr, TIMEOUT), Ok)
                     {
                         Ok(c) => c,
                         Err(_) if gone() => return (answers, closes, true),
@@ -822,7 +844,8 @@
 /// and no amount may be counted twice or not at all. An invalid file in between must change nothing.
 #[test]
 fn new_configuration_under_load() {
-    let (first, second) = (start_server(Behaviour::Respond(ms(10))), start_server(Behaviour::Respond(ms(10))));
+    let (first, second) =
+        (start_server(Behaviour::Respond(ms(10))), start_server(Behaviour::Respond(ms(10))));
     let mut gateway = Gateway::with(&[first.addr], |v| {
         v["settings"]["packages"][0]["storeSize"] = json!(10000);
         v["settings"]["packages"][0]["unitsPerS"] = json!(0.001);
@@ -834,7 +857,10 @@
             spawn(move || {
                 let (mut client, mut passed) = (connect(addr), 0);
                 while stop.load(Ordering::Relaxed) == 0 {
-                    let a = client.send_request(request("quote", "free", "60").as_bytes()).unwrap().expect("not lost");
+                    let a = client
+                        .send_request(request("quote", "free", "60").as_bytes())
+                        .unwrap()
+                        .expect("not lost");
                     passed += (a.status() == 200) as usize;
                 }
                 passed
@@ -855,16 +881,21 @@
         let watches = gateway.discovery.watches_opened();
         gateway.discovery.move_to("127.0.0.1:0", TIMEOUT).unwrap();
         gateway.counter.move_to("127.0.0.1:0", TIMEOUT).unwrap();
-        let (path, d, c) = (gateway.path.clone(), gateway.discovery.addr.to_string(), gateway.counter.addr.to_string());
+        let (path, d, c) =
+            (gateway.path.clone(), gateway.discovery.addr.to_string(), gateway.counter.addr.to_string());
         std::fs::copy(configuration(|v| (v["discovery"], v["counter"]) = (json!(d), json!(c))), path)
             .unwrap();
         gateway.signal("HUP");
         until("the watch uses the new address", || gateway.discovery.watches_opened() > watches);
         until("the counter is used at its new address", || gateway.counter.calls_at_current_address() > 20);
-        until("all connections use the new addresses", || { gateway.log().matches("code=moved").count() == 5 * (turn + 1)});
+        until("all connections use the new addresses", || {
+            gateway.log().matches("code=moved").count() == 5 * (turn + 1)
+        });
         wait_under_load("it is still under load");
     }
-    gateway.discovery.update_entries(vec![server_entry(0, first.addr, "left"), server_entry(1, second.addr, "active")]);
+    gateway
+        .discovery
+        .update_entries(vec![server_entry(0, first.addr, "left"), server_entry(1, second.addr, "active")]);
     until("changes arrive from the new address", || !second.received().is_empty());
     stop.store(1, Ordering::Relaxed);
     let passed: usize = clients.into_iter().map(|c| c.join().expect("all answered")).sum();
@@ -903,7 +934,11 @@
             let addr = gateway.addr;
             spawn(move || {
                 let mut client = connect(addr);
-                client.send_request(request("quote", "house", "60").as_bytes()).unwrap().expect("a response").status()
+                client
+                    .send_request(request("quote", "house", "60").as_bytes())
+                    .unwrap()
+                    .expect("a response")
+                    .status()
             })
         })
         .collect();
@@ -921,12 +956,16 @@
     let server = start_server(ANSWER);
     let gateway = Gateway::start(&[server.addr]);
     assert_eq!(gateway.ask(request("notice", "house", "60").as_bytes()).status(), 200);
-    gateway.discovery.update_entries(vec![server_entry(0, server.addr, "left"), server_entry(1, server.addr, "active")]);
+    gateway
+        .discovery
+        .update_entries(vec![server_entry(0, server.addr, "left"), server_entry(1, server.addr, "active")]);
     until("the idle connection is closed", || {
         gateway.log().contains("ended srv") && gateway.log().contains("code=closed-here")
     });
     // the new server is cold, and gets its first request some time after its start
-    until("the new server is used", || { gateway.ask(request("notice", "house", "60").as_bytes()).status() == 200});
+    until("the new server is used", || {
+        gateway.ask(request("notice", "house", "60").as_bytes()).status() == 200
+    });
     assert_eq!(server.connections(), 2);
 }
 
@@ -957,7 +996,9 @@
     gateway.discovery.set_muted(true);
     let watches = gateway.discovery.watches_opened();
     until("the watch is opened again", || gateway.discovery.watches_opened() > watches);
-    gateway.discovery.update_entries(vec![server_entry(0, first.addr, "left"), server_entry(1, second.addr, "active")]);
+    gateway
+        .discovery
+        .update_entries(vec![server_entry(0, first.addr, "left"), server_entry(1, second.addr, "active")]);
     gateway.discovery.set_muted(false);
     until("the new list is applied", || {
         assert_eq!(gateway.ask(request("quote", "house", "60").as_bytes()).status(), 200);
@@ -969,7 +1010,8 @@
 #[test]
 fn known_list() {
     let server = start_server(ANSWER);
-    let known = json!({"generation": 3, "reset": true, "instances": [server_entry(0, server.addr, "active")]});
+    let known =
+        json!({"generation": 3, "reset": true, "instances": [server_entry(0, server.addr, "active")]});
     let gateway = Gateway::with(&[], |v| {
         v["discovery"] = json!(unused_addr().to_string());
         v["known"] = known;
