--- a/gateway/tests/sockets.rs
+++ b/gateway/tests/sockets.rs
@@ -106,8 +106,8 @@
     fn start(servers: &[SocketAddr]) -> Gateway {
         Gateway::with(servers, |_| {})
     }
-    /// Starts the program with these servers and a changed configuration.
 
+    /// Starts the program with these servers and a changed configuration.
     fn with(servers: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Gateway {
         let discovery = Discovery::start("127.0.0.1:0").expect("discovery");
         let counter = Counter::start("127.0.0.1:0", counter::Behaviour::Reply).expect("counter");
