--- a/simulation/src/core.rs
+++ b/simulation/src/core.rs
@@ -311,8 +311,8 @@
     }
 
     /// The reply of a process that is not the leader: a redirect to the leader that its replica knows, else to the
-    /// published holder; [`Reply::Unknown`] without either. The published holder counts only if it is listed as alive, its
-    /// epoch is not older than the last one seen, and the replica is isolated from it.
+    /// published holder; [`Reply::Unknown`] without either. The published holder counts only if it is listed as alive,
+    /// its epoch is not older than the last one seen, and the replica is isolated from it.
     fn redirect(&self, now: f64) -> Reply {
         let (epoch, published) = self.disseminator.store().epoch();
         let alive = |m: &Member| m.card.core && m.standing == Standing::Alive;
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,5 +1,5 @@
-//! The fault injector: injects random troubles of all kinds, several at a time, with calm periods in between. A trouble is
-//! one injected fault with the span in which it affects a process or the whole system.
+//! The fault injector: injects random troubles of all kinds, several at a time, with calm periods in between. A trouble
+//! is one injected fault with the span in which it affects a process or the whole system.
 
 use crate::checks::Scope;
 use crate::cluster::{Cluster, ClusterSize, Signal};
