--- a/src/admission.rs
+++ b/src/admission.rs
@@ -103,14 +103,14 @@
         }
     }
 
-    /// Takes units from this gateway's slice of the hard ceiling; returns whether they fit, true without a ceiling.
+    /// Takes units from this gateway's slice of the hard ceiling, if there is one; returns whether they fit.
     /// The slice is empty at start, as a killed predecessor may have used it up.
     fn take_from_ceiling(&mut self, c: usize, units: f64) -> bool {
         let p = &self.terms.plans[self.customers[c].plan];
         p.ceiling_rate <= 0.0 || self.customers[c].take_ceiling(self.now, p, units)
     }
 
-    /// What is left of a customer's quota as this gateway sees it: last total, refill since, requests sent from here.
+    /// A customer's remaining quota as seen here: last total, refill since, requests sent from this gateway.
     pub(crate) fn available(&mut self, c: usize) -> f64 {
         let p = &self.terms.plans[self.customers[c].plan];
         self.customers[c].available(self.now, p.rate, p.burst)
@@ -120,13 +120,13 @@
     pub(crate) fn share(&self, c: usize) -> f64 {
         let cust = &self.customers[c];
         let prior = 0.5 * self.terms.plans[cust.plan].burst.max(1.0);
-        let alone = if self.costly_outage(c) { 0.85 } else { 1.0 }; // each estimate includes the others' idle times
+        let alone = if self.costly_outage(c) { 0.85 } else { 1.0 }; // estimates include others' idle times
         alone * ((cust.own_use + prior / cust.spread) / (cust.all_use + prior)).clamp(0.5 / cust.spread, 1.0)
     }
 
-    /// Takes units (of which `off` were taken before) from this gateway's share of the quota without an answer of the
-    /// counter; returns whether they fit. If an overrun costs more than a request earns, and the quota was not read
-    /// yet or is below half, they fit with the probability room / needed: otherwise every gateway would round up.
+    /// Takes units (of which `off` were taken before) from this gateway's share of the quota without the
+    /// counter; returns if they fit. If an overrun costs more than a request earns and the quota is unread
+    /// or below half, they fit with the probability room / needed: otherwise every gateway would round up.
     pub(crate) fn fits_share(&mut self, c: usize, units: f64, off: f64) -> bool {
         let (room, whole, cust) = (self.available(c) + off, units / self.share(c), &self.customers[c]);
         let p = &self.terms.plans[cust.plan];
@@ -140,8 +140,7 @@
         fits
     }
 
-    /// Whether a lease fits beside the recent leases of the other gateways, for a request whose counter call is not
-    /// answered. If each gateway always admitted one request, the cap would be exceeded many times.
+    /// Whether a lease fits without the counter: one unchecked per gateway would exceed the cap many times.
     pub(crate) fn lease_fits(&self, c: usize, held: f64) -> bool {
         held + self.customers[c].lease.others <= self.terms.plans[self.customers[c].plan].at_once as f64 + 0.5
     }
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -69,8 +69,7 @@
         self.limit = if before == 0.0 { self.initial_limit() } else { self.limit * ready / before };
     }
 
-    /// The pool limit at the start: `start_limit` per ready server, divided among the gateways. Limits of two and four
-    /// per server were no better than three beyond noise.
+    /// Initial pool limit, divided among the gateways: `start_limit` per ready server; 2 to 4 perform alike.
     fn initial_limit(&self) -> f64 {
         self.terms.start_limit / self.terms.gateways.max(1) as f64 * self.servers.open().count().max(1) as f64
     }
@@ -84,7 +83,7 @@
 
     /// Sequential probability ratio test: a server that fails is distrusted and its requests are reviewed.
     pub(crate) fn add_evidence(&mut self, i: usize, weight: f64) {
-        const DISTRUST_THRESHOLD: f64 = 6.9; // log odds of 1000 to 1; lower odds are no better with many gateways
+        const DISTRUST_THRESHOLD: f64 = 6.9; // log odds of 1000:1; lower odds do not help with many gateways
         self.servers.evidence[i] = (self.servers.evidence[i] + weight).max(0.0);
         if self.servers.evidence[i] >= DISTRUST_THRESHOLD {
             (self.servers.evidence[i], self.servers.distrust[i]) = (DISTRUST_THRESHOLD / 2.0, 1.0);
@@ -114,10 +113,8 @@
             let left = s.out[i] as f64 + 1.0 <= credit.max(floor as f64);
             let tried = self.requests.at(slot).is_some_and(|r| r.tries.iter().any(|t| t.server == i));
             let distance = match self.terms.distance(s.zone[i]) {
-                // it has just failed this request: any other server is likelier to succeed
-                _ if tried => 100.0,
-                // cross-region traffic is expensive: only if the local servers are clearly fuller
-                2 => 6.0,
+                _ if tried => 100.0, // it has just failed this request: any other is likelier to succeed
+                2 => 6.0, // cross-region traffic is expensive: only if local servers are clearly fuller
                 1 if !self.terms.regions.is_empty() => 3.0,
                 1 if home => 1.05,
                 _ => 1.0,
