--- a/soak/src/configuration.rs
+++ b/soak/src/configuration.rs
@@ -45,7 +45,7 @@
     pub const GRACE: f64 = 4.0;
     /// Time allowed for a request that was read but not yet forwarded.
     pub const SLACK: f64 = 0.2;
-    /// Time within which a command of the operator has to be acknowledged after it was first sent.
+    /// Time within which a command of the operator has to be acknowledged after it was sent.
     pub const ACK: f64 = 8.0;
     /// How long after the last fault until traffic has to be served again.
     pub const RECOVER: f64 = 15.0;
--- a/soak/src/platform.rs
+++ b/soak/src/platform.rs
@@ -69,8 +69,8 @@
         let _ = self.add(service, zone);
     }
 
-    /// Replaces a server: starts a new one, lists the old one as draining, and stops the old one after four seconds, also
-    /// if it still has open connections.
+    /// Replaces a server: starts a new one, lists the old one as draining, and stops the old one after four seconds,
+    /// also if it still has open connections.
     pub fn replace(&self, nth: usize) {
         let Some((id, service, zone)) = self.ready_server(nth) else { return };
         let _ = self.add(service, zone);
